--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -28,11 +28,9 @@
 	// Prompt and Answer are the tokens that the request announces, zero where it doesn't.
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// Aim is until when the first event is on time, Until when the caller leaves without one,
-	// and End when it leaves without the whole answer, zero if that isn't known.
+	// Aim is until when the first event is on time, and Until is when the caller leaves.
 	Aim   time.Time
 	Until time.Time
-	End   time.Time
 	// Gap is the longest pause between two events that counts as on time.
 	Gap time.Duration
 	// Tried are the targets that failed this request before.
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -16,24 +16,18 @@
 // basis is what the estimates of one request at all targets have in common.
 type basis struct {
 	// first is the time to the first event on the quickest target, held how long a run holds
-	// its place, gap the time between events, read what reading the prompt takes, and span
-	// how long the events are expected to come for, and left how long the caller waits for
-	// their end, zero if that isn't known, the last five in seconds.
-	first                       time.Duration
-	held, gap, read, span, left float64
+	// its place, gap the time between events, and read what reading the prompt takes, the
+	// last three in seconds.
+	first           time.Duration
+	held, gap, read float64
 }
 
-func (lead *Leader) basis(now time.Time, ask *Ask) basis {
+func (lead *Leader) basis(ask *Ask) basis {
 	_, slope := lead.model.line()
-	span, _ := lead.span(ask)
-	view := basis{
+	return basis{
 		first: seconds(lead.first(ask)), held: lead.model.held(), gap: lead.model.gap(),
-		read: slope * float64(ask.Prompt), span: span,
+		read: slope * float64(ask.Prompt),
 	}
-	if !ask.End.IsZero() && ask.Gap > 0 {
-		view.left = ask.End.Sub(now).Seconds()
-	}
-	return view
 }
 
 // bound is what no target of another region can cost less than.
@@ -68,52 +62,26 @@
 //
 // Made for targets of unlike pace in several data centres. The cost is the time to the
 // first event, and what it adds that the target is crowded, that its answers pause or
-// fail, and that the way there is paid for. An answer that a slower target would hardly end
-// in time goes to one of the quickest, or waits for it: on a slow one it would hold a place
-// for as long as its caller waits, for nothing.
+// fail, and that the way there is paid for.
 func (lead *Leader) choose(now time.Time, ask *Ask) choice {
-	view := lead.basis(now, ask)
-	best, quick := lead.chooseAmong(now, ask, &view, lead.endsOn)
-	if best.node == nil && !quick {
-		best, _ = lead.chooseAmong(now, ask, &view, anyTarget)
-	}
-	return best
-}
-
-func anyTarget(*node, *basis) bool { return true }
-
-// chooseAmong returns the best target of those that may do, and whether one of the quickest
-// can be had at all, now or later.
-func (lead *Leader) chooseAmong(now time.Time, ask *Ask, view *basis, may func(*node, *basis) bool) (best choice, quick bool) {
-	best.cost = math.MaxInt64
+	best := choice{cost: math.MaxInt64}
+	view := lead.basis(ask)
 	least := time.Duration(lead.bound.pace*float64(view.first)) + lead.bound.way + awayCost
 	for at, nd := range lead.nodes {
 		if at >= lead.bound.near && best.suits && best.cost <= least {
-			return best, true
+			return best
 		}
-		if nd.resting(now) || nd.tried(ask) {
+		if nd.room(now) == 0 || nd.resting(now) || nd.tried(ask) {
 			continue
 		}
-		quick = quick || lead.isQuick(nd)
-		if nd.room(now) == 0 || !may(nd, view) {
-			continue
-		}
-		one := lead.estimate(now, nd, ask, view)
+		one := lead.estimate(now, nd, ask, &view)
 		if one.suits && !best.suits || one.suits == best.suits && one.cost < best.cost {
 			best = one
 		}
 	}
-	return best, quick
-}
-
-// endsOn reports whether a target is one of the quickest, or likely to answer wholly while
-// the caller waits, with room for an answer that is longer than expected.
-func (lead *Leader) endsOn(nd *node, view *basis) bool {
-	return view.left <= 0 || lead.isQuick(nd) || nd.pace*(view.first.Seconds()+view.span) <= endPart*view.left
+	return best
 }
 
-func (lead *Leader) isQuick(nd *node) bool { return nd.pace <= quickPace*lead.bound.pace }
-
 func (lead *Leader) estimate(now time.Time, nd *node, ask *Ask, view *basis) choice {
 	work := time.Duration(nd.pace * float64(view.first))
 	busy := nd.busy(now)
--- a/core/yuccagrant/data.go
+++ b/core/yuccagrant/data.go
@@ -44,11 +44,6 @@
 	// for a target to suit.
 	margin = 0.85
 
-	// endPart is the part of the time until its caller leaves within which an answer must be
-	// expected to end on a target, unless that has at most quickPace times the pace of the
-	// quickest.
-	endPart   = 0.5
-	quickPace = 1.3
 	// slowPace is the pace from which a target counts as slow for long prompts.
 	slowPace = 2.0
 
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -64,7 +64,7 @@
 // likely to have a place while the request can still be on time.
 func (lead *Leader) worthWaiting(now time.Time, ask *Ask) bool {
 	wait := lead.nextPlace(now)
-	view := lead.basis(now, ask)
+	view := lead.basis(ask)
 	for _, nd := range lead.nodes {
 		if nd.resting(now) || nd.tried(ask) {
 			continue
@@ -96,18 +96,11 @@
 
 // work is how long a run is expected to hold a place of the quickest target, in seconds.
 func (lead *Leader) work(ask *Ask) float64 {
-	span, known := lead.span(ask)
-	if !known {
+	events, known := lead.lengths.events(ask)
+	if ask.Gap <= 0 || !known {
 		return lead.model.held()
 	}
-	return lead.first(ask) + span
-}
-
-// span is how long the events of an answer are expected to come for on the quickest target,
-// in seconds, and whether anything is known of it.
-func (lead *Leader) span(ask *Ask) (span float64, known bool) {
-	events, known := lead.lengths.events(ask)
-	return lead.model.gap() * max(events-1, 0), known && ask.Gap > 0
+	return lead.first(ask) + lead.model.gap()*max(events-1, 0)
 }
 
 // first is how long the quickest target is expected to take to the first event, in seconds.
@@ -116,7 +109,7 @@
 }
 
 func (lead *Leader) start(now time.Time, nd *node, ask Ask) *run {
-	view := lead.basis(now, &ask)
+	view := lead.basis(&ask)
 	one := &run{ask: ask, node: nd, sent: now, expect: lead.estimate(now, nd, &ask, &view).first}
 	lead.runs[ask.ID] = one
 	nd.runs[ask.ID] = one
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -12,7 +12,7 @@
 	ask := &tkt.ask
 	return yuccawire.Ask{
 		Pool: tkt.pool, Number: ask.ID.Number, Class: uint32(ask.Class), Tier: ask.Tier, Rank: ask.Rank, Over: ask.Over, Prompt: ask.Prompt, Answer: ask.Answer,
-		AimMillis: ask.Aim.Sub(now).Milliseconds(), UntilMillis: ask.Until.Sub(now).Milliseconds(), EndMillis: ask.End.Sub(now).Milliseconds(),
+		AimMillis: ask.Aim.Sub(now).Milliseconds(), UntilMillis: ask.Until.Sub(now).Milliseconds(),
 		GapMillis: ask.Gap.Milliseconds(), Tried: ask.Tried,
 	}
 }
@@ -22,7 +22,6 @@
 		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Class: yuccagrant.Class(message.Class), Tier: message.Tier, Rank: message.Rank, Over: message.Over, Prompt: message.Prompt, Answer: message.Answer,
 		Aim:   now.Add(time.Duration(message.AimMillis) * time.Millisecond),
 		Until: now.Add(time.Duration(message.UntilMillis) * time.Millisecond),
-		End:   now.Add(time.Duration(message.EndMillis) * time.Millisecond),
 		Gap:   time.Duration(message.GapMillis) * time.Millisecond, Tried: message.Tried,
 	}
 }
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -251,7 +251,7 @@
 func (req *request) ask() yuccagrant.Ask {
 	ask := yuccagrant.Ask{
 		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, Over: req.over, Prompt: req.caller.Prompt, Answer: req.caller.Answer,
-		Aim: req.arrived.Add(req.route.Aim), Until: req.until, End: req.until, Tried: req.tried,
+		Aim: req.arrived.Add(req.route.Aim), Until: req.until, Tried: req.tried,
 	}
 	if req.route.Aim <= 0 {
 		ask.Aim = req.until
--- a/io/yuccawire/gate.go
+++ b/io/yuccawire/gate.go
@@ -108,7 +108,6 @@
 	Answer      yuccaid.Tokens
 	AimMillis   int64
 	UntilMillis int64
-	EndMillis   int64
 	GapMillis   int64
 	Tried       []yuccaid.Target
 }
