--- a/cmd/yuccacleat/config_test.go
+++ b/cmd/yuccacleat/config_test.go
@@ -66,7 +66,7 @@
 		faults(fl.platform, yuccastand.PlatformFaults{})
 		fl.settle()
 		for _, dm := range fl.daemons {
-			last := yuccaid.Number(0)
+			last := yuccaid.ConfigNumber(0)
 			for _, entry := range dm.audit(Default) {
 				if entry.Kind == yuccadaemon.AuditKind(yuccastate.EntryAccepted) || entry.Kind == yuccadaemon.AuditKind(yuccastate.EntryAdopted) {
 					Expect(entry.Number).To(BeNumerically(">", last))
--- a/cmd/yuccacleat/leaving_test.go
+++ b/cmd/yuccacleat/leaving_test.go
@@ -114,7 +114,7 @@
 }
 
 // tracesOf returns what the daemons logged of a request, and of their roles.
-func (fl *fleet) tracesOf(id yuccaid.RequestText) string {
+func (fl *fleet) tracesOf(id yuccaid.RequestID) string {
 	var found strings.Builder
 	for _, dm := range fl.daemons {
 		for line := range strings.Lines(dm.logs.String()) {
--- a/cmd/yuccacleat/loss_test.go
+++ b/cmd/yuccacleat/loss_test.go
@@ -19,7 +19,7 @@
 type later chan telling
 
 // begin submits in the background.
-func (fl *fleet) begin(ctx context.Context, dm *daemon, tier yuccaid.Tier, tokens yuccaid.Tokens) (yuccaid.RequestText, later) {
+func (fl *fleet) begin(ctx context.Context, dm *daemon, tier yuccaid.Tier, tokens yuccaid.Tokens) (yuccaid.RequestID, later) {
 	GinkgoHelper()
 	id := fl.open(ctx, dm)
 	end := make(later, 1)
@@ -37,7 +37,7 @@
 }
 
 // everywhere submits a request again through each daemon at once.
-func (fl *fleet) everywhere(ctx context.Context, daemons []*daemon, id yuccaid.RequestText) []telling {
+func (fl *fleet) everywhere(ctx context.Context, daemons []*daemon, id yuccaid.RequestID) []telling {
 	tellings := make([]telling, len(daemons))
 	var all sync.WaitGroup
 	for i, dm := range daemons {
@@ -74,7 +74,7 @@
 		}
 		owner.kill()
 		Expect((<-end).broken).To(BeTrue())
-		lost := []yuccaid.RequestText{opened, cutOff, answered.id}
+		lost := []yuccaid.RequestID{opened, cutOff, answered.id}
 		for _, id := range lost {
 			Expect(fl.everywhere(ctx, rest, id)).To(HaveEach(WithTransform(runOf, Equal(yuccaonce.Unknown))))
 		}
@@ -104,7 +104,7 @@
 		long.Pool, short.Pool = "narrow", "narrow"
 		// Leaders may grant a little more than an engine's slots, so it is filled until one
 		// of the long requests waits; then the short one waits as well.
-		var fillers []yuccaid.RequestText
+		var fillers []yuccaid.RequestID
 		ends := make(later, 64)
 		for leader.status(Default).Waiting["normal"] == 0 {
 			Expect(len(fillers)).To(BeNumerically("<", cap(ends)-1))
@@ -131,7 +131,7 @@
 		Eventually(leader.grants).WithTimeout(patience).Should(Equal(granted + 1))
 		Eventually(func(g Gomega) int { return len(leader.status(g).Peers) }).WithTimeout(patience).Should(Equal(len(fl.daemons) - 1))
 		fl.publish(yuccastate.Note{By: "test operator", Withdrawn: yuccastate.Names{Targets: []yuccaid.Target{"narrow-1"}}})
-		Eventually(func(g Gomega) yuccaid.Number { return leader.status(g).Number }).WithTimeout(patience).Should(Equal(fl.state.Number))
+		Eventually(func(g Gomega) yuccaid.ConfigNumber { return leader.status(g).Number }).WithTimeout(patience).Should(Equal(fl.state.Number))
 		owner.signal(syscall.SIGCONT)
 		fl.settle()
 		owner.gate.let()
--- a/cmd/yuccacleat/note.go
+++ b/cmd/yuccacleat/note.go
@@ -50,7 +50,7 @@
 
 // summary is what `note check --json` prints.
 type summary struct {
-	Number yuccaid.Number `json:"number"`
+	Number yuccaid.ConfigNumber `json:"number"`
 	Digest yuccaid.Digest `json:"digest"`
 }
 
--- a/cmd/yuccacleat/operate.go
+++ b/cmd/yuccacleat/operate.go
@@ -161,7 +161,7 @@
 	return printAnswer(command.OutOrStdout(), id, answer, flags.asJSON)
 }
 
-func printAnswer(out io.Writer, id yuccaid.RequestText, answer *yuccacaller.Answer, asJSON bool) error {
+func printAnswer(out io.Writer, id yuccaid.RequestID, answer *yuccacaller.Answer, asJSON bool) error {
 	if asJSON {
 		return printJSON(out, answer.End)
 	}
--- a/cmd/yuccacleat/process_test.go
+++ b/cmd/yuccacleat/process_test.go
@@ -282,7 +282,7 @@
 	It("serve all urgent requests that come while bulk fills the engines", func(ctx SpecContext) {
 		fl := the()
 		const slots, bulk, urgent = 8, 30, 12
-		var ids []yuccaid.RequestText
+		var ids []yuccaid.RequestID
 		var letters, notes []later
 		for i := range bulk {
 			id, end := fl.begin(ctx, fl.daemons[i%3], "bulk", 3000)
--- a/cmd/yuccacleat/target_test.go
+++ b/cmd/yuccacleat/target_test.go
@@ -23,7 +23,7 @@
 }
 
 // runsOf counts how often targets ran a request.
-func (fl *fleet) runsOf(id yuccaid.RequestText) int {
+func (fl *fleet) runsOf(id yuccaid.RequestID) int {
 	GinkgoHelper()
 	count := 0
 	for _, address := range append([]string{fl.plain}, fl.engines...) {
--- a/cmd/yuccacleat/witness_test.go
+++ b/cmd/yuccacleat/witness_test.go
@@ -19,7 +19,7 @@
 
 // telling is what a caller was told of one request at one moment.
 type telling struct {
-	id      yuccaid.RequestText
+	id      yuccaid.RequestID
 	by      yuccaid.VM
 	run     yuccaonce.Run
 	reason  yuccaonce.Reason
@@ -39,7 +39,7 @@
 }
 
 // told turns what the client returned into what its caller knows by it.
-func told(id yuccaid.RequestText, by yuccaid.VM, answer *yuccacaller.Answer, err error) telling {
+func told(id yuccaid.RequestID, by yuccaid.VM, answer *yuccacaller.Answer, err error) telling {
 	tell := telling{id: id, by: by}
 	var refused *yuccacaller.RefusedError
 	if errors.As(err, &refused) {
@@ -59,9 +59,9 @@
 // nothing of how the fleet works, so it holds under any mix of faults.
 func violations(ran []yuccastand.Run, tellings []telling) []string {
 	var found []string
-	byID := make(map[yuccaid.RequestText][]yuccastand.Run)
+	byID := make(map[yuccaid.RequestID][]yuccastand.Run)
 	for _, run := range ran {
-		id := yuccaid.RequestText(run.ID)
+		id := yuccaid.RequestID(run.ID)
 		byID[id] = append(byID[id], run)
 		if len(byID[id]) == 2 {
 			found = append(found, fmt.Sprintf("%s ran twice", id))
@@ -111,7 +111,7 @@
 }
 
 // open draws an id for the test's account.
-func (fl *fleet) open(ctx context.Context, dm *daemon) yuccaid.RequestText {
+func (fl *fleet) open(ctx context.Context, dm *daemon) yuccaid.RequestID {
 	GinkgoHelper()
 	id, err := fl.caller.Open(ctx, dm.addresses.Caller)
 	Expect(err).NotTo(HaveOccurred(), "%s: %s", dm.name, dm.logs)
@@ -119,12 +119,12 @@
 }
 
 // submit sends a request through a daemon and remembers what its caller is told.
-func (fl *fleet) submit(ctx context.Context, dm *daemon, id yuccaid.RequestText, req yuccadaemon.Request) telling {
+func (fl *fleet) submit(ctx context.Context, dm *daemon, id yuccaid.RequestID, req yuccadaemon.Request) telling {
 	return fl.witness.hear(fl.unheard(ctx, dm, id, req))
 }
 
 // unheard sends a request whose answer the witness can't judge.
-func (fl *fleet) unheard(ctx context.Context, dm *daemon, id yuccaid.RequestText, req yuccadaemon.Request) telling {
+func (fl *fleet) unheard(ctx context.Context, dm *daemon, id yuccaid.RequestID, req yuccadaemon.Request) telling {
 	answer, err := fl.caller.Submit(ctx, dm.addresses.Caller, id, req)
 	return told(id, dm.name, answer, err)
 }
@@ -136,7 +136,7 @@
 }
 
 // outcome asks a daemon what became of a request.
-func (fl *fleet) outcome(ctx context.Context, dm *daemon, id yuccaid.RequestText) telling {
+func (fl *fleet) outcome(ctx context.Context, dm *daemon, id yuccaid.RequestID) telling {
 	end, err := fl.caller.Outcome(ctx, dm.addresses.Caller, id)
 	tell := told(id, dm.name, nil, err)
 	if err == nil {
--- a/cmd/yuccameasure/main.go
+++ b/cmd/yuccameasure/main.go
@@ -117,7 +117,7 @@
 	cmd.Flags().Int64Var(&answer, "answer", 32, "tokens of an answer")
 	cmd.Flags().Float64Var(&decode, "decode", 400, "tokens per second of each answer")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		plan.Answer, plan.Decode = yuccaid.Tokens(answer), yuccaid.Rate(decode)
+		plan.Answer, plan.Decode = yuccaid.Tokens(answer), yuccaid.TokenRate(decode)
 		return flags.run(cmd, func(ctx context.Context, programs yuccameasure.Programs, text, lines io.Writer) error {
 			return yuccameasure.Members(ctx, programs, plan, text, lines)
 		})
--- a/cmd/yuccastand/main.go
+++ b/cmd/yuccastand/main.go
@@ -83,7 +83,7 @@
 	checks := cmd.Flags().Bool("checks-fence", false, "refuse orders with an old fencing number")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		options := []yuccastand.EngineOption{
-			yuccastand.WithRates(yuccaid.Rate(*prefill), yuccaid.Rate(*decode)),
+			yuccastand.WithRates(yuccaid.TokenRate(*prefill), yuccaid.TokenRate(*decode)),
 			yuccastand.WithSlots(*slots),
 			yuccastand.WithCache(yuccaid.Tokens(*cache), yuccaid.Tokens(*block)),
 			yuccastand.WithPieceTokens(yuccaid.Tokens(*piece)),
--- a/core/yuccaid/name.go
+++ b/core/yuccaid/name.go
@@ -29,8 +29,8 @@
 // Model names a model, adapter or version as the weight store knows it.
 type Model string
 
-// Number counts accepted release notes; the empty configuration has number 0.
-type Number uint64
+// ConfigNumber counts accepted release notes; the empty configuration has number 0.
+type ConfigNumber uint64
 
 // Digest is a lower-case hex SHA-256 digest.
 type Digest string
--- a/core/yuccaid/request.go
+++ b/core/yuccaid/request.go
@@ -19,11 +19,11 @@
 // ErrForged says that a request id was not issued by a daemon of this fleet.
 var ErrForged = errors.New("request id is not one of this fleet: open a request and use the id it returns")
 
-// Request is a request's id, which names the daemon that owns it.
+// RequestIDFields is a request's id, which names the daemon that owns it.
 //
 // Issued is read on the owner's clock and only the owner compares it with the
 // present, so clocks of different VMs are never compared.
-type Request struct {
+type RequestIDFields struct {
 	Owner   Incarnation
 	Counter uint64
 	Issued  time.Time
@@ -32,42 +32,42 @@
 // Key signs request ids; every daemon of a fleet has the same.
 type Key []byte
 
-// Text returns the id's signed form, "vm.nonce.counter.issued.mac" with the
+// Sign returns the id's signed form, "vm.nonce.counter.issued.mac" with the
 // numbers in hex and the time of issue in Unix milliseconds.
-func (req Request) Text(key Key) RequestText {
+func (req RequestIDFields) Sign(key Key) RequestID {
 	body := req.body()
-	return RequestText(body + "." + sign(key, body))
+	return RequestID(body + "." + sign(key, body))
 }
 
-// RequestText is a request id as callers and other processes see it.
-type RequestText string
+// RequestID is a request id as callers and other processes see it.
+type RequestID string
 
 // Parse checks the signature and returns the id.
-func (text RequestText) Parse(key Key) (Request, error) {
+func (text RequestID) Parse(key Key) (RequestIDFields, error) {
 	parts := strings.Split(string(text), ".")
 	if len(parts) != requestFields {
-		return Request{}, ErrForged
+		return RequestIDFields{}, ErrForged
 	}
 	body := strings.Join(parts[:requestFields-1], ".")
 	if !hmac.Equal([]byte(sign(key, body)), []byte(parts[requestFields-1])) {
-		return Request{}, ErrForged
+		return RequestIDFields{}, ErrForged
 	}
 	owner, err := ParseIncarnation(parts[0] + "." + parts[1])
 	if err != nil {
-		return Request{}, ErrForged
+		return RequestIDFields{}, ErrForged
 	}
 	counter, err := strconv.ParseUint(parts[2], 16, 64)
 	if err != nil {
-		return Request{}, ErrForged
+		return RequestIDFields{}, ErrForged
 	}
 	issued, err := strconv.ParseInt(parts[3], 16, 64)
 	if err != nil {
-		return Request{}, ErrForged
+		return RequestIDFields{}, ErrForged
 	}
-	return Request{Owner: owner, Counter: counter, Issued: time.UnixMilli(issued)}, nil
+	return RequestIDFields{Owner: owner, Counter: counter, Issued: time.UnixMilli(issued)}, nil
 }
 
-func (req Request) body() string {
+func (req RequestIDFields) body() string {
 	return fmt.Sprintf("%s.%x.%x", req.Owner, req.Counter, req.Issued.UnixMilli())
 }
 
--- a/core/yuccaid/request_test.go
+++ b/core/yuccaid/request_test.go
@@ -18,10 +18,10 @@
 )
 
 var _ = Describe("a request id", func() {
-	id := yuccaid.Request{Owner: owner, Counter: 42, Issued: issued}
+	id := yuccaid.RequestIDFields{Owner: owner, Counter: 42, Issued: issued}
 
 	It("survives its text form", func() {
-		back, err := id.Text(fleetKey).Parse(fleetKey)
+		back, err := id.Sign(fleetKey).Parse(fleetKey)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(back.Owner).To(Equal(id.Owner))
 		Expect(back.Counter).To(Equal(id.Counter))
@@ -30,7 +30,7 @@
 
 	DescribeTable("is refused when it was not issued here",
 		func(change func(string) string) {
-			text := yuccaid.RequestText(change(string(id.Text(fleetKey))))
+			text := yuccaid.RequestID(change(string(id.Sign(fleetKey))))
 			_, err := text.Parse(fleetKey)
 			Expect(err).To(MatchError(yuccaid.ErrForged))
 		},
@@ -38,17 +38,17 @@
 		Entry("another VM", func(s string) string { return strings.Replace(s, "vm-1", "vm-2", 1) }),
 		Entry("another counter", func(s string) string { return strings.Replace(s, ".2a.", ".2b.", 1) }),
 		Entry("no signature", func(s string) string { return s[:strings.LastIndex(s, ".")+1] }),
-		Entry("another fleet's key", func(string) string { return string(id.Text(yuccaid.Key("other"))) }),
+		Entry("another fleet's key", func(string) string { return string(id.Sign(yuccaid.Key("other"))) }),
 	)
 })
 
 func FuzzRequestText(f *testing.F) {
-	f.Add(string(yuccaid.Request{Owner: owner, Counter: 1, Issued: issued}.Text(fleetKey)))
+	f.Add(string(yuccaid.RequestIDFields{Owner: owner, Counter: 1, Issued: issued}.Sign(fleetKey)))
 	f.Add("a.b.c.d.e")
 	f.Fuzz(func(t *testing.T, s string) {
-		id, err := yuccaid.RequestText(s).Parse(fleetKey)
-		if err == nil && string(id.Text(fleetKey)) != s {
-			t.Fatalf("%q was accepted but is written %q", s, id.Text(fleetKey))
+		id, err := yuccaid.RequestID(s).Parse(fleetKey)
+		if err == nil && string(id.Sign(fleetKey)) != s {
+			t.Fatalf("%q was accepted but is written %q", s, id.Sign(fleetKey))
 		}
 	})
 }
--- a/core/yuccaid/unit.go
+++ b/core/yuccaid/unit.go
@@ -8,11 +8,11 @@
 // Bytes counts bytes.
 type Bytes int64
 
-// Rate is in tokens per second.
-type Rate float64
+// TokenRate is in tokens per second.
+type TokenRate float64
 
-// Time returns how long n tokens take at the rate, and zero for a rate of zero.
-func (r Rate) Time(n Tokens) time.Duration {
+// Duration returns how long n tokens take at the rate, and zero for a rate of zero.
+func (r TokenRate) Duration(n Tokens) time.Duration {
 	if r <= 0 {
 		return 0
 	}
--- a/core/yuccaonce/answers.go
+++ b/core/yuccaonce/answers.go
@@ -29,13 +29,13 @@
 	lifetime time.Duration
 	clock    clock
 
-	answers map[yuccaid.RequestText]*kept[A]
+	answers map[yuccaid.RequestID]*kept[A]
 	order   []*kept[A] // by time of adding
 	bytes   yuccaid.Bytes
 }
 
 type kept[A any] struct {
-	id     yuccaid.RequestText
+	id     yuccaid.RequestID
 	answer A
 	size   yuccaid.Bytes
 	added  time.Time
@@ -49,12 +49,12 @@
 	if lifetime == 0 {
 		lifetime = defaultAnswerLifetime
 	}
-	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestText]*kept[A])}
+	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestID]*kept[A])}
 }
 
 // Put keeps a whole answer of the given size, pushing out the oldest ones, and reports
 // false if it is too large to be kept.
-func (buf *AnswerBuffer[A]) Put(now time.Time, text yuccaid.RequestText, answer A, size yuccaid.Bytes) bool {
+func (buf *AnswerBuffer[A]) Put(now time.Time, text yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
 	reading := buf.advance(now)
 	if buf.answers[text] != nil || size > buf.limit/answerShare {
 		return false
@@ -77,7 +77,7 @@
 }
 
 // Get returns the whole answer while it is kept.
-func (buf *AnswerBuffer[A]) Get(now time.Time, text yuccaid.RequestText) (A, bool) {
+func (buf *AnswerBuffer[A]) Get(now time.Time, text yuccaid.RequestID) (A, bool) {
 	buf.advance(now)
 	one := buf.answers[text]
 	if one == nil {
--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -16,7 +16,7 @@
 }
 
 // ConflictError says that the id stands for another request already.
-type ConflictError struct{ ID yuccaid.RequestText }
+type ConflictError struct{ ID yuccaid.RequestID }
 
 // Error tells to open a request for each body.
 func (err *ConflictError) Error() string {
@@ -25,7 +25,7 @@
 
 // ExpiredError says that the id is past its lifetime, so its outcome is forgotten.
 type ExpiredError struct {
-	ID       yuccaid.RequestText
+	ID       yuccaid.RequestID
 	Lifetime time.Duration
 }
 
@@ -36,7 +36,7 @@
 
 // NotYoursError says that the account has no such request; it is the same whether
 // or not another account has.
-type NotYoursError struct{ ID yuccaid.RequestText }
+type NotYoursError struct{ ID yuccaid.RequestID }
 
 // Error tells to use an id of one's own.
 func (err *NotYoursError) Error() string {
@@ -45,7 +45,7 @@
 
 // ClosedError says that the request has ended already.
 type ClosedError struct {
-	ID      yuccaid.RequestText
+	ID      yuccaid.RequestID
 	Outcome Outcome
 }
 
@@ -56,7 +56,7 @@
 
 // DispatchedError says that the request went out before.
 type DispatchedError struct {
-	ID     yuccaid.RequestText
+	ID     yuccaid.RequestID
 	Target yuccaid.Target
 }
 
@@ -67,7 +67,7 @@
 
 // StageError says that a step came before the one that it needs.
 type StageError struct {
-	ID    yuccaid.RequestText
+	ID    yuccaid.RequestID
 	Stage Run
 }
 
--- a/core/yuccaonce/export_test.go
+++ b/core/yuccaonce/export_test.go
@@ -3,7 +3,7 @@
 import "yuccacleat/core/yuccaid"
 
 // Reopen makes the owner forget that a request was submitted and how it ended.
-func (own *Owner) Reopen(text yuccaid.RequestText) {
+func (own *Owner) Reopen(text yuccaid.RequestID) {
 	req, err := own.parse(text)
 	if err != nil {
 		return
--- a/core/yuccaonce/find.go
+++ b/core/yuccaonce/find.go
@@ -7,7 +7,7 @@
 )
 
 // find returns the record of an id that this incarnation issued.
-func (own *Owner) find(now time.Time, text yuccaid.RequestText) (*record, error) {
+func (own *Owner) find(now time.Time, text yuccaid.RequestID) (*record, error) {
 	own.advance(now)
 	req, err := own.parse(text)
 	if err != nil {
@@ -21,7 +21,7 @@
 
 // findFor is find for a caller, who must not learn of other accounts' requests: an
 // id of another account is answered as one that is not held.
-func (own *Owner) findFor(now time.Time, text yuccaid.RequestText, acc yuccaid.Account) (*record, error) {
+func (own *Owner) findFor(now time.Time, text yuccaid.RequestID, acc yuccaid.Account) (*record, error) {
 	rec, err := own.find(now, text)
 	if err != nil {
 		return nil, err
@@ -33,13 +33,13 @@
 	return rec, nil
 }
 
-func (own *Owner) parse(text yuccaid.RequestText) (yuccaid.Request, error) {
+func (own *Owner) parse(text yuccaid.RequestID) (yuccaid.RequestIDFields, error) {
 	req, err := text.Parse(own.key)
 	if err != nil {
-		return yuccaid.Request{}, err
+		return yuccaid.RequestIDFields{}, err
 	}
 	if req.Owner != own.inc {
-		return yuccaid.Request{}, &ForeignError{Owner: req.Owner}
+		return yuccaid.RequestIDFields{}, &ForeignError{Owner: req.Owner}
 	}
 	return req, nil
 }
@@ -53,7 +53,7 @@
 
 // unknown depends on the id's text and the time only, so that it tells nothing of
 // what is held.
-func (own *Owner) unknown(req yuccaid.Request, text yuccaid.RequestText) error {
+func (own *Owner) unknown(req yuccaid.RequestIDFields, text yuccaid.RequestID) error {
 	if own.expired(own.clock.reading, req.Issued.UnixMilli()) {
 		return &ExpiredError{ID: text, Lifetime: own.lifetime}
 	}
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -39,7 +39,7 @@
 }
 
 // Open draws an id for the account; nothing runs before it is submitted.
-func (own *Owner) Open(now time.Time, acc yuccaid.Account) (yuccaid.RequestText, error) {
+func (own *Owner) Open(now time.Time, acc yuccaid.Account) (yuccaid.RequestID, error) {
 	reading := own.advance(now)
 	if err := own.checkLimits(reading, acc); err != nil {
 		return "", err
@@ -47,7 +47,7 @@
 	counter := own.held.add(record{account: acc, issued: reading.UnixMilli()})
 	own.stages[opened]++
 	own.ledger(acc).add(own, counter)
-	return yuccaid.Request{Owner: own.inc, Counter: counter, Issued: reading}.Text(own.key), nil
+	return yuccaid.RequestIDFields{Owner: own.inc, Counter: counter, Issued: reading}.Sign(own.key), nil
 }
 
 // StepKind says what the daemon has to do with a submit.
@@ -68,7 +68,7 @@
 }
 
 // Submit admits the first submit under an id and joins each later one to it.
-func (own *Owner) Submit(now time.Time, text yuccaid.RequestText, claim Claim) (Step, error) {
+func (own *Owner) Submit(now time.Time, text yuccaid.RequestID, claim Claim) (Step, error) {
 	rec, err := own.findFor(now, text, claim.Account)
 	if err != nil {
 		return Step{}, err
@@ -95,7 +95,7 @@
 //
 // If it were called afterwards, a displacement in between would tell the caller that
 // the request did not run while the target runs it.
-func (own *Owner) Dispatch(now time.Time, text yuccaid.RequestText, tgt yuccaid.Target) error {
+func (own *Owner) Dispatch(now time.Time, text yuccaid.RequestID, tgt yuccaid.Target) error {
 	rec, err := own.find(now, text)
 	if err != nil {
 		return err
@@ -115,7 +115,7 @@
 
 // GiveUp ends a request that was not dispatched as not run, and reports false if it
 // is too late for that.
-func (own *Owner) GiveUp(now time.Time, text yuccaid.RequestText, reason Reason, back time.Duration) (Outcome, bool) {
+func (own *Owner) GiveUp(now time.Time, text yuccaid.RequestID, reason Reason, back time.Duration) (Outcome, bool) {
 	rec, err := own.find(now, text)
 	if err != nil {
 		return Outcome{Run: Unknown, Reason: ReasonOwnerLost}, false
@@ -129,7 +129,7 @@
 
 // Finish records the end of a dispatched request and returns the outcome to tell,
 // which may claim less than the result did.
-func (own *Owner) Finish(now time.Time, text yuccaid.RequestText, result Result) (Outcome, error) {
+func (own *Owner) Finish(now time.Time, text yuccaid.RequestID, result Result) (Outcome, error) {
 	rec, err := own.find(now, text)
 	if err != nil {
 		return Outcome{}, err
@@ -148,7 +148,7 @@
 //
 // An id that was never submitted is closed in the same step. Otherwise a submit that
 // is still on its way could run after the caller was told that nothing ran.
-func (own *Owner) Outcome(now time.Time, text yuccaid.RequestText, acc yuccaid.Account) (Outcome, error) {
+func (own *Owner) Outcome(now time.Time, text yuccaid.RequestID, acc yuccaid.Account) (Outcome, error) {
 	rec, err := own.findFor(now, text, acc)
 	if err != nil {
 		return Outcome{}, err
--- a/core/yuccaonce/owner_test.go
+++ b/core/yuccaonce/owner_test.go
@@ -22,7 +22,7 @@
 
 var _ = Describe("an owner", func() {
 	var own *yuccaonce.Owner
-	var id yuccaid.RequestText
+	var id yuccaid.RequestID
 
 	BeforeEach(func() {
 		own = yuccaonce.New(here, fleetKey, yuccaonce.WithLifetime(lifetime),
@@ -192,7 +192,7 @@
 	It("keeps whole answers by age and bytes, and never a part", func() {
 		buf := yuccaonce.NewAnswerBuffer[string](80, time.Second)
 		Expect(buf.Put(start, "big", "01234567890", 11)).To(BeFalse())
-		for _, id := range []yuccaid.RequestText{"0", "1", "2", "3", "4", "5", "6", "7", "8"} {
+		for _, id := range []yuccaid.RequestID{"0", "1", "2", "3", "4", "5", "6", "7", "8"} {
 			Expect(buf.Put(start, id, "0123456789", 10)).To(BeTrue())
 		}
 		_, found := buf.Get(start, "0")
--- a/core/yuccaonce/world_test.go
+++ b/core/yuccaonce/world_test.go
@@ -28,11 +28,11 @@
 
 // book is what one daemon keeps of requests.
 type book struct {
-	submit   func(id yuccaid.RequestText)
-	outcome  func(id yuccaid.RequestText) yuccaonce.Run
-	dispatch func(id yuccaid.RequestText) bool
-	giveUp   func(id yuccaid.RequestText) bool
-	finish   func(id yuccaid.RequestText, result yuccaonce.Result) yuccaonce.Run
+	submit   func(id yuccaid.RequestID)
+	outcome  func(id yuccaid.RequestID) yuccaonce.Run
+	dispatch func(id yuccaid.RequestID) bool
+	giveUp   func(id yuccaid.RequestID) bool
+	finish   func(id yuccaid.RequestID, result yuccaonce.Result) yuccaonce.Run
 }
 
 type daemon struct {
@@ -47,7 +47,7 @@
 type message struct {
 	kind     string
 	from, to int
-	id       yuccaid.RequestText
+	id       yuccaid.RequestID
 }
 
 // action is one step of a world; its numbers are taken modulo what there is.
@@ -76,15 +76,15 @@
 	now      time.Time
 	all      [daemons]*daemon
 	cuts     [daemons][daemons]bool
-	ids      []yuccaid.RequestText
+	ids      []yuccaid.RequestID
 	messages []message
-	runs     map[yuccaid.RequestText]int
-	denied   map[yuccaid.RequestText]bool
+	runs     map[yuccaid.RequestID]int
+	denied   map[yuccaid.RequestID]bool
 	starts   byte
 }
 
 func newWorld(off switches) *world {
-	w := &world{off: off, now: start, runs: map[yuccaid.RequestText]int{}, denied: map[yuccaid.RequestText]bool{}}
+	w := &world{off: off, now: start, runs: map[yuccaid.RequestID]int{}, denied: map[yuccaid.RequestID]bool{}}
 	for i := range w.all {
 		w.all[i] = w.newDaemon(i)
 	}
@@ -109,33 +109,33 @@
 func (w *world) ownerBook(d *daemon) book {
 	own := d.own
 	now := func() time.Time { return w.now.Add(d.skew) }
-	ended := func(id yuccaid.RequestText) {
+	ended := func(id yuccaid.RequestID) {
 		if w.off.forgetsEnded {
 			own.Reopen(id)
 		}
 	}
 	return book{
-		submit: func(id yuccaid.RequestText) { own.Submit(now(), id, ticket) },
-		outcome: func(id yuccaid.RequestText) yuccaonce.Run {
+		submit: func(id yuccaid.RequestID) { own.Submit(now(), id, ticket) },
+		outcome: func(id yuccaid.RequestID) yuccaonce.Run {
 			out, _ := own.Outcome(now(), id, ticket.Account)
 			if w.off.asksOnly && out.Reason == yuccaonce.ReasonNeverSubmitted {
 				own.Reopen(id)
 			}
 			return out.Run
 		},
-		dispatch: func(id yuccaid.RequestText) bool {
+		dispatch: func(id yuccaid.RequestID) bool {
 			err := own.Dispatch(now(), id, "t1")
 			var ended *yuccaonce.ClosedError
 			return err == nil || w.off.ignoresVoid && errors.As(err, &ended)
 		},
-		giveUp: func(id yuccaid.RequestText) bool {
+		giveUp: func(id yuccaid.RequestID) bool {
 			_, done := own.GiveUp(now(), id, yuccaonce.ReasonDisplaced, 0)
 			if done {
 				ended(id)
 			}
 			return done
 		},
-		finish: func(id yuccaid.RequestText, result yuccaonce.Result) yuccaonce.Run {
+		finish: func(id yuccaid.RequestID, result yuccaonce.Result) yuccaonce.Run {
 			out, err := own.Finish(now(), id, result)
 			if err == nil {
 				ended(id)
@@ -147,8 +147,8 @@
 
 // memoryBook keeps ids as they come, as a table of idempotency keys does.
 func memoryBook() book {
-	runs := map[yuccaid.RequestText]yuccaonce.Run{}
-	move := func(id yuccaid.RequestText, from, to yuccaonce.Run) bool {
+	runs := map[yuccaid.RequestID]yuccaonce.Run{}
+	move := func(id yuccaid.RequestID, from, to yuccaonce.Run) bool {
 		if runs[id] != from {
 			return false
 		}
@@ -156,14 +156,14 @@
 		return true
 	}
 	return book{
-		submit: func(id yuccaid.RequestText) { move(id, "", yuccaonce.RunWaiting) },
-		outcome: func(id yuccaid.RequestText) yuccaonce.Run {
+		submit: func(id yuccaid.RequestID) { move(id, "", yuccaonce.RunWaiting) },
+		outcome: func(id yuccaid.RequestID) yuccaonce.Run {
 			move(id, "", yuccaonce.NotRun)
 			return runs[id]
 		},
-		dispatch: func(id yuccaid.RequestText) bool { return move(id, yuccaonce.RunWaiting, yuccaonce.RunRunning) },
-		giveUp:   func(id yuccaid.RequestText) bool { return move(id, yuccaonce.RunWaiting, yuccaonce.NotRun) },
-		finish: func(id yuccaid.RequestText, result yuccaonce.Result) yuccaonce.Run {
+		dispatch: func(id yuccaid.RequestID) bool { return move(id, yuccaonce.RunWaiting, yuccaonce.RunRunning) },
+		giveUp:   func(id yuccaid.RequestID) bool { return move(id, yuccaonce.RunWaiting, yuccaonce.NotRun) },
+		finish: func(id yuccaid.RequestID, result yuccaonce.Result) yuccaonce.Run {
 			if result.Reason == yuccaonce.ReasonCancelled {
 				result.Run = yuccaonce.Ran
 			}
@@ -174,7 +174,7 @@
 }
 
 // owner tells which daemon the one at i takes for the owner, and false for none.
-func (w *world) owner(i int, id yuccaid.RequestText) (int, bool) {
+func (w *world) owner(i int, id yuccaid.RequestID) (int, bool) {
 	best, score := -1, uint64(0)
 	for k, other := range w.all {
 		if !w.off.hashOwner {
@@ -191,7 +191,7 @@
 }
 
 // send routes a caller's message from the daemon at i to the request's owner.
-func (w *world) send(kind string, i int, id yuccaid.RequestText) error {
+func (w *world) send(kind string, i int, id yuccaid.RequestID) error {
 	to, found := w.owner(i, id)
 	if found && to == i {
 		return w.handle(message{kind: kind, to: i, id: id})
@@ -228,12 +228,12 @@
 	return nil
 }
 
-func (w *world) ran(id yuccaid.RequestText) error {
+func (w *world) ran(id yuccaid.RequestID) error {
 	w.runs[id]++
 	return w.check(id)
 }
 
-func (w *world) told(id yuccaid.RequestText, run yuccaonce.Run) error {
+func (w *world) told(id yuccaid.RequestID, run yuccaonce.Run) error {
 	if run == yuccaonce.NotRun {
 		w.denied[id] = true
 	}
@@ -241,7 +241,7 @@
 }
 
 // check is the oracle.
-func (w *world) check(id yuccaid.RequestText) error {
+func (w *world) check(id yuccaid.RequestID) error {
 	if w.runs[id] > 1 {
 		return fmt.Errorf("%s ran %d times", id, w.runs[id])
 	}
@@ -298,7 +298,7 @@
 	return w.stepRequest(act, i, w.ids[act.b%len(w.ids)])
 }
 
-func (w *world) stepRequest(act action, i int, id yuccaid.RequestText) error {
+func (w *world) stepRequest(act action, i int, id yuccaid.RequestID) error {
 	switch act.kind {
 	case "submit", "ask":
 		return w.send(act.kind, i, id)
@@ -333,7 +333,7 @@
 }
 
 // finish ends a run: refused before it ran, cancelled, lost or whole.
-func (w *world) finish(act action, i int, id yuccaid.RequestText) error {
+func (w *world) finish(act action, i int, id yuccaid.RequestID) error {
 	result := yuccaonce.Result{Run: yuccaonce.Unknown, Reason: yuccaonce.ReasonTargetLost}
 	switch {
 	case act.c%4 == 0:
--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -28,7 +28,7 @@
 	Version string
 	Adapter yuccaid.Model
 	Role    string
-	Fence   yuccaid.Number
+	Fence   yuccaid.ConfigNumber
 	Expires time.Duration
 }
 
@@ -44,5 +44,5 @@
 	Adapters []yuccaid.Model
 	Role     string
 	// Fence is the highest fencing number the target has seen, 0 if it checks none.
-	Fence yuccaid.Number
+	Fence yuccaid.ConfigNumber
 }
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -84,7 +84,7 @@
 
 // Next compares a target with its wish and returns the order to send now, or the
 // reason for sending none.
-func (plan *Planner) Next(now time.Time, number yuccaid.Number, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, seen Observed) (Order, Hold) {
+func (plan *Planner) Next(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, seen Observed) (Order, Hold) {
 	order, differs := step(wish, seen)
 	if !differs {
 		delete(plan.orders, name)
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -43,7 +43,7 @@
 	return true
 }
 
-func wishFor(number yuccaid.Number) yuccastate.Wish {
+func wishFor(number yuccaid.ConfigNumber) yuccastate.Wish {
 	return yuccastate.Wish{Model: "draft", Version: string(rune('a' + number)), Role: "decode"}
 }
 
@@ -140,10 +140,10 @@
 		plans := []*yuccaorder.Planner{yuccaorder.New(start), yuccaorder.New(start)}
 		var late []yuccaorder.Order
 		now := start
-		highest := yuccaid.Number(0)
+		highest := yuccaid.ConfigNumber(0)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap")) * time.Millisecond)
-			number := yuccaid.Number(rapid.IntRange(1, 5).Draw(t, "number"))
+			number := yuccaid.ConfigNumber(rapid.IntRange(1, 5).Draw(t, "number"))
 			plan := plans[rapid.IntRange(0, 1).Draw(t, "leader")]
 			order, hold := plan.Next(now, number, "t", target, wishFor(number), eng.seen)
 			if hold == "" {
--- a/core/yuccapeer/change.go
+++ b/core/yuccapeer/change.go
@@ -28,7 +28,7 @@
 // Source is a peer's accepted configuration as its heartbeat told it.
 type Source struct {
 	Peer   yuccaid.Incarnation
-	Number yuccaid.Number
+	Number yuccaid.ConfigNumber
 	Digest yuccaid.Digest
 }
 
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -33,7 +33,7 @@
 	Incarnation yuccaid.Incarnation `msgpack:"incarnation"`
 	Centre      yuccaid.Centre      `msgpack:"centre"`
 	Address     string              `msgpack:"address"`
-	Number      yuccaid.Number      `msgpack:"number"`
+	Number      yuccaid.ConfigNumber      `msgpack:"number"`
 	Digest      yuccaid.Digest      `msgpack:"digest"`
 	Leaving     bool                `msgpack:"leaving"`
 	Sequence    uint64              `msgpack:"sequence"`
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -90,7 +90,7 @@
 
 // Accepted notes the configuration that this daemon has accepted and returns the
 // heartbeats that tell the others.
-func (peers *Peers) Accepted(now time.Time, number yuccaid.Number, digest yuccaid.Digest) Change {
+func (peers *Peers) Accepted(now time.Time, number yuccaid.ConfigNumber, digest yuccaid.Digest) Change {
 	if peers.self.Number == number && peers.self.Digest == digest {
 		return Change{}
 	}
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -45,7 +45,7 @@
 		if wld.haunted(one.side) {
 			continue
 		}
-		var top yuccaid.Number
+		var top yuccaid.ConfigNumber
 		for _, other := range wld.alive() {
 			if one.side != other.side {
 				continue
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -40,7 +40,7 @@
 	side   int
 	paused bool
 	dead   bool
-	number yuccaid.Number
+	number yuccaid.ConfigNumber
 	bonds  map[yuccaid.Incarnation]*bond
 	inbox  []func()
 	heard  map[yuccaid.Incarnation]time.Time
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -19,7 +19,7 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func twoTargets(first, second yuccaid.Rate) (*yuccaplace.Fleet, *yuccaplace.Reach) {
+func twoTargets(first, second yuccaid.TokenRate) (*yuccaplace.Fleet, *yuccaplace.Reach) {
 	fleet := yuccaplace.New()
 	fleet.Configure(yuccaplace.Policy{}, false, []yuccaplace.Target{
 		{Name: "one", Slots: 4, Prefill: first, Decode: 50, Cache: 20_000},
--- a/core/yuccaplace/run.go
+++ b/core/yuccaplace/run.go
@@ -8,7 +8,7 @@
 
 // Run is one granted request on its target. High is how long its answer may well get.
 type Run struct {
-	ID          yuccaid.RequestText
+	ID          yuccaid.RequestID
 	Operation   yuccaid.Operation
 	Rank        int
 	Cancellable bool
--- a/core/yuccaplace/status.go
+++ b/core/yuccaplace/status.go
@@ -31,11 +31,11 @@
 }
 
 // Prefill returns the learned prefill rate.
-func (node *Node) Prefill() yuccaid.Rate {
-	return yuccaid.Rate(node.prefill.recent)
+func (node *Node) Prefill() yuccaid.TokenRate {
+	return yuccaid.TokenRate(node.prefill.recent)
 }
 
 // Decode returns the learned decode rate.
-func (node *Node) Decode() yuccaid.Rate {
-	return yuccaid.Rate(node.decode.recent)
+func (node *Node) Decode() yuccaid.TokenRate {
+	return yuccaid.TokenRate(node.decode.recent)
 }
--- a/core/yuccaplace/target.go
+++ b/core/yuccaplace/target.go
@@ -9,8 +9,8 @@
 type Target struct {
 	Name    yuccaid.Target
 	Slots   int
-	Prefill yuccaid.Rate
-	Decode  yuccaid.Rate
+	Prefill yuccaid.TokenRate
+	Decode  yuccaid.TokenRate
 	Cache   yuccaid.Tokens
 	Leaving bool
 }
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -311,7 +311,7 @@
 }
 
 // Withdraw forgets a waiting ask. A grant that is already out comes back by Finished.
-func (lead *Leader) Withdraw(now time.Time, id yuccaid.RequestText) Decisions {
+func (lead *Leader) Withdraw(now time.Time, id yuccaid.RequestID) Decisions {
 	var dec Decisions
 	if item, waits := lead.queue.Get(id); waits {
 		lead.queue.Remove(item)
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -45,7 +45,7 @@
 	queue    *yuccaqueue.Queue
 	reaches  []*yuccaplace.Reach
 	accounts map[yuccaid.Account]*account
-	runs     map[yuccaid.RequestText]*run
+	runs     map[yuccaid.RequestID]*run
 	swept    time.Time
 	// onRequeue hears of grants that were taken back before they were sent.
 	onRequeue func(yuccaid.Target)
@@ -61,7 +61,7 @@
 		fleet:    yuccaplace.New(),
 		queue:    yuccaqueue.New(),
 		accounts: map[yuccaid.Account]*account{},
-		runs:     map[yuccaid.RequestText]*run{},
+		runs:     map[yuccaid.RequestID]*run{},
 
 		onRequeue: func(yuccaid.Target) {},
 	}
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -204,7 +204,7 @@
 		for at := range 8 {
 			ask := letter()
 			ask.Idempotent = false
-			ask.ID = yuccaid.RequestText([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[at])
+			ask.ID = yuccaid.RequestID([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[at])
 			w.lead.Hold(w.now, yuccapool.Running{Ask: ask, Target: "engine-0", Answered: 10})
 		}
 		ask := lookup()
@@ -324,7 +324,7 @@
 		for i := range 20 {
 			now = now.Add(100 * time.Millisecond)
 			ask := triage()
-			ask.ID = yuccaid.RequestText(fmt.Sprint("r", i))
+			ask.ID = yuccaid.RequestID(fmt.Sprint("r", i))
 			for _, grant := range lead.Offer(now, ask).Grants {
 				dead := grant.Target == plainFleet(2).Targets[0].Name
 				if dead {
@@ -369,7 +369,7 @@
 				}
 				if i%10 == 0 && i < 2000 {
 					ask := lookup()
-					ask.ID, ask.Prompt, ask.Remaining = yuccaid.RequestText(fmt.Sprint("r", i)), prompt, time.Minute
+					ask.ID, ask.Prompt, ask.Remaining = yuccaid.RequestID(fmt.Sprint("r", i)), prompt, time.Minute
 					take(lead.Offer(now, ask))
 				}
 				take(lead.Tick(now))
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -15,11 +15,11 @@
 // Expires counts from when the leader sent it. A grant that is used later would run
 // on a slot which the leader may have given to somebody else.
 type Grant struct {
-	ID      yuccaid.RequestText `msgpack:"id"`
+	ID      yuccaid.RequestID `msgpack:"id"`
 	Owner   yuccaid.Incarnation `msgpack:"owner"`
 	Target  yuccaid.Target      `msgpack:"target"`
 	Expires time.Duration       `msgpack:"expires"`
-	Number  yuccaid.Number      `msgpack:"number"`
+	Number  yuccaid.ConfigNumber      `msgpack:"number"`
 	Leader  yuccaid.Incarnation `msgpack:"leader"`
 }
 
@@ -28,7 +28,7 @@
 // Back is the time after which coming back makes sense; zero says that waiting won't
 // help, since the deadline couldn't be met by an idle pool either.
 type Refusal struct {
-	ID     yuccaid.RequestText `msgpack:"id"`
+	ID     yuccaid.RequestID `msgpack:"id"`
 	Owner  yuccaid.Incarnation `msgpack:"owner"`
 	Reason yuccaqueue.Reason   `msgpack:"reason"`
 	Back   time.Duration       `msgpack:"back"`
@@ -36,7 +36,7 @@
 
 // Cancel tells an owner to stop a running request.
 type Cancel struct {
-	ID     yuccaid.RequestText `msgpack:"id"`
+	ID     yuccaid.RequestID `msgpack:"id"`
 	Owner  yuccaid.Incarnation `msgpack:"owner"`
 	Target yuccaid.Target      `msgpack:"target"`
 	Reason yuccaqueue.Reason   `msgpack:"reason"`
@@ -67,7 +67,7 @@
 // An owner sends one without tokens when it dispatches, one at the first token and
 // some on the way; the more often, the sooner a straggler is found.
 type Progress struct {
-	ID         yuccaid.RequestText `msgpack:"id"`
+	ID         yuccaid.RequestID `msgpack:"id"`
 	FirstToken bool                `msgpack:"firstToken"`
 	Answered   yuccaid.Tokens      `msgpack:"answered"`
 }
@@ -78,7 +78,7 @@
 // Ran is false for a grant that was not used and for a refusal by the target
 // (Refused), which says Leaving when it takes no more work at all.
 type Finished struct {
-	ID      yuccaid.RequestText `msgpack:"id"`
+	ID      yuccaid.RequestID `msgpack:"id"`
 	Target  yuccaid.Target      `msgpack:"target"`
 	Ran     bool                `msgpack:"ran"`
 	Partial bool                `msgpack:"partial"`
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -21,8 +21,8 @@
 	Running int            `msgpack:"running" json:"running"`
 	Slots   int            `msgpack:"slots" json:"slots"`
 	Backlog time.Duration  `msgpack:"backlog" json:"backlog"`
-	Prefill yuccaid.Rate   `msgpack:"prefill" json:"prefill"`
-	Decode  yuccaid.Rate   `msgpack:"decode" json:"decode"`
+	Prefill yuccaid.TokenRate   `msgpack:"prefill" json:"prefill"`
+	Decode  yuccaid.TokenRate   `msgpack:"decode" json:"decode"`
 	Health  string         `msgpack:"health" json:"health"`
 	Leaving bool           `msgpack:"leaving" json:"leaving"`
 }
@@ -30,7 +30,7 @@
 // Status is the leader's state for operators and metrics.
 type Status struct {
 	Pool      yuccaid.Pool   `msgpack:"pool" json:"pool"`
-	Number    yuccaid.Number `msgpack:"number" json:"number"`
+	Number    yuccaid.ConfigNumber `msgpack:"number" json:"number"`
 	Gathering bool           `msgpack:"gathering" json:"gathering"`
 	Tiers     []TierStatus   `msgpack:"tiers" json:"tiers"`
 	Targets   []TargetStatus `msgpack:"targets" json:"targets"`
--- a/core/yuccapool/view.go
+++ b/core/yuccapool/view.go
@@ -17,7 +17,7 @@
 type Limits struct {
 	RequestsPerSecond float64
 	Running           int
-	TokensPerSecond   yuccaid.Rate
+	TokensPerSecond   yuccaid.TokenRate
 }
 
 // AccountView is what the leader has to know of a client account.
@@ -34,7 +34,7 @@
 // Plain marks a plain service: slots, no tokens, nothing cancelled. LongestRun bounds
 // how long a run of a lost owner keeps its slot.
 type View struct {
-	Number     yuccaid.Number
+	Number     yuccaid.ConfigNumber
 	Targets    []Target
 	Accounts   map[yuccaid.Account]AccountView
 	Policy     Policy
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -63,11 +63,11 @@
 }
 
 func (eng *engine) prefillTime(tokens yuccaid.Tokens) time.Duration {
-	return time.Duration(float64(eng.Prefill.Time(tokens)) * eng.slow)
+	return time.Duration(float64(eng.Prefill.Duration(tokens)) * eng.slow)
 }
 
 func (eng *engine) decodeTime(tokens yuccaid.Tokens) time.Duration {
-	return time.Duration(float64(eng.Decode.Time(tokens)) * eng.slow)
+	return time.Duration(float64(eng.Decode.Duration(tokens)) * eng.slow)
 }
 
 type event struct {
@@ -99,7 +99,7 @@
 	view    yuccapool.View
 	engines map[yuccaid.Target]*engine
 	reqs    []*request
-	byID    map[yuccaid.RequestText]*request
+	byID    map[yuccaid.RequestID]*request
 	pending events
 	turn    int
 	wasted  yuccaid.Tokens
@@ -114,7 +114,7 @@
 		now: epoch, view: view,
 		lead:    yuccapool.New("drafts", self, rand.New(rand.NewPCG(1, 2)), append(options, ownShares)...),
 		engines: map[yuccaid.Target]*engine{},
-		byID:    map[yuccaid.RequestText]*request{},
+		byID:    map[yuccaid.RequestID]*request{},
 		check:   func(yuccapool.Decisions) {},
 	}
 	for _, tgt := range view.Targets {
@@ -161,7 +161,7 @@
 }
 
 func (w *world) offer(ask yuccapool.Ask) *request {
-	ask.ID = yuccaid.RequestText(fmt.Sprintf("r%d", len(w.reqs)))
+	ask.ID = yuccaid.RequestID(fmt.Sprintf("r%d", len(w.reqs)))
 	ask.Owner = self
 	ask.Tier = yuccaid.Tier(fmt.Sprintf("tier-%d", ask.Rank))
 	req := &request{Ask: ask, arrived: w.now, deadline: w.now.Add(ask.Remaining), fate: waits}
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -53,7 +53,7 @@
 	window    float64
 	displaces bool
 	rechecks  bool
-	items     map[yuccaid.RequestText]*Item
+	items     map[yuccaid.RequestID]*Item
 	accounts  map[yuccaid.Account]*account
 	tiers     []*tier
 	due       heap[*Item]
@@ -68,7 +68,7 @@
 		window:    fairWindow,
 		displaces: true,
 		rechecks:  true,
-		items:     map[yuccaid.RequestText]*Item{},
+		items:     map[yuccaid.RequestID]*Item{},
 		accounts:  map[yuccaid.Account]*account{},
 		due: heap[*Item]{
 			less:  func(a, b *Item) bool { return a.Terms.Due.Before(b.Terms.Due) },
@@ -87,7 +87,7 @@
 }
 
 // Get returns a waiting request.
-func (q *Queue) Get(id yuccaid.RequestText) (*Item, bool) {
+func (q *Queue) Get(id yuccaid.RequestID) (*Item, bool) {
 	item, found := q.items[id]
 	return item, found
 }
--- a/core/yuccaqueue/queue_test.go
+++ b/core/yuccaqueue/queue_test.go
@@ -22,7 +22,7 @@
 
 // push queues a request of one second's work with a deadline.
 func push(q *yuccaqueue.Queue, id string, acc yuccaid.Account, rank int, deadline time.Duration) ([]yuccaqueue.Displaced, yuccaqueue.Reason) {
-	ask := yuccaqueue.Ask{ID: yuccaid.RequestText(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
+	ask := yuccaqueue.Ask{ID: yuccaid.RequestID(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
 	at := epoch.Add(deadline)
 	return q.Push(epoch, ask, yuccaqueue.Terms{Key: at, Latest: at, Due: at, Work: time.Second})
 }
--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -11,7 +11,7 @@
 
 // Table is one configuration, made ready for looking up.
 type Table struct {
-	number   yuccaid.Number
+	number   yuccaid.ConfigNumber
 	config   Config
 	hosts    map[string][]*Route
 	pools    map[yuccaid.Pool]*Pool
@@ -20,7 +20,7 @@
 }
 
 // NewTable checks a configuration and returns its table, or a *ConfigError.
-func NewTable(number yuccaid.Number, config Config) (*Table, error) {
+func NewTable(number yuccaid.ConfigNumber, config Config) (*Table, error) {
 	tab := &Table{
 		number:   number,
 		config:   config,
@@ -73,7 +73,7 @@
 }
 
 // Number returns the configuration's number.
-func (tab *Table) Number() yuccaid.Number { return tab.number }
+func (tab *Table) Number() yuccaid.ConfigNumber { return tab.number }
 
 // Config returns what the table was made of, which must not be changed.
 func (tab *Table) Config() *Config { return &tab.config }
--- a/core/yuccaroute/table_test.go
+++ b/core/yuccaroute/table_test.go
@@ -14,7 +14,7 @@
 	return yuccaroute.Route{Name: name, Host: host, Prefix: prefix, Pools: []yuccaroute.Share{{Pool: pool, Weight: 1}}}
 }
 
-func table(number yuccaid.Number, routes ...yuccaroute.Route) *yuccaroute.Table {
+func table(number yuccaid.ConfigNumber, routes ...yuccaroute.Route) *yuccaroute.Table {
 	tab, err := yuccaroute.NewTable(number, yuccaroute.Config{
 		Routes:   routes,
 		Pools:    []yuccaroute.Pool{{Name: "draft"}, {Name: "desk"}},
@@ -104,8 +104,8 @@
 		Expect(hold.Offer(table(5))).To(BeTrue())
 		Expect(hold.Offer(table(4))).To(BeFalse())
 		Expect(hold.Offer(table(5))).To(BeFalse())
-		Expect(hold.Load().Number()).To(Equal(yuccaid.Number(5)))
+		Expect(hold.Load().Number()).To(Equal(yuccaid.ConfigNumber(5)))
 		Expect(hold.Offer(table(9))).To(BeTrue())
-		Expect(hold.Load().Number()).To(Equal(yuccaid.Number(9)))
+		Expect(hold.Load().Number()).To(Equal(yuccaid.ConfigNumber(9)))
 	})
 })
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -25,7 +25,7 @@
 
 // Hear compares with the number and digest in a peer's heartbeat. A fork is an alarm,
 // told once for each peer and digest.
-func (chain *Chain) Hear(now time.Time, from string, number yuccaid.Number, digest yuccaid.Digest) (Standing, []Entry) {
+func (chain *Chain) Hear(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (Standing, []Entry) {
 	if number > chain.Number() {
 		return StandingBehind, nil
 	}
@@ -43,13 +43,13 @@
 	return StandingSame, nil
 }
 
-func forked(number yuccaid.Number, theirs, own yuccaid.Digest) *Refusal {
+func forked(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
 	return refuse(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
 }
 
 // Plan is what to fetch in order to reach a peer's number.
 type Plan struct {
-	Notes    []yuccaid.Number
+	Notes    []yuccaid.ConfigNumber
 	Snapshot bool
 }
 
@@ -59,7 +59,7 @@
 // its notes can never fit here. A note that the platform alone published and that is
 // wrong for everybody doesn't count: mending it would else cost each daemon of the
 // fleet a snapshot. A peer that no longer has a note's text sends its snapshot.
-func (chain *Chain) Plan(number yuccaid.Number) Plan {
+func (chain *Chain) Plan(number yuccaid.ConfigNumber) Plan {
 	next := chain.Number() + 1
 	if number < next {
 		return Plan{}
@@ -71,8 +71,8 @@
 	return Plan{Notes: chain.missingUpTo(number)}
 }
 
-func (chain *Chain) missingUpTo(highest yuccaid.Number) []yuccaid.Number {
-	var missing []yuccaid.Number
+func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
+	var missing []yuccaid.ConfigNumber
 	for number := chain.Number() + 1; number <= highest && len(missing) < int(keptNotes); number++ {
 		if _, held := chain.held[number]; !held {
 			missing = append(missing, number)
@@ -82,7 +82,7 @@
 }
 
 // Missing returns the numbers of notes that held ones wait for.
-func (chain *Chain) Missing() []yuccaid.Number {
+func (chain *Chain) Missing() []yuccaid.ConfigNumber {
 	if len(chain.held) == 0 {
 		return nil
 	}
@@ -117,7 +117,7 @@
 	}
 	verdict.Kind = VerdictAccepted
 	verdict.Entries = []Entry{chain.move(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.Number, _ link) bool { return earlier+keptProofs <= number })
+	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.ConfigNumber, _ link) bool { return earlier+keptProofs <= number })
 	for earlier, kept := range chain.accepted {
 		chain.accepted[earlier] = link{content: kept.content, meaning: kept.meaning}
 	}
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -13,7 +13,7 @@
 
 // Part is one piece of a baseline, to be published under its key.
 type Part struct {
-	Number yuccaid.Number
+	Number yuccaid.ConfigNumber
 	Index  int
 	Value  []byte
 }
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -15,10 +15,10 @@
 	heldBytes yuccaid.Bytes = 2 * NoteLimit
 	// keptNotes and keptBytes bound the texts kept for peers that were cut off for a
 	// while; one that lacks more fetches a snapshot.
-	keptNotes yuccaid.Number = 64
+	keptNotes yuccaid.ConfigNumber = 64
 	keptBytes yuccaid.Bytes  = 4 * NoteLimit
 	// keptProofs bounds by how many notes a changed key is still recognised.
-	keptProofs yuccaid.Number = 4096
+	keptProofs yuccaid.ConfigNumber = 4096
 	// reportedLimit bounds what is remembered in order not to repeat audit entries.
 	reportedLimit = 1024
 )
@@ -45,7 +45,7 @@
 // may make several: an accepted note releases those that waited for it.
 type Verdict struct {
 	Kind    VerdictKind
-	Number  yuccaid.Number
+	Number  yuccaid.ConfigNumber
 	Entries []Entry
 }
 
@@ -61,10 +61,10 @@
 type Chain struct {
 	state    *State
 	digest   yuccaid.Digest
-	accepted map[yuccaid.Number]link
-	held     map[yuccaid.Number]Published
-	asked    yuccaid.Number // the next note, once Plan asked for it
-	barred   yuccaid.Number // the next note, once it came as asked for and was refused
+	accepted map[yuccaid.ConfigNumber]link
+	held     map[yuccaid.ConfigNumber]Published
+	asked    yuccaid.ConfigNumber // the next note, once Plan asked for it
+	barred   yuccaid.ConfigNumber // the next note, once it came as asked for and was refused
 	reported map[report]bool
 }
 
@@ -81,9 +81,9 @@
 // at every poll must not fill the audit trail.
 type report struct {
 	reason  string
-	number  yuccaid.Number
+	number  yuccaid.ConfigNumber
 	content sum
-	at      yuccaid.Number
+	at      yuccaid.ConfigNumber
 }
 
 // NewChain starts at the empty configuration.
@@ -92,8 +92,8 @@
 	return &Chain{
 		state:    empty,
 		digest:   empty.Digest(),
-		accepted: map[yuccaid.Number]link{},
-		held:     map[yuccaid.Number]Published{},
+		accepted: map[yuccaid.ConfigNumber]link{},
+		held:     map[yuccaid.ConfigNumber]Published{},
 		reported: map[report]bool{},
 	}
 }
@@ -104,7 +104,7 @@
 }
 
 // Number returns the number of the configuration in force.
-func (chain *Chain) Number() yuccaid.Number {
+func (chain *Chain) Number() yuccaid.ConfigNumber {
 	return chain.state.Number
 }
 
@@ -120,7 +120,7 @@
 
 // Note returns the text of an accepted note while it is kept, for a peer that lacks
 // it; a peer that asks too late needs a snapshot.
-func (chain *Chain) Note(number yuccaid.Number) ([]byte, bool) {
+func (chain *Chain) Note(number yuccaid.ConfigNumber) ([]byte, bool) {
 	kept := chain.accepted[number]
 	return kept.raw, kept.raw != nil
 }
@@ -195,7 +195,7 @@
 	for {
 		number := chain.Number() + 1
 		waiting, found := chain.held[number]
-		maps.DeleteFunc(chain.held, func(held yuccaid.Number, _ Published) bool { return held <= number })
+		maps.DeleteFunc(chain.held, func(held yuccaid.ConfigNumber, _ Published) bool { return held <= number })
 		if !found {
 			return entries
 		}
@@ -233,7 +233,7 @@
 }
 
 // told makes an audit entry for what changed nothing, once.
-func (chain *Chain) told(now time.Time, kind EntryKind, number yuccaid.Number, by string, content sum, err error) []Entry {
+func (chain *Chain) told(now time.Time, kind EntryKind, number yuccaid.ConfigNumber, by string, content sum, err error) []Entry {
 	key := report{reason: Reason(err), number: number, content: content}
 	if kind == EntryRefused {
 		key.at = chain.Number()
--- a/core/yuccastate/chain_test.go
+++ b/core/yuccastate/chain_test.go
@@ -56,12 +56,12 @@
 		// The service's pages and peers' answers overtake each other. Without holding,
 		// the later note would be missed until somebody fetched it again.
 		source, chain := grown(3), yuccastate.NewChain()
-		for _, number := range []yuccaid.Number{3, 2, 4} {
+		for _, number := range []yuccaid.ConfigNumber{3, 2, 4} {
 			raw, _ := source.Note(number)
 			Expect(must(chain, yuccastate.NoteKey(number), raw).Kind).To(Equal(yuccastate.VerdictHeld))
 		}
-		Expect(chain.Missing()).To(Equal([]yuccaid.Number{1}))
-		Expect(chain.Plan(5).Notes).To(Equal([]yuccaid.Number{1, 5}))
+		Expect(chain.Missing()).To(Equal([]yuccaid.ConfigNumber{1}))
+		Expect(chain.Plan(5).Notes).To(Equal([]yuccaid.ConfigNumber{1, 5}))
 		raw, _ := source.Note(1)
 		Expect(must(chain, yuccastate.NoteKey(1), raw).Entries).To(HaveLen(4))
 		Expect(chain.Digest()).To(Equal(source.Digest()))
@@ -71,15 +71,15 @@
 	It("holds a bounded number of notes, the lowest ones, and asks for bounded ones", func() {
 		// A key with an absurd number must not take the memory of notes that do follow.
 		source, chain := grown(2), yuccastate.NewChain()
-		for number := yuccaid.Number(1_000_000); number < 1_000_200; number++ {
+		for number := yuccaid.ConfigNumber(1_000_000); number < 1_000_200; number++ {
 			must(chain, yuccastate.NoteKey(number), []byte("by: nobody"))
 		}
 		Expect(chain.Held()).To(Equal(64))
-		for _, number := range []yuccaid.Number{3, 2, 1} {
+		for _, number := range []yuccaid.ConfigNumber{3, 2, 1} {
 			raw, _ := source.Note(number)
 			must(chain, yuccastate.NoteKey(number), raw)
 		}
-		Expect(chain.Number()).To(Equal(yuccaid.Number(3)))
+		Expect(chain.Number()).To(Equal(yuccaid.ConfigNumber(3)))
 		Expect(len(chain.Missing())).To(BeNumerically("<=", 64))
 		Expect(chain.Plan(chain.Number() + 1000)).To(Equal(yuccastate.Plan{Snapshot: true}))
 		Expect(chain.Plan(chain.Number())).To(Equal(yuccastate.Plan{}))
@@ -125,7 +125,7 @@
 	})
 
 	DescribeTable("refuses what is published under a wrong key",
-		func(key string, number yuccaid.Number) {
+		func(key string, number yuccaid.ConfigNumber) {
 			chain := grown(0)
 			_, raw := published(chain.State(), weigh(2))
 			raw = []byte(strings.Replace(string(raw), "number: 2", fmt.Sprint("number: ", number), 1))
@@ -133,11 +133,11 @@
 			Expect(err).To(MatchError(yuccastate.ErrKey))
 			Expect(verdict.Kind).To(Equal(yuccastate.VerdictRefused))
 		},
-		Entry("another number's", yuccastate.NoteKey(2), yuccaid.Number(3)),
-		Entry("without leading zeros", "notes/2", yuccaid.Number(2)),
-		Entry("not a number", "notes/latest", yuccaid.Number(2)),
-		Entry("number zero", yuccastate.NoteKey(0), yuccaid.Number(2)),
-		Entry("a baseline's", yuccastate.PartKey(2, 0), yuccaid.Number(2)),
+		Entry("another number's", yuccastate.NoteKey(2), yuccaid.ConfigNumber(3)),
+		Entry("without leading zeros", "notes/2", yuccaid.ConfigNumber(2)),
+		Entry("not a number", "notes/latest", yuccaid.ConfigNumber(2)),
+		Entry("number zero", yuccastate.NoteKey(0), yuccaid.ConfigNumber(2)),
+		Entry("a baseline's", yuccastate.PartKey(2, 0), yuccaid.ConfigNumber(2)),
 	)
 
 	It("forgets the texts of old notes and then whether they changed", func() {
@@ -180,7 +180,7 @@
 		must(east, key, third)
 		standing, _ := east.Hear(noon, "west-1", west.Number(), west.Digest())
 		Expect(standing).To(Equal(yuccastate.StandingForked), "also when the other stays behind")
-		Expect(west.Plan(3)).To(Equal(yuccastate.Plan{Notes: []yuccaid.Number{3}}))
+		Expect(west.Plan(3)).To(Equal(yuccastate.Plan{Notes: []yuccaid.ConfigNumber{3}}))
 		_, err = west.Offer(noon, key, third)
 		Expect(err).To(MatchError(yuccastate.ErrBase))
 		Expect(west.Plan(3)).To(Equal(yuccastate.Plan{Snapshot: true}))
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -26,7 +26,7 @@
 // snapshot is a whole configuration, or the records that one part of it holds.
 type snapshot struct {
 	Form    int            `json:"form"`
-	Number  yuccaid.Number `json:"number"`
+	Number  yuccaid.ConfigNumber `json:"number"`
 	Digest  yuccaid.Digest `json:"digest"`
 	Index   int            `json:"index"`
 	Count   int            `json:"count"`
--- a/core/yuccastate/entry.go
+++ b/core/yuccastate/entry.go
@@ -26,7 +26,7 @@
 	At     time.Time      `json:"at"`
 	Kind   EntryKind      `json:"kind"`
 	By     string         `json:"by"`
-	Number yuccaid.Number `json:"number"`
+	Number yuccaid.ConfigNumber `json:"number"`
 	Before yuccaid.Digest `json:"before"`
 	After  yuccaid.Digest `json:"after"`
 	Reason string         `json:"reason,omitempty"`
--- a/core/yuccastate/fold_test.go
+++ b/core/yuccastate/fold_test.go
@@ -11,7 +11,7 @@
 var _ = Describe("a first note", func() {
 	It("is in force once it is applied", func() {
 		state := founded()
-		Expect(state.Number).To(Equal(yuccaid.Number(1)))
+		Expect(state.Number).To(Equal(yuccaid.ConfigNumber(1)))
 		acc, known := state.AccountOf("desk secret")
 		Expect(known).To(BeTrue())
 		Expect(acc).To(Equal(yuccaid.Account("desk")))
--- a/core/yuccastate/key.go
+++ b/core/yuccastate/key.go
@@ -18,31 +18,31 @@
 )
 
 // NoteKey returns the key under which a note is published.
-func NoteKey(number yuccaid.Number) string {
+func NoteKey(number yuccaid.ConfigNumber) string {
 	return fmt.Sprintf("%s%0*d", NotePrefix, numberDigits, number)
 }
 
 // PartKey returns the key under which a part of a baseline is published.
-func PartKey(number yuccaid.Number, index int) string {
+func PartKey(number yuccaid.ConfigNumber, index int) string {
 	return fmt.Sprintf("%s%0*d/%04d", BaselinePrefix, numberDigits, number, index)
 }
 
 // ParseNoteKey returns the number in a note's key.
-func ParseNoteKey(key string) (yuccaid.Number, error) {
+func ParseNoteKey(key string) (yuccaid.ConfigNumber, error) {
 	number, err := strconv.ParseUint(strings.TrimPrefix(key, NotePrefix), 10, 64)
-	if err != nil || number == 0 || key != NoteKey(yuccaid.Number(number)) {
+	if err != nil || number == 0 || key != NoteKey(yuccaid.ConfigNumber(number)) {
 		return 0, refuse(0, ErrKey, key, "publish notes as "+NoteKey(1), "is no note's key")
 	}
-	return yuccaid.Number(number), nil
+	return yuccaid.ConfigNumber(number), nil
 }
 
 // ParsePartKey returns the number and the index in a baseline part's key.
-func ParsePartKey(key string) (yuccaid.Number, int, error) {
+func ParsePartKey(key string) (yuccaid.ConfigNumber, int, error) {
 	text, tail, _ := strings.Cut(strings.TrimPrefix(key, BaselinePrefix), "/")
 	number, numberErr := strconv.ParseUint(text, 10, 64)
 	index, indexErr := strconv.Atoi(tail)
-	if numberErr != nil || indexErr != nil || key != PartKey(yuccaid.Number(number), index) {
+	if numberErr != nil || indexErr != nil || key != PartKey(yuccaid.ConfigNumber(number), index) {
 		return 0, 0, refuse(0, ErrKey, key, "publish parts as "+PartKey(1, 0), "is no part's key")
 	}
-	return yuccaid.Number(number), index, nil
+	return yuccaid.ConfigNumber(number), index, nil
 }
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -16,26 +16,26 @@
 type daemon struct {
 	name     string
 	chain    *yuccastate.Chain
-	promised map[yuccaid.Number]yuccaid.Digest
-	alarms   map[yuccaid.Number]bool
-	meanings map[yuccaid.Number]yuccaid.Digest
+	promised map[yuccaid.ConfigNumber]yuccaid.Digest
+	alarms   map[yuccaid.ConfigNumber]bool
+	meanings map[yuccaid.ConfigNumber]yuccaid.Digest
 }
 
 // fleet is several daemons and a platform's service that shows any version of a key
 // that was ever published, in any order.
 type fleet struct {
 	daemons   []*daemon
-	versions  map[yuccaid.Number][][]byte
-	meanings  map[yuccaid.Number]map[yuccaid.Digest]bool
+	versions  map[yuccaid.ConfigNumber][][]byte
+	meanings  map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool
 	contested bool
 }
 
 func newFleet(size int) *fleet {
-	fleet := &fleet{versions: map[yuccaid.Number][][]byte{}, meanings: map[yuccaid.Number]map[yuccaid.Digest]bool{}}
+	fleet := &fleet{versions: map[yuccaid.ConfigNumber][][]byte{}, meanings: map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool{}}
 	for i := range size {
 		fleet.daemons = append(fleet.daemons, &daemon{
 			name: fmt.Sprint("daemon-", i), chain: yuccastate.NewChain(),
-			promised: map[yuccaid.Number]yuccaid.Digest{}, alarms: map[yuccaid.Number]bool{}, meanings: map[yuccaid.Number]yuccaid.Digest{},
+			promised: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, meanings: map[yuccaid.ConfigNumber]yuccaid.Digest{},
 		})
 	}
 	return fleet
@@ -58,7 +58,7 @@
 	}
 }
 
-func (dmn *daemon) offer(t *rapid.T, number yuccaid.Number, raw []byte) {
+func (dmn *daemon) offer(t *rapid.T, number yuccaid.ConfigNumber, raw []byte) {
 	before, state := dmn.chain.Number(), dmn.chain.State()
 	verdict, err := dmn.chain.Offer(noon, yuccastate.NoteKey(number), raw)
 	dmn.audit(t, verdict.Entries)
@@ -121,7 +121,7 @@
 	dmn.audit(t, verdict.Entries)
 }
 
-func (fleet *fleet) publish(number yuccaid.Number, note yuccastate.Note) {
+func (fleet *fleet) publish(number yuccaid.ConfigNumber, note yuccastate.Note) {
 	raw := note.Canonical()
 	if fleet.meanings[number] == nil {
 		fleet.meanings[number] = map[yuccaid.Digest]bool{}
@@ -179,7 +179,7 @@
 			"": fleet.check,
 			"publish": func(t *rapid.T) {
 				on := pick("on").chain.State()
-				number := on.Number + yuccaid.Number(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
+				number := on.Number + yuccaid.ConfigNumber(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
 				note := drawNote(t, on)
 				note.Number = number
 				fleet.publish(number, note)
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -17,7 +17,7 @@
 // Note is a release note: what it adds, changes and withdraws, and the digest of the
 // configuration that it was written against. A changed object is given whole.
 type Note struct {
-	Number    yuccaid.Number `json:"number"`
+	Number    yuccaid.ConfigNumber `json:"number"`
 	Base      yuccaid.Digest `json:"base"`
 	By        string         `json:"by"`
 	Added     Objects        `json:"added,omitzero"`
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -77,8 +77,8 @@
 	VM          yuccaid.VM     `json:"vm,omitempty"`
 	Address     string         `json:"address,omitempty"`
 	Slots       int            `json:"slots,omitempty"`
-	Prefill     yuccaid.Rate   `json:"prefill,omitempty"`
-	Decode      yuccaid.Rate   `json:"decode,omitempty"`
+	Prefill     yuccaid.TokenRate   `json:"prefill,omitempty"`
+	Decode      yuccaid.TokenRate   `json:"decode,omitempty"`
 	Cache       yuccaid.Tokens `json:"cache,omitempty"`
 	ChecksFence bool           `json:"checksFence,omitempty"`
 	Wish        Wish           `json:"wish,omitzero"`
@@ -88,7 +88,7 @@
 type Limits struct {
 	RequestsPerSecond float64      `json:"requestsPerSecond,omitempty"`
 	Running           int          `json:"running,omitempty"`
-	TokensPerSecond   yuccaid.Rate `json:"tokensPerSecond,omitempty"`
+	TokensPerSecond   yuccaid.TokenRate `json:"tokensPerSecond,omitempty"`
 }
 
 // Account is a client account; without targets of its own it may use all targets
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -62,7 +62,7 @@
 func drawTarget(t *rapid.T) yuccastate.Target {
 	pool := drawNames[yuccaid.Pool](t, "pool", 1)[0]
 	address := fmt.Sprint("10.9.9.9:", rapid.IntRange(1, 4).Draw(t, "port"))
-	prefill := yuccaid.Rate(rapid.IntRange(0, 2).Draw(t, "prefill"))
+	prefill := yuccaid.TokenRate(rapid.IntRange(0, 2).Draw(t, "prefill"))
 	return yuccastate.Target{Pool: pool, Centre: "east", Slots: 1, Address: address, Prefill: prefill, Decode: 1}
 }
 
--- a/core/yuccastate/problem.go
+++ b/core/yuccastate/problem.go
@@ -57,7 +57,7 @@
 
 // Refusal is why a note was not accepted; it wraps each problem that was found.
 type Refusal struct {
-	Number   yuccaid.Number
+	Number   yuccaid.ConfigNumber
 	Problems yuccayaml.Problems
 }
 
@@ -71,7 +71,7 @@
 	return ref.Problems.Unwrap()
 }
 
-func refuse(number yuccaid.Number, kind error, key, remedy, detail string, args ...any) *Refusal {
+func refuse(number yuccaid.ConfigNumber, kind error, key, remedy, detail string, args ...any) *Refusal {
 	prob := &yuccayaml.Problem{Kind: kind, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 	return &Refusal{Number: number, Problems: yuccayaml.Problems{prob}}
 }
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -13,7 +13,7 @@
 // is, it would hold up every decision of the daemon for as long, so ReadNote can run
 // on another goroutine and only Take needs the chain.
 type Published struct {
-	number  yuccaid.Number
+	number  yuccaid.ConfigNumber
 	raw     []byte
 	content sum
 	note    Note
--- a/core/yuccastate/state.go
+++ b/core/yuccastate/state.go
@@ -13,7 +13,7 @@
 // which shares the maps of all kinds that the note leaves alone, so a reader may
 // keep a State for as long as it likes and needs no lock.
 type State struct {
-	Number   yuccaid.Number
+	Number   yuccaid.ConfigNumber
 	Centres  map[yuccaid.Centre]Centre
 	Links    map[yuccaid.Region]Link
 	Tiers    map[yuccaid.Tier]Tier
--- a/core/yuccatrial/bound.go
+++ b/core/yuccatrial/bound.go
@@ -112,8 +112,8 @@
 // larger n is. The time left for decoding bounds the mean batch, and since 1/n is
 // convex, the constant batch of that size is the cheapest way.
 func (eng *Engine) leastWork(req *Request) float64 {
-	prefill := eng.Prefill.Time(req.Prompt - req.Shared).Seconds()
-	decode := eng.Decode.Time(req.Answer).Seconds()
+	prefill := eng.Prefill.Duration(req.Prompt - req.Shared).Seconds()
+	decode := eng.Decode.Duration(req.Answer).Seconds()
 	left := req.Deadline.Sub(req.Arrived).Seconds()*eng.mostSpeed() - prefill
 	if decode > left {
 		return math.Inf(1)
--- a/core/yuccatrial/deployment.go
+++ b/core/yuccatrial/deployment.go
@@ -40,14 +40,14 @@
 // EngineKind is one generation of engines.
 type EngineKind struct {
 	Slots   int
-	Prefill yuccaid.Rate
-	Decode  yuccaid.Rate
+	Prefill yuccaid.TokenRate
+	Decode  yuccaid.TokenRate
 	Cache   yuccaid.Tokens
 }
 
 func (kind EngineKind) scaled(factor float64) EngineKind {
-	kind.Prefill *= yuccaid.Rate(factor)
-	kind.Decode *= yuccaid.Rate(factor)
+	kind.Prefill *= yuccaid.TokenRate(factor)
+	kind.Decode *= yuccaid.TokenRate(factor)
 	return kind
 }
 
--- a/core/yuccatrial/design.go
+++ b/core/yuccatrial/design.go
@@ -341,7 +341,7 @@
 	}
 }
 
-func (st *seat) reply(id yuccaid.RequestText, message any, do func(req *Request)) {
+func (st *seat) reply(id yuccaid.RequestID, message any, do func(req *Request)) {
 	req := st.pool.trial.byID[id]
 	st.pool.sendTo(req.home, message, func() { do(req) })
 }
--- a/core/yuccatrial/engine.go
+++ b/core/yuccatrial/engine.go
@@ -19,8 +19,8 @@
 type Engine struct {
 	Name     yuccaid.Target
 	Slots    int
-	Prefill  yuccaid.Rate
-	Decode   yuccaid.Rate
+	Prefill  yuccaid.TokenRate
+	Decode   yuccaid.TokenRate
 	Cache    yuccaid.Tokens
 	batching float64 // 0 for a plain service, whose slots don't slow each other
 	speed    float64 // of the rates above: 1 is as built, 0 stalls
--- a/core/yuccatrial/request.go
+++ b/core/yuccatrial/request.go
@@ -21,7 +21,7 @@
 
 // Request is one request of a workload. A policy knows Estimate; Answer is the truth.
 type Request struct {
-	ID         yuccaid.RequestText
+	ID         yuccaid.RequestID
 	Account    yuccaid.Account
 	Tier       yuccaid.Tier
 	Rank       int
--- a/core/yuccatrial/scenario.go
+++ b/core/yuccatrial/scenario.go
@@ -181,7 +181,7 @@
 // speed.
 func (eng *Engine) work(req *Request) float64 {
 	cached := yuccaid.Tokens(hitShare * float64(req.Shared))
-	prefill := eng.Prefill.Time(req.Prompt - cached).Seconds()
+	prefill := eng.Prefill.Duration(req.Prompt - cached).Seconds()
 	decode := float64(req.Answer) / eng.throughput()
 	return (prefill + decode) / eng.speed
 }
@@ -220,8 +220,8 @@
 // named gives a request an id as its owner would, of the real length.
 func (src *source) named(req *Request) *Request {
 	src.count++
-	issuer := yuccaid.Request{Owner: req.home.daemons[req.Daemon], Counter: src.count, Issued: req.Arrived}
-	req.ID = issuer.Text(src.key)
+	issuer := yuccaid.RequestIDFields{Owner: req.home.daemons[req.Daemon], Counter: src.count, Issued: req.Arrived}
+	req.ID = issuer.Sign(src.key)
 	return req
 }
 
--- a/core/yuccatrial/trial.go
+++ b/core/yuccatrial/trial.go
@@ -30,7 +30,7 @@
 	scenario *Scenario
 	pools    []*Pool
 	requests []*Request
-	byID     map[yuccaid.RequestText]*Request
+	byID     map[yuccaid.RequestID]*Request
 	rng      *rand.Rand
 	result   Result
 	open     int // requests that have not ended
@@ -63,7 +63,7 @@
 	tri := &trial{
 		agenda:   &agenda{now: epoch},
 		scenario: &scenario,
-		byID:     map[yuccaid.RequestText]*Request{},
+		byID:     map[yuccaid.RequestID]*Request{},
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		gaps:     map[yuccaid.Target]bool{},
 	}
@@ -180,7 +180,7 @@
 	least := time.Duration(1<<63 - 1)
 	for _, eng := range pool.Engines {
 		if eng.speed > 0 {
-			took := eng.Prefill.Time(req.Prompt) + eng.Decode.Time(req.Answer)
+			took := eng.Prefill.Duration(req.Prompt) + eng.Decode.Duration(req.Answer)
 			least = min(least, time.Duration(float64(took)/eng.speed))
 		}
 	}
--- a/io/yuccacaller/client.go
+++ b/io/yuccacaller/client.go
@@ -38,7 +38,7 @@
 
 // Answer is a whole answer with its marked end.
 type Answer struct {
-	ID   yuccaid.RequestText
+	ID   yuccaid.RequestID
 	Data []byte
 	End  yuccaweb.End
 }
@@ -65,7 +65,7 @@
 }
 
 // Open draws a request id at a daemon's caller address.
-func (cl *Client) Open(ctx context.Context, address string) (yuccaid.RequestText, error) {
+func (cl *Client) Open(ctx context.Context, address string) (yuccaid.RequestID, error) {
 	reply, err := cl.do(ctx, http.MethodPost, address, "/v1/requests", nil)
 	if err != nil {
 		return "", err
@@ -77,7 +77,7 @@
 }
 
 // Submit runs an opened request through any daemon and returns its whole answer.
-func (cl *Client) Submit(ctx context.Context, address string, id yuccaid.RequestText, req yuccadaemon.Request) (*Answer, error) {
+func (cl *Client) Submit(ctx context.Context, address string, id yuccaid.RequestID, req yuccadaemon.Request) (*Answer, error) {
 	return cl.answer(ctx, http.MethodPost, address, "/v1/requests/"+string(id), &req, id)
 }
 
@@ -87,21 +87,21 @@
 }
 
 // Fetch returns the answer of a request that was submitted before.
-func (cl *Client) Fetch(ctx context.Context, address string, id yuccaid.RequestText) (*Answer, error) {
+func (cl *Client) Fetch(ctx context.Context, address string, id yuccaid.RequestID) (*Answer, error) {
 	return cl.answer(ctx, http.MethodGet, address, "/v1/requests/"+string(id)+"/answer", nil, id)
 }
 
 // Outcome tells what is known of a request.
-func (cl *Client) Outcome(ctx context.Context, address string, id yuccaid.RequestText) (yuccaweb.End, error) {
+func (cl *Client) Outcome(ctx context.Context, address string, id yuccaid.RequestID) (yuccaweb.End, error) {
 	return cl.end(ctx, http.MethodGet, address, id)
 }
 
 // Abort gives a request up.
-func (cl *Client) Abort(ctx context.Context, address string, id yuccaid.RequestText) (yuccaweb.End, error) {
+func (cl *Client) Abort(ctx context.Context, address string, id yuccaid.RequestID) (yuccaweb.End, error) {
 	return cl.end(ctx, http.MethodDelete, address, id)
 }
 
-func (cl *Client) end(ctx context.Context, method, address string, id yuccaid.RequestText) (yuccaweb.End, error) {
+func (cl *Client) end(ctx context.Context, method, address string, id yuccaid.RequestID) (yuccaweb.End, error) {
 	var end yuccaweb.End
 	reply, err := cl.do(ctx, method, address, "/v1/requests/"+string(id), nil)
 	if err != nil {
@@ -112,14 +112,14 @@
 	return end, eris.Wrap(err, "reading the outcome")
 }
 
-func (cl *Client) answer(ctx context.Context, method, address, path string, req *yuccadaemon.Request, id yuccaid.RequestText) (*Answer, error) {
+func (cl *Client) answer(ctx context.Context, method, address, path string, req *yuccadaemon.Request, id yuccaid.RequestID) (*Answer, error) {
 	reply, err := cl.do(ctx, method, address, path, req)
 	if err != nil {
 		return nil, err
 	}
 	defer reply.Body.Close()
 	if id == "" {
-		id = yuccaid.RequestText(reply.Header.Get(yuccaweb.HeaderRequest))
+		id = yuccaid.RequestID(reply.Header.Get(yuccaweb.HeaderRequest))
 	}
 	return readAnswer(reply, id)
 }
@@ -133,7 +133,7 @@
 
 // readAnswer checks each line: an answer that lost, repeated or borrowed a piece must
 // not look whole to the caller.
-func readAnswer(reply *http.Response, id yuccaid.RequestText) (*Answer, error) {
+func readAnswer(reply *http.Response, id yuccaid.RequestID) (*Answer, error) {
 	answer := &Answer{ID: id}
 	lines := bufio.NewScanner(reply.Body)
 	lines.Buffer(make([]byte, 0, 4096), lineLimit)
--- a/io/yuccadaemon/answer.go
+++ b/io/yuccadaemon/answer.go
@@ -17,7 +17,7 @@
 // Answer collects the pieces of one request and lets any number of readers follow
 // it from any position until its outcome.
 type Answer struct {
-	id   yuccaid.RequestText
+	id   yuccaid.RequestID
 	base int
 
 	mu      sync.Mutex
@@ -31,12 +31,12 @@
 	leave func()
 }
 
-func newAnswer(id yuccaid.RequestText) *Answer {
+func newAnswer(id yuccaid.RequestID) *Answer {
 	return &Answer{id: id, changed: make(chan struct{})}
 }
 
 // ID returns the request that is answered.
-func (ans *Answer) ID() yuccaid.RequestText {
+func (ans *Answer) ID() yuccaid.RequestID {
 	return ans.id
 }
 
--- a/io/yuccadaemon/audit.go
+++ b/io/yuccadaemon/audit.go
@@ -30,7 +30,7 @@
 	Kind   AuditKind      `json:"kind"`
 	Who    string         `json:"who,omitempty"`
 	What   string         `json:"what,omitempty"`
-	Number yuccaid.Number `json:"number"`
+	Number yuccaid.ConfigNumber `json:"number"`
 	Before yuccaid.Digest `json:"before,omitempty"`
 	After  yuccaid.Digest `json:"after,omitempty"`
 	Detail string         `json:"detail,omitempty"`
--- a/io/yuccadaemon/baseline.go
+++ b/io/yuccadaemon/baseline.go
@@ -50,8 +50,8 @@
 }
 
 // baselineParts reads every part that is published, page by page.
-func (d *Daemon) baselineParts(ctx context.Context) (map[yuccaid.Number][]yuccastate.Part, error) {
-	parts := make(map[yuccaid.Number][]yuccastate.Part)
+func (d *Daemon) baselineParts(ctx context.Context) (map[yuccaid.ConfigNumber][]yuccastate.Part, error) {
+	parts := make(map[yuccaid.ConfigNumber][]yuccastate.Part)
 	var after yuccaplat.Revision
 	for {
 		page, err := d.platform.Watch(ctx, yuccastate.BaselinePrefix, after)
@@ -80,8 +80,8 @@
 
 // newestBaseline takes the highest number whose parts are all there and agree; one
 // that is only half published is passed over.
-func newestBaseline(parts map[yuccaid.Number][]yuccastate.Part) (*yuccastate.State, error) {
-	numbers := make([]yuccaid.Number, 0, len(parts))
+func newestBaseline(parts map[yuccaid.ConfigNumber][]yuccastate.Part) (*yuccastate.State, error) {
+	numbers := make([]yuccaid.ConfigNumber, 0, len(parts))
 	for number := range parts {
 		numbers = append(numbers, number)
 	}
--- a/io/yuccadaemon/config.go
+++ b/io/yuccadaemon/config.go
@@ -162,7 +162,7 @@
 
 // snapshot collects the parts of a peer's configuration.
 type snapshot struct {
-	number yuccaid.Number
+	number yuccaid.ConfigNumber
 	digest yuccaid.Digest
 	raw    []byte
 	next   int
--- a/io/yuccadaemon/daemon.go
+++ b/io/yuccadaemon/daemon.go
@@ -52,12 +52,12 @@
 
 	// The fields below belong to the control goroutine.
 	owner    *yuccaonce.Owner
-	runs     map[yuccaid.RequestText]*run
+	runs     map[yuccaid.RequestID]*run
 	kept     *yuccaonce.AnswerBuffer[*Answer]
 	held     yuccaid.Bytes
 	peers    *yuccapeer.Peers
 	leads    map[yuccaid.Pool]*lead
-	guests   map[yuccaid.RequestText]*guest
+	guests   map[yuccaid.RequestID]*guest
 	steps    map[progressTo][]yuccawire.RunProgress
 	shifts   *yuccashift.Planner
 	leaving  map[yuccaid.Target]bool
@@ -96,10 +96,10 @@
 		platform: yuccaplat.New(settings.Platform),
 		targets:  yuccatarget.New(),
 		owner:    yuccaonce.New(inc, key, yuccaonce.WithLifetime(settings.Limits.RequestLife)),
-		runs:     make(map[yuccaid.RequestText]*run),
+		runs:     make(map[yuccaid.RequestID]*run),
 		kept:     yuccaonce.NewAnswerBuffer[*Answer](settings.Limits.Answers, settings.Limits.AnswerLife),
 		leads:    make(map[yuccaid.Pool]*lead),
-		guests:   make(map[yuccaid.RequestText]*guest),
+		guests:   make(map[yuccaid.RequestID]*guest),
 		steps:    make(map[progressTo][]yuccawire.RunProgress),
 		shifts:   yuccashift.New(),
 		leaving:  make(map[yuccaid.Target]bool),
--- a/io/yuccadaemon/forward.go
+++ b/io/yuccadaemon/forward.go
@@ -15,7 +15,7 @@
 const forwardDial = 3 * time.Second
 
 // Submit runs an opened request, here or at the daemon that opened it.
-func (d *Daemon) Submit(ctx context.Context, id yuccaid.RequestText, acc yuccaid.Account, req Request) (*Answer, error) {
+func (d *Daemon) Submit(ctx context.Context, id yuccaid.RequestID, acc yuccaid.Account, req Request) (*Answer, error) {
 	parsed, err := id.Parse(d.key)
 	if err != nil {
 		return nil, &Problem{Kind: KindUnknownID, Run: yuccaonce.Unknown}
@@ -30,12 +30,12 @@
 }
 
 // Follow returns the answer of a submitted request from a position on.
-func (d *Daemon) Follow(ctx context.Context, id yuccaid.RequestText, acc yuccaid.Account, from int) (*Answer, error) {
+func (d *Daemon) Follow(ctx context.Context, id yuccaid.RequestID, acc yuccaid.Account, from int) (*Answer, error) {
 	return d.follow(ctx, yuccawire.Follow{ID: id, Account: acc, From: from})
 }
 
 // Outcome returns what is known of a request now.
-func (d *Daemon) Outcome(ctx context.Context, id yuccaid.RequestText, acc yuccaid.Account) (yuccaonce.Outcome, error) {
+func (d *Daemon) Outcome(ctx context.Context, id yuccaid.RequestID, acc yuccaid.Account) (yuccaonce.Outcome, error) {
 	answer, err := d.follow(ctx, yuccawire.Follow{ID: id, Account: acc, OutcomeOnly: true})
 	if err != nil {
 		return yuccaonce.Outcome{}, err
@@ -44,7 +44,7 @@
 }
 
 // Abort ends a request for its caller.
-func (d *Daemon) Abort(ctx context.Context, id yuccaid.RequestText, acc yuccaid.Account) (yuccaonce.Outcome, error) {
+func (d *Daemon) Abort(ctx context.Context, id yuccaid.RequestID, acc yuccaid.Account) (yuccaonce.Outcome, error) {
 	parsed, err := id.Parse(d.key)
 	if err != nil {
 		return yuccaonce.Outcome{}, &Problem{Kind: KindUnknownID, Run: yuccaonce.Unknown}
@@ -59,7 +59,7 @@
 	return drain(ctx, answer)
 }
 
-func (d *Daemon) abortOwn(id yuccaid.RequestText, acc yuccaid.Account) (yuccaonce.Outcome, error) {
+func (d *Daemon) abortOwn(id yuccaid.RequestID, acc yuccaid.Account) (yuccaonce.Outcome, error) {
 	var outcome yuccaonce.Outcome
 	var err error
 	if !d.control.Call(func(now time.Time) { outcome, err = d.abort(now, id, acc) }) {
@@ -126,7 +126,7 @@
 //
 // When the owner is gone nobody knows whether the request ran, so the caller is told
 // `unknown`; running it here could run it twice.
-func (d *Daemon) forward(ctx context.Context, owner yuccaid.Incarnation, id yuccaid.RequestText, from int, kind yuccawire.Kind, body any) (*Answer, error) {
+func (d *Daemon) forward(ctx context.Context, owner yuccaid.Incarnation, id yuccaid.RequestID, from int, kind yuccawire.Kind, body any) (*Answer, error) {
 	lost := &Problem{Kind: KindOwnerLost, Run: yuccaonce.Unknown}
 	address, found := d.addressOf(owner)
 	if !found {
@@ -151,7 +151,7 @@
 
 // relayed waits for the first word, so that a refusal becomes an error and not an
 // answer, and relays the rest in the background.
-func (d *Daemon) relayed(ctx context.Context, conn *yuccalink.Conn, id yuccaid.RequestText, from int) (*Answer, error) {
+func (d *Daemon) relayed(ctx context.Context, conn *yuccalink.Conn, id yuccaid.RequestID, from int) (*Answer, error) {
 	answer := newAnswer(id)
 	answer.base = from
 	first := make(chan error, 1)
--- a/io/yuccadaemon/guest.go
+++ b/io/yuccadaemon/guest.go
@@ -73,7 +73,7 @@
 
 // tellOwner sends a leader's decision to the request's owner, by the guest's own
 // connection where the owner is of another data centre.
-func (d *Daemon) tellOwner(owner yuccaid.Incarnation, id yuccaid.RequestText, kind yuccawire.Kind, body any) {
+func (d *Daemon) tellOwner(owner yuccaid.Incarnation, id yuccaid.RequestID, kind yuccawire.Kind, body any) {
 	visitor, visits := d.guests[id]
 	if !visits {
 		_ = d.send(owner, kind, body)
--- a/io/yuccadaemon/leader.go
+++ b/io/yuccadaemon/leader.go
@@ -164,13 +164,13 @@
 }
 
 // onNotLeader makes the next tick look for the leader again.
-func (d *Daemon) onNotLeader(_ time.Time, id yuccaid.RequestText) {
+func (d *Daemon) onNotLeader(_ time.Time, id yuccaid.RequestID) {
 	if r, open := d.runs[id]; open && !r.running {
 		r.leader = yuccaid.Incarnation{}
 	}
 }
 
-func (d *Daemon) onWithdraw(now time.Time, pool yuccaid.Pool, id yuccaid.RequestText) {
+func (d *Daemon) onWithdraw(now time.Time, pool yuccaid.Pool, id yuccaid.RequestID) {
 	if led, leads := d.leads[pool]; leads {
 		d.apply(now, pool, led.leader.Withdraw(now, id))
 	}
--- a/io/yuccadaemon/owner.go
+++ b/io/yuccadaemon/owner.go
@@ -26,7 +26,7 @@
 
 // run is one request that this daemon owns and has not closed.
 type run struct {
-	id       yuccaid.RequestText
+	id       yuccaid.RequestID
 	request  Request
 	claim    yuccaonce.Claim
 	ask      yuccaqueue.Ask
@@ -56,11 +56,11 @@
 }
 
 // Open draws an id for an account; it has no other effect.
-func (d *Daemon) Open(acc yuccaid.Account) (yuccaid.RequestText, error) {
+func (d *Daemon) Open(acc yuccaid.Account) (yuccaid.RequestID, error) {
 	if prob := d.refuses(); prob != nil {
 		return "", prob
 	}
-	var id yuccaid.RequestText
+	var id yuccaid.RequestID
 	var err error
 	if !d.control.Call(func(now time.Time) { id, err = d.owner.Open(now, acc) }) {
 		return "", notRun(KindLeaving, "")
@@ -72,7 +72,7 @@
 }
 
 // submitOwn takes a request that this daemon opened.
-func (d *Daemon) submitOwn(id yuccaid.RequestText, acc yuccaid.Account, req Request) (*Answer, error) {
+func (d *Daemon) submitOwn(id yuccaid.RequestID, acc yuccaid.Account, req Request) (*Answer, error) {
 	state := d.State()
 	if prob := req.check(state, acc); prob != nil {
 		return nil, d.wrong(id, acc, prob)
@@ -91,7 +91,7 @@
 // wrong says of a refused submit what became of its id, which an earlier submit may
 // have run: its caller would otherwise open a new request and run it twice. An id that
 // was never submitted is closed with it.
-func (d *Daemon) wrong(id yuccaid.RequestText, acc yuccaid.Account, prob *Problem) *Problem {
+func (d *Daemon) wrong(id yuccaid.RequestID, acc yuccaid.Account, prob *Problem) *Problem {
 	prob.Run = yuccaonce.Unknown
 	d.control.Call(func(now time.Time) {
 		if outcome, err := d.owner.Outcome(now, id, acc); err == nil {
@@ -139,7 +139,7 @@
 }
 
 // admit joins a second submit to the first, or starts the request.
-func (d *Daemon) admit(now time.Time, id yuccaid.RequestText, req Request, claim yuccaonce.Claim, ask yuccaqueue.Ask) (*Answer, error) {
+func (d *Daemon) admit(now time.Time, id yuccaid.RequestID, req Request, claim yuccaonce.Claim, ask yuccaqueue.Ask) (*Answer, error) {
 	step, err := d.owner.Submit(now, id, claim)
 	if err != nil {
 		return nil, problemOf(err)
@@ -167,7 +167,7 @@
 	return r.answer, nil
 }
 
-func (d *Daemon) joined(now time.Time, id yuccaid.RequestText) (*Answer, error) {
+func (d *Daemon) joined(now time.Time, id yuccaid.RequestID) (*Answer, error) {
 	if r, open := d.runs[id]; open {
 		r.abandoned = time.Time{}
 		return r.answer, nil
@@ -176,7 +176,7 @@
 }
 
 // closedAnswer returns the kept answer, or one that holds only the outcome.
-func (d *Daemon) closedAnswer(now time.Time, id yuccaid.RequestText, outcome yuccaonce.Outcome) (*Answer, error) {
+func (d *Daemon) closedAnswer(now time.Time, id yuccaid.RequestID, outcome yuccaonce.Outcome) (*Answer, error) {
 	if kept, found := d.kept.Get(now, id); found {
 		return kept, nil
 	}
@@ -333,7 +333,7 @@
 }
 
 // abort ends a request because its caller says so.
-func (d *Daemon) abort(now time.Time, id yuccaid.RequestText, acc yuccaid.Account) (yuccaonce.Outcome, error) {
+func (d *Daemon) abort(now time.Time, id yuccaid.RequestID, acc yuccaid.Account) (yuccaonce.Outcome, error) {
 	outcome, err := d.owner.Outcome(now, id, acc)
 	if err != nil {
 		return outcome, problemOf(err)
--- a/io/yuccadaemon/placing.go
+++ b/io/yuccadaemon/placing.go
@@ -10,7 +10,7 @@
 )
 
 // ref shortens the id of a request for messages between its owner and a leader.
-func (d *Daemon) ref(id yuccaid.RequestText) yuccawire.Ref {
+func (d *Daemon) ref(id yuccaid.RequestID) yuccawire.Ref {
 	parsed, err := id.Parse(d.key)
 	if err != nil {
 		return yuccawire.Ref{}
@@ -19,9 +19,9 @@
 }
 
 // unref restores the id; every daemon holds the key that signs it.
-func (d *Daemon) unref(owner yuccaid.Incarnation, ref yuccawire.Ref) yuccaid.RequestText {
-	request := yuccaid.Request{Owner: owner, Counter: ref.Counter, Issued: time.UnixMilli(ref.Issued)}
-	return request.Text(d.key)
+func (d *Daemon) unref(owner yuccaid.Incarnation, ref yuccawire.Ref) yuccaid.RequestID {
+	request := yuccaid.RequestIDFields{Owner: owner, Counter: ref.Counter, Issued: time.UnixMilli(ref.Issued)}
+	return request.Sign(d.key)
 }
 
 func (d *Daemon) wireOffer(ask yuccaqueue.Ask) yuccawire.Offer {
--- a/io/yuccadaemon/placing_test.go
+++ b/io/yuccadaemon/placing_test.go
@@ -31,7 +31,7 @@
 
 var _ = Describe("messages between owners and leaders", func() {
 	var d *Daemon
-	var id yuccaid.RequestText
+	var id yuccaid.RequestID
 	BeforeEach(func() {
 		self := yuccaid.NewIncarnation("entry-1", [16]byte{1})
 		d = &Daemon{key: yuccaid.Key("key")}
@@ -40,7 +40,7 @@
 		state := yuccastate.Empty()
 		state.Tiers = map[yuccaid.Tier]yuccastate.Tier{"urgent": {Rank: 0}, "normal": {Rank: 1}}
 		d.state.Store(state)
-		id = yuccaid.Request{Owner: self, Counter: 70_000, Issued: time.UnixMilli(1_800_000_000_000)}.Text(d.key)
+		id = yuccaid.RequestIDFields{Owner: self, Counter: 70_000, Issued: time.UnixMilli(1_800_000_000_000)}.Sign(d.key)
 	})
 
 	It("bring everything that placing needs, in few bytes", func() {
--- a/io/yuccadaemon/room_test.go
+++ b/io/yuccadaemon/room_test.go
@@ -26,7 +26,7 @@
 		settings.Limits.Requests = 3
 		d := &Daemon{
 			settings: &settings, key: yuccaid.Key("key"), metrics: newMetrics(), log: logger{target: log.NewNopLogger()},
-			runs: make(map[yuccaid.RequestText]*run), peers: yuccapeer.New(yuccapeer.Member{VM: "entry-1", Centre: "odessa-1", Incarnation: inc}),
+			runs: make(map[yuccaid.RequestID]*run), peers: yuccapeer.New(yuccapeer.Member{VM: "entry-1", Centre: "odessa-1", Incarnation: inc}),
 			owner: yuccaonce.New(inc, yuccaid.Key("key")), kept: yuccaonce.NewAnswerBuffer[*Answer](1<<20, time.Minute),
 		}
 		d.self.Incarnation, d.self.Centre = inc, "odessa-1"
--- a/io/yuccadaemon/traffic.go
+++ b/io/yuccadaemon/traffic.go
@@ -79,7 +79,7 @@
 	d.serveAnswer(ctx, conn, abort.ID, answer, 0, err)
 }
 
-func (d *Daemon) serveAnswer(ctx context.Context, conn *yuccalink.Conn, id yuccaid.RequestText, answer *Answer, from int, err error) {
+func (d *Daemon) serveAnswer(ctx context.Context, conn *yuccalink.Conn, id yuccaid.RequestID, answer *Answer, from int, err error) {
 	if err != nil {
 		var prob *Problem
 		if !errors.As(err, &prob) {
--- a/io/yuccademo/demo.go
+++ b/io/yuccademo/demo.go
@@ -41,7 +41,7 @@
 // told is what the caller of a sample was told.
 type told struct {
 	sample  sample
-	id      yuccaid.RequestText
+	id      yuccaid.RequestID
 	run     yuccaonce.Run
 	partial bool
 	after   time.Duration
--- a/io/yuccademo/fleet.go
+++ b/io/yuccademo/fleet.go
@@ -30,8 +30,8 @@
 // engineSpec is one engine of the demo's pool.
 type engineSpec struct {
 	name    yuccaid.Target
-	prefill yuccaid.Rate
-	decode  yuccaid.Rate
+	prefill yuccaid.TokenRate
+	decode  yuccaid.TokenRate
 	slots   int
 }
 
@@ -208,15 +208,15 @@
 }
 
 // runs counts what the stand-ins really ran, by request.
-func (fl *fleet) runs() map[yuccaid.RequestText]int {
-	counts := make(map[yuccaid.RequestText]int)
+func (fl *fleet) runs() map[yuccaid.RequestID]int {
+	counts := make(map[yuccaid.RequestID]int)
 	logs := [][]yuccastand.Run{fl.desk.Runs()}
 	for _, engine := range fl.engines {
 		logs = append(logs, engine.Runs())
 	}
 	for _, log := range logs {
 		for _, run := range log {
-			counts[yuccaid.RequestText(run.ID)]++
+			counts[yuccaid.RequestID(run.ID)]++
 		}
 	}
 	return counts
--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -38,7 +38,7 @@
 	gate.onChange(now, gate.peers.Accepted(now, table.Number(), ""))
 }
 
-func (gate *Gate) number() yuccaid.Number {
+func (gate *Gate) number() yuccaid.ConfigNumber {
 	if table := gate.tables.Load(); table != nil {
 		return table.Number()
 	}
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -80,7 +80,7 @@
 // decode reads what encode writes, so that gateways can pass configurations on.
 func decode(raw []byte) (*yuccaroute.Table, error) {
 	var text struct {
-		Number yuccaid.Number
+		Number yuccaid.ConfigNumber
 		Config yuccaroute.Config
 	}
 	if err := json.Unmarshal(raw, &text); err != nil {
@@ -89,7 +89,7 @@
 	return yuccaroute.NewTable(text.Number, text.Config)
 }
 
-func encode(number yuccaid.Number, config yuccaroute.Config) []byte {
+func encode(number yuccaid.ConfigNumber, config yuccaroute.Config) []byte {
 	raw, err := json.Marshal(map[string]any{"Number": number, "Config": config})
 	Expect(err).NotTo(HaveOccurred())
 	return raw
@@ -233,7 +233,7 @@
 }
 
 // know tells a gateway its configuration and its targets, with so many places each.
-func (gt *gate) know(number yuccaid.Number, config yuccaroute.Config, slots int, engines ...*engine) {
+func (gt *gate) know(number yuccaid.ConfigNumber, config yuccaroute.Config, slots int, engines ...*engine) {
 	Expect(gt.OfferRaw(encode(number, config), "test")).To(Succeed())
 	var entries []yuccaroster.Entry
 	for _, eng := range engines {
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -280,7 +280,7 @@
 }
 
 // number is the configuration that the request is handled by.
-func (req *request) number() yuccaid.Number {
+func (req *request) number() yuccaid.ConfigNumber {
 	if req.table == nil {
 		return 0
 	}
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -16,7 +16,7 @@
 	Address string         `json:"address"`
 	Ready   bool           `json:"ready"`
 	Leaving bool           `json:"leaving"`
-	Number  yuccaid.Number `json:"number"`
+	Number  yuccaid.ConfigNumber `json:"number"`
 	// Rests says that another daemon reads the platform for this one, and PlatformMillis how
 	// old the last word from it is, or -1.
 	Rests          bool         `json:"rests"`
--- a/io/yuccameasure/config.go
+++ b/io/yuccameasure/config.go
@@ -162,7 +162,7 @@
 }
 
 // inForce compares the audit trails with the times of publishing.
-func (flt *fleet) inForce(ctx context.Context, first yuccaid.Number, published []time.Time, row *ConfigRow) error {
+func (flt *fleet) inForce(ctx context.Context, first yuccaid.ConfigNumber, published []time.Time, row *ConfigRow) error {
 	each := newLatencies()
 	last := make([]time.Duration, len(published))
 	taken, fromPeer := 0, 0
--- a/io/yuccameasure/fleet.go
+++ b/io/yuccameasure/fleet.go
@@ -27,7 +27,7 @@
 	daemons int
 	engines int
 	slots   int
-	decode  yuccaid.Rate
+	decode  yuccaid.TokenRate
 	// rest is the part of the configuration that concerns other data centres.
 	rest scale
 }
--- a/io/yuccameasure/leader.go
+++ b/io/yuccameasure/leader.go
@@ -158,7 +158,7 @@
 		prefixes[index] = uint64(bnc.number*len(prefixes) + index)
 	}
 	// The text is as long as a signed id.
-	id := yuccaid.RequestText(fmt.Sprintf("%s.%x.%x.%032x", bnc.self, bnc.number, bnc.now.UnixMilli(), bnc.number))
+	id := yuccaid.RequestID(fmt.Sprintf("%s.%x.%x.%032x", bnc.self, bnc.number, bnc.now.UnixMilli(), bnc.number))
 	bnc.take(bnc.leader.Offer(bnc.now, yuccapool.Ask{
 		ID: id, Owner: bnc.self, Account: accountName(bnc.number % bnc.size.accounts), Tier: tier, Rank: 1,
 		Pool: draftPool, Operation: "generate", Idempotent: true, Remaining: 24 * time.Hour,
--- a/io/yuccameasure/members.go
+++ b/io/yuccameasure/members.go
@@ -25,7 +25,7 @@
 	// Answer is an answer's length and Decode the engines' rate: owners tell leaders of
 	// a run's progress every two seconds, so long runs cost more messages.
 	Answer yuccaid.Tokens
-	Decode yuccaid.Rate
+	Decode yuccaid.TokenRate
 }
 
 // MembersRow is what a daemon of one fleet costs.
--- a/io/yuccameasure/state.go
+++ b/io/yuccameasure/state.go
@@ -153,7 +153,7 @@
 	chain := yuccastate.NewChain()
 	now := time.Now()
 	for index, raw := range raws {
-		if _, err := chain.Offer(now, yuccastate.NoteKey(yuccaid.Number(index+1)), raw); err != nil {
+		if _, err := chain.Offer(now, yuccastate.NoteKey(yuccaid.ConfigNumber(index+1)), raw); err != nil {
 			return 0, 0, eris.Wrap(err, "offering a first note")
 		}
 	}
@@ -168,7 +168,7 @@
 	}
 	at := 0
 	median, most = timed(len(texts), func() {
-		key := yuccastate.NoteKey(yuccaid.Number(len(raws) + at + 1))
+		key := yuccastate.NoteKey(yuccaid.ConfigNumber(len(raws) + at + 1))
 		if _, refused := chain.Offer(now, key, texts[at]); refused != nil {
 			err = refused
 		}
@@ -209,7 +209,7 @@
 func fold(raws [][]byte) *yuccastate.State {
 	chain := yuccastate.NewChain()
 	for index, raw := range raws {
-		_, _ = chain.Offer(time.Time{}, yuccastate.NoteKey(yuccaid.Number(index+1)), raw)
+		_, _ = chain.Offer(time.Time{}, yuccastate.NoteKey(yuccaid.ConfigNumber(index+1)), raw)
 	}
 	return chain.State()
 }
--- a/io/yuccastand/engine.go
+++ b/io/yuccastand/engine.go
@@ -15,8 +15,8 @@
 
 // Defaults of an engine: a mid-size model on one accelerator.
 const (
-	DefaultPrefill yuccaid.Rate   = 4000
-	DefaultDecode  yuccaid.Rate   = 50
+	DefaultPrefill yuccaid.TokenRate   = 4000
+	DefaultDecode  yuccaid.TokenRate   = 50
 	DefaultSlots                  = 8
 	DefaultCache   yuccaid.Tokens = 200_000
 	DefaultBlock   yuccaid.Tokens = yuccaqueue.BlockTokens
@@ -27,7 +27,7 @@
 
 // WithRates sets the tokens per second that the engine prefills in all and decodes
 // for each run.
-func WithRates(prefill, decode yuccaid.Rate) EngineOption {
+func WithRates(prefill, decode yuccaid.TokenRate) EngineOption {
 	return func(eng *Engine) { eng.prefill, eng.decode = prefill, decode }
 }
 
@@ -60,8 +60,8 @@
 // order they arrive, prefills one after the other and decodes all together.
 type Engine struct {
 	*backend
-	prefill     yuccaid.Rate
-	decode      yuccaid.Rate
+	prefill     yuccaid.TokenRate
+	decode      yuccaid.TokenRate
 	slots       int
 	pieceTokens yuccaid.Tokens
 	checksFence bool
@@ -204,7 +204,7 @@
 }
 
 // take queues a run; from here on it counts as run.
-func (eng *Engine) take(id string, fence yuccaid.Number, prompt yuccatarget.Prompt) *generation {
+func (eng *Engine) take(id string, fence yuccaid.ConfigNumber, prompt yuccatarget.Prompt) *generation {
 	gen := newGeneration(id, prompt, eng.pieceTokens)
 	gen.entry = eng.runs.add(Run{ID: id, Operation: generateOperation, Fence: fence})
 	eng.mu.Lock()
--- a/io/yuccastand/engineweb.go
+++ b/io/yuccastand/engineweb.go
@@ -26,9 +26,9 @@
 	data.GET(yuccatarget.StatePath, eng.serveState)
 }
 
-func fenceOf(c echo.Context) yuccaid.Number {
+func fenceOf(c echo.Context) yuccaid.ConfigNumber {
 	fence, _ := strconv.ParseUint(c.Request().Header.Get(yuccatarget.HeaderFence), 10, 64)
-	return yuccaid.Number(fence)
+	return yuccaid.ConfigNumber(fence)
 }
 
 func (eng *Engine) serveGenerate(c echo.Context) error {
--- a/io/yuccastand/run.go
+++ b/io/yuccastand/run.go
@@ -18,7 +18,7 @@
 	Started    int64          `json:"started"`
 	Finished   int64          `json:"finished"`
 	Cancelled  bool           `json:"cancelled"`
-	Fence      yuccaid.Number `json:"fence"`
+	Fence      yuccaid.ConfigNumber `json:"fence"`
 	Pieces     int            `json:"pieces"`
 	AnswerHash string         `json:"answerHash"`
 	// Prefilled counts prompt tokens that were computed, Wasted those of a run that
--- a/io/yuccatarget/client.go
+++ b/io/yuccatarget/client.go
@@ -117,7 +117,7 @@
 
 // Call is one request for a target.
 type Call struct {
-	ID        yuccaid.RequestText
+	ID        yuccaid.RequestID
 	Target    yuccaid.Target
 	Address   string
 	Pool      yuccaid.Pool
@@ -127,7 +127,7 @@
 	// Idempotent changes only the advice in errors: every call is sent once.
 	Idempotent bool
 	Body       []byte
-	Fence      yuccaid.Number
+	Fence      yuccaid.ConfigNumber
 	// Ready, if given, is called once the connection stands, right before the first byte.
 	// Its error keeps the call from being sent. A dial takes up to seconds, in which the
 	// deadline passes or the target is withdrawn.
--- a/io/yuccatarget/error.go
+++ b/io/yuccatarget/error.go
@@ -48,7 +48,7 @@
 
 // LostError says that a request may have run and that its whole answer did not come.
 type LostError struct {
-	ID         yuccaid.RequestText
+	ID         yuccaid.RequestID
 	Target     yuccaid.Target
 	Pieces     int
 	Idempotent bool
@@ -84,7 +84,7 @@
 
 // BrokenError says that a request ran and that its answer can't be trusted.
 type BrokenError struct {
-	ID       yuccaid.RequestText
+	ID       yuccaid.RequestID
 	Target   yuccaid.Target
 	Position int
 	Flaw     Flaw
@@ -125,7 +125,7 @@
 
 // FencedError says that a target has seen a newer fencing number than an order's.
 type FencedError struct {
-	Fence yuccaid.Number
+	Fence yuccaid.ConfigNumber
 }
 
 // Error names the number and the remedy.
--- a/io/yuccatarget/message.go
+++ b/io/yuccatarget/message.go
@@ -64,7 +64,7 @@
 	Kind       RefusalKind    `json:"kind"`
 	Ran        string         `json:"ran"`
 	BackMillis int64          `json:"backMillis,omitempty"`
-	Fence      yuccaid.Number `json:"fence,omitempty"`
+	Fence      yuccaid.ConfigNumber `json:"fence,omitempty"`
 }
 
 // Load is a target's report of its load, which lags behind by its age.
@@ -124,7 +124,7 @@
 	Version string         `json:"version,omitempty"`
 	Adapter yuccaid.Model  `json:"adapter,omitempty"`
 	Role    string         `json:"role,omitempty"`
-	Fence   yuccaid.Number `json:"fence"`
+	Fence   yuccaid.ConfigNumber `json:"fence"`
 	// ExpiresMillis is what remains of the order's life when it is sent; the client
 	// sets it from Expires.
 	ExpiresMillis int64         `json:"expiresMillis"`
@@ -137,7 +137,7 @@
 	Version  string          `json:"version,omitempty"`
 	Adapters []yuccaid.Model `json:"adapters,omitempty"`
 	Role     string          `json:"role,omitempty"`
-	Fence    yuccaid.Number  `json:"fence"`
+	Fence    yuccaid.ConfigNumber  `json:"fence"`
 	Leaving  bool            `json:"leaving"`
 	// Loading says that an order was taken and is not in effect yet.
 	Loading bool `json:"loading"`
--- a/io/yuccatarget/order.go
+++ b/io/yuccatarget/order.go
@@ -10,7 +10,7 @@
 )
 
 // Cancel ends a run at a target; ErrNoRun says that there was none.
-func (cl *Client) Cancel(ctx context.Context, address string, id yuccaid.RequestText) error {
+func (cl *Client) Cancel(ctx context.Context, address string, id yuccaid.RequestID) error {
 	resp, done, err := cl.once(ctx, http.MethodDelete, address, runPath(id), nil)
 	if err != nil {
 		return err
--- a/io/yuccatarget/order_test.go
+++ b/io/yuccatarget/order_test.go
@@ -13,7 +13,7 @@
 	"yuccacleat/io/yuccatarget"
 )
 
-func roleOrder(role string, fence yuccaid.Number, expires time.Duration) yuccatarget.Order {
+func roleOrder(role string, fence yuccaid.ConfigNumber, expires time.Duration) yuccatarget.Order {
 	return yuccatarget.Order{Kind: yuccatarget.OrderRole, Role: role, Fence: fence, Expires: expires}
 }
 
--- a/io/yuccatarget/run.go
+++ b/io/yuccatarget/run.go
@@ -210,7 +210,7 @@
 	return end, true, err
 }
 
-func runPath(id yuccaid.RequestText) string {
+func runPath(id yuccaid.RequestID) string {
 	return GeneratePath + "/" + url.PathEscape(string(id))
 }
 
--- a/io/yuccatarget/suite_test.go
+++ b/io/yuccatarget/suite_test.go
@@ -74,14 +74,14 @@
 
 func generation(id, address string, pieces int) yuccatarget.Call {
 	return yuccatarget.Call{
-		ID: yuccaid.RequestText(id), Target: "engine-1", Address: address, Operation: "draft", Fence: 7,
+		ID: yuccaid.RequestID(id), Target: "engine-1", Address: address, Operation: "draft", Fence: 7,
 		Body: body(yuccatarget.Prompt{PromptTokens: 300, AnswerTokens: yuccaid.Tokens(pieces)}),
 	}
 }
 
 func ticket(id, address string) yuccatarget.Call {
 	return yuccatarget.Call{
-		ID: yuccaid.RequestText(id), Target: "tickets-1", Address: address, Operation: "file-ticket", Plain: true, Fence: 7,
+		ID: yuccaid.RequestID(id), Target: "tickets-1", Address: address, Operation: "file-ticket", Plain: true, Fence: 7,
 		Body: []byte(`{"text":"smell of gas"}`),
 	}
 }
--- a/io/yuccaweb/caller.go
+++ b/io/yuccaweb/caller.go
@@ -61,7 +61,7 @@
 
 // Opened is what opening a request returns.
 type Opened struct {
-	ID yuccaid.RequestText `json:"id"`
+	ID yuccaid.RequestID `json:"id"`
 }
 
 func (web *Caller) open(c echo.Context, acc yuccaid.Account) error {
@@ -129,8 +129,8 @@
 	return c.JSON(http.StatusOK, endOf(web.id(c), outcome))
 }
 
-func (web *Caller) id(c echo.Context) yuccaid.RequestText {
-	return yuccaid.RequestText(c.Param("id"))
+func (web *Caller) id(c echo.Context) yuccaid.RequestID {
+	return yuccaid.RequestID(c.Param("id"))
 }
 
 // unseen is what may be said of a call before its request's owner has seen it. One that
--- a/io/yuccaweb/line.go
+++ b/io/yuccaweb/line.go
@@ -13,7 +13,7 @@
 
 // Line is one piece of an answer.
 type Line struct {
-	ID       yuccaid.RequestText `json:"id"`
+	ID       yuccaid.RequestID `json:"id"`
 	Position int                 `json:"position"`
 	Data     string              `json:"data"`
 }
@@ -23,7 +23,7 @@
 // Pieces and Hash let a caller see that nothing is missing: the hash is the SHA-256
 // of all pieces' data.
 type End struct {
-	ID      yuccaid.RequestText `json:"id"`
+	ID      yuccaid.RequestID `json:"id"`
 	End     bool                `json:"end"`
 	Run     yuccaonce.Run       `json:"run"`
 	Reason  yuccaonce.Reason    `json:"reason,omitempty"`
@@ -34,7 +34,7 @@
 	RetryAfterMillis int64 `json:"retryAfterMillis,omitempty"`
 }
 
-func endOf(id yuccaid.RequestText, outcome yuccaonce.Outcome) End {
+func endOf(id yuccaid.RequestID, outcome yuccaonce.Outcome) End {
 	return End{
 		ID: id, End: outcome.Run != yuccaonce.RunWaiting && outcome.Run != yuccaonce.RunRunning,
 		Run: outcome.Run, Reason: outcome.Reason, Partial: outcome.Partial,
--- a/io/yuccawire/gate.go
+++ b/io/yuccawire/gate.go
@@ -8,7 +8,7 @@
 
 // TablePull asks a peer for its configuration.
 type TablePull struct {
-	Have yuccaid.Number `msgpack:"have"`
+	Have yuccaid.ConfigNumber `msgpack:"have"`
 }
 
 // Table is a configuration as its operators wrote it.
--- a/io/yuccawire/message.go
+++ b/io/yuccawire/message.go
@@ -7,7 +7,7 @@
 
 // NotePull asks a peer for accepted release notes, or for its whole configuration.
 type NotePull struct {
-	Numbers  []yuccaid.Number `msgpack:"numbers"`
+	Numbers  []yuccaid.ConfigNumber `msgpack:"numbers"`
 	Snapshot bool             `msgpack:"snapshot"`
 }
 
@@ -18,13 +18,13 @@
 
 // RawNote is one published release note.
 type RawNote struct {
-	Number yuccaid.Number `msgpack:"number"`
+	Number yuccaid.ConfigNumber `msgpack:"number"`
 	Raw    []byte         `msgpack:"raw"`
 }
 
 // Snapshot is part of an encoded configuration.
 type Snapshot struct {
-	Number yuccaid.Number `msgpack:"number"`
+	Number yuccaid.ConfigNumber `msgpack:"number"`
 	Digest yuccaid.Digest `msgpack:"digest"`
 	Part   int            `msgpack:"part"`
 	Parts  int            `msgpack:"parts"`
@@ -33,7 +33,7 @@
 
 // Submission brings a request to the daemon that opened it.
 type Submission struct {
-	ID             yuccaid.RequestText `msgpack:"id"`
+	ID             yuccaid.RequestID `msgpack:"id"`
 	Account        yuccaid.Account     `msgpack:"account"`
 	Pool           yuccaid.Pool        `msgpack:"pool"`
 	Operation      yuccaid.Operation   `msgpack:"operation"`
@@ -45,7 +45,7 @@
 
 // Follow asks the owner for an answer from a position on, or only for the outcome.
 type Follow struct {
-	ID          yuccaid.RequestText `msgpack:"id"`
+	ID          yuccaid.RequestID `msgpack:"id"`
 	Account     yuccaid.Account     `msgpack:"account"`
 	From        int                 `msgpack:"from"`
 	OutcomeOnly bool                `msgpack:"outcomeOnly"`
@@ -53,20 +53,20 @@
 
 // Abort asks the owner to end a request.
 type Abort struct {
-	ID      yuccaid.RequestText `msgpack:"id"`
+	ID      yuccaid.RequestID `msgpack:"id"`
 	Account yuccaid.Account     `msgpack:"account"`
 }
 
 // Piece is one part of an answer on its way to a forwarder.
 type Piece struct {
-	ID       yuccaid.RequestText `msgpack:"id"`
+	ID       yuccaid.RequestID `msgpack:"id"`
 	Position int                 `msgpack:"position"`
 	Data     []byte              `msgpack:"data"`
 }
 
 // End tells a forwarder how a request ended, or why it was not taken.
 type End struct {
-	ID      yuccaid.RequestText `msgpack:"id"`
+	ID      yuccaid.RequestID `msgpack:"id"`
 	Outcome yuccaonce.Outcome   `msgpack:"outcome"`
 	Problem string              `msgpack:"problem"`
 	Detail  string              `msgpack:"detail"`
--- a/io/yuccawire/placing.go
+++ b/io/yuccawire/placing.go
@@ -94,7 +94,7 @@
 	Ref           Ref
 	Target        yuccaid.Target
 	ExpiresMillis int64
-	Number        yuccaid.Number
+	Number        yuccaid.ConfigNumber
 }
 
 // Refusal is the final answer to an offer that gets no grant.
