--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -33,7 +33,7 @@
 )
 
 func accounts(rate, burst float64) []yuccaroute.Account {
-	return []yuccaroute.Account{{Name: "rally", Quota: yuccaroute.Quota{Rate: rate, Burst: burst, Tokens: true}}}
+	return []yuccaroute.Account{{Name: "rally", Quota: yuccaroute.Quota{Rate: rate, Burst: burst, PerToken: true}}}
 }
 
 // salts tell the ledgers of a fleet apart.
--- a/core/yuccaroute/config.go
+++ b/core/yuccaroute/config.go
@@ -24,23 +24,23 @@
 	Resumable bool
 	// Timeout is the longest that a request may be kept without its final answer.
 	Timeout time.Duration
-	// Aim is the time to the whole answer, or to a stream's first event, that counts as
+	// LatencyTarget is the time to the whole answer, or to a stream's first event, that counts as
 	// on time.
-	Aim time.Duration
-	// Gap is the longest pause between two events that counts as on time.
-	Gap time.Duration
+	LatencyTarget time.Duration
+	// MaxGap is the longest pause between two events that counts as on time.
+	MaxGap time.Duration
 	// Rank orders requests under load; 0 is the most urgent.
 	Rank int
 	// Pools are the pools that share the route, by weight.
-	Pools []Share
+	Pools []PoolWeight
 	// Attempts bounds how many targets may run one request.
 	Attempts int
-	// Open says that requests need no key.
-	Open bool
+	// AllowAnonymous says that requests need no key.
+	AllowAnonymous bool
 }
 
-// Share is the part of a route's requests that one pool gets.
-type Share struct {
+// PoolWeight is the part of a route's requests that one pool gets.
+type PoolWeight struct {
 	Pool   yuccaid.Pool
 	Weight int
 }
@@ -48,8 +48,8 @@
 // Pool is a set of targets that serve the same requests.
 type Pool struct {
 	Name yuccaid.Pool
-	// Connections bounds the connections that one target accepts from all daemons.
-	Connections int
+	// MaxConnections bounds the connections that one target accepts from all daemons.
+	MaxConnections int
 	// Engine holds what is known of a model's engines, nil for a plain service.
 	Engine *Engine
 }
@@ -64,8 +64,8 @@
 type Account struct {
 	Name yuccaid.Account
 	Keys []string
-	// Ranked says that Rank goes before the rank of the route.
-	Ranked bool
+	// HasRank says that Rank goes before the rank of the route.
+	HasRank bool
 	Rank   int
 	Quota  Quota
 }
@@ -75,10 +75,10 @@
 	// Rate is in units a second and Burst in units.
 	Rate  float64
 	Burst float64
-	// Tokens says that a request counts by its tokens, else each counts one.
-	Tokens bool
-	// Default is what a request counts whose tokens are not known.
-	Default yuccaid.Tokens
+	// PerToken says that a request counts by its tokens, else each counts one.
+	PerToken bool
+	// DefaultTokens is what a request counts whose tokens are not known.
+	DefaultTokens yuccaid.Tokens
 }
 
 // Limited reports whether there is a limit.
@@ -88,11 +88,11 @@
 
 // Cost returns what a request of so many tokens counts; zero tokens are unknown.
 func (quota Quota) Cost(tokens yuccaid.Tokens) float64 {
-	if !quota.Tokens {
+	if !quota.PerToken {
 		return 1
 	}
 	if tokens <= 0 {
-		tokens = quota.Default
+		tokens = quota.DefaultTokens
 	}
 	return float64(tokens)
 }
@@ -101,6 +101,6 @@
 type Limits struct {
 	Header      yuccaid.Bytes
 	Body        yuccaid.Bytes
-	HeaderAfter time.Duration
-	IdleAfter   time.Duration
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -94,20 +94,20 @@
 	return pool, found
 }
 
-// Account returns the account that holds a key.
-func (tab *Table) Account(key string) (*Account, bool) {
+// AccountByKey returns the account that holds a key.
+func (tab *Table) AccountByKey(key string) (*Account, bool) {
 	account, found := tab.accounts[key]
 	return account, found
 }
 
-// Named returns an account by its name.
-func (tab *Table) Named(name yuccaid.Account) (*Account, bool) {
+// AccountByName returns an account by its name.
+func (tab *Table) AccountByName(name yuccaid.Account) (*Account, bool) {
 	account, found := tab.names[name]
 	return account, found
 }
 
-// Keyed reports whether requests need a key at all.
-func (tab *Table) Keyed() bool { return len(tab.config.Accounts) > 0 }
+// RequiresKeys reports whether requests need a key at all.
+func (tab *Table) RequiresKeys() bool { return len(tab.config.Accounts) > 0 }
 
 // hostOf drops the port and the case of a host, which are of no meaning to a route. A host
 // with several colons and no bracket is an address of version 6, whose last part is no port.
--- a/core/yuccaroute/table_test.go
+++ b/core/yuccaroute/table_test.go
@@ -11,7 +11,7 @@
 )
 
 func route(name, host, prefix string, pool yuccaid.Pool) yuccaroute.Route {
-	return yuccaroute.Route{Name: name, Host: host, Prefix: prefix, Pools: []yuccaroute.Share{{Pool: pool, Weight: 1}}}
+	return yuccaroute.Route{Name: name, Host: host, Prefix: prefix, Pools: []yuccaroute.PoolWeight{{Pool: pool, Weight: 1}}}
 }
 
 func table(number yuccaid.ConfigNumber, routes ...yuccaroute.Route) *yuccaroute.Table {
@@ -59,11 +59,11 @@
 
 	It("knows an account by each of its keys", func() {
 		for _, key := range []string{"k1", "k2"} {
-			account, known := tab().Account(key)
+			account, known := tab().AccountByKey(key)
 			Expect(known).To(BeTrue())
 			Expect(account.Name).To(Equal(yuccaid.Account("rally")))
 		}
-		_, known := tab().Account("")
+		_, known := tab().AccountByKey("")
 		Expect(known).To(BeFalse())
 	})
 
@@ -82,7 +82,7 @@
 
 var _ = Describe("picking a pool", func() {
 	It("follows the weights", func() {
-		split := yuccaroute.Route{Pools: []yuccaroute.Share{{Pool: "draft", Weight: 90}, {Pool: "desk", Weight: 10}}}
+		split := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft", Weight: 90}, {Pool: "desk", Weight: 10}}}
 		Expect(split.Pick(0)).To(Equal(yuccaid.Pool("draft")))
 		Expect(split.Pick(0.899)).To(Equal(yuccaid.Pool("draft")))
 		Expect(split.Pick(0.9)).To(Equal(yuccaid.Pool("desk")))
@@ -90,7 +90,7 @@
 	})
 
 	It("uses the first pool when no weight is set", func() {
-		split := yuccaroute.Route{Pools: []yuccaroute.Share{{Pool: "draft"}, {Pool: "desk"}}}
+		split := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft"}, {Pool: "desk"}}}
 		Expect(split.Pick(0.7)).To(Equal(yuccaid.Pool("draft")))
 	})
 })
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -58,8 +58,8 @@
 func config() yuccaroute.Config {
 	route := func(name string, kind yuccaroute.Kind, attempts int) yuccaroute.Route {
 		return yuccaroute.Route{
-			Name: name, Host: "desk.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second, Aim: 500 * time.Millisecond,
-			Gap: 300 * time.Millisecond, Pools: []yuccaroute.Share{{Pool: "desk", Weight: 1}}, Attempts: attempts,
+			Name: name, Host: "desk.example", Prefix: "/" + name + "/", Kind: kind, Timeout: 2 * time.Second, LatencyTarget: 500 * time.Millisecond,
+			MaxGap: 300 * time.Millisecond, Pools: []yuccaroute.PoolWeight{{Pool: "desk", Weight: 1}}, Attempts: attempts,
 		}
 	}
 	resumed := route("resumed", yuccaroute.Stream, 2)
@@ -69,11 +69,11 @@
 		Pools:  []yuccaroute.Pool{{Name: "desk"}},
 		Accounts: []yuccaroute.Account{
 			{Name: "rally", Keys: []string{"k1"}},
-			{Name: "small", Keys: []string{"k2"}, Quota: yuccaroute.Quota{Rate: 10, Burst: 20, Tokens: true, Default: 5}},
+			{Name: "small", Keys: []string{"k2"}, Quota: yuccaroute.Quota{Rate: 10, Burst: 20, PerToken: true, DefaultTokens: 5}},
 			// Within the hour that windows last in the tests of quotas, its rate is nothing.
-			{Name: "still", Keys: []string{"k3"}, Quota: yuccaroute.Quota{Rate: 0.001, Burst: 100, Tokens: true, Default: 5}},
+			{Name: "still", Keys: []string{"k3"}, Quota: yuccaroute.Quota{Rate: 0.001, Burst: 100, PerToken: true, DefaultTokens: 5}},
 		},
-		Limits: yuccaroute.Limits{Header: 4 << 10, Body: 64 << 10, IdleAfter: 10 * time.Second},
+		Limits: yuccaroute.Limits{Header: 4 << 10, Body: 64 << 10, IdleTimeout: 10 * time.Second},
 	}
 }
 
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -163,10 +163,10 @@
 
 // identify finds the account that holds the request's key.
 func (req *request) identify() *Problem {
-	if !req.table.Keyed() || req.route.Open {
+	if !req.table.RequiresKeys() || req.route.AllowAnonymous {
 		return nil
 	}
-	account, known := req.table.Account(req.caller.Key)
+	account, known := req.table.AccountByKey(req.caller.Key)
 	if !known {
 		return &Problem{Kind: KindKey}
 	}
@@ -251,19 +251,19 @@
 func (req *request) ask() yuccagrant.Ask {
 	ask := yuccagrant.Ask{
 		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, Over: req.over, Prompt: req.caller.Prompt, Answer: req.caller.Answer,
-		Aim: req.arrived.Add(req.route.Aim), Until: req.until, Tried: req.tried,
+		Aim: req.arrived.Add(req.route.LatencyTarget), Until: req.until, Tried: req.tried,
 	}
-	if req.route.Aim <= 0 {
+	if req.route.LatencyTarget <= 0 {
 		ask.Aim = req.until
 	}
 	if req.route.Kind == yuccaroute.Stream {
-		ask.Gap = req.route.Gap
+		ask.Gap = req.route.MaxGap
 	}
 	heard := req.arrived
 	if !req.broke.IsZero() {
 		// The caller notices a pause, not how long ago it asked.
 		heard = req.broke
-		ask.Aim = req.broke.Add(req.route.Gap)
+		ask.Aim = req.broke.Add(req.route.MaxGap)
 	}
 	if req.caller.Patience > 0 && heard.Add(req.caller.Patience).Before(ask.Until) {
 		ask.Until = heard.Add(req.caller.Patience)
@@ -292,7 +292,7 @@
 
 // tier is the account's rank, which goes before that of the route.
 func (req *request) tier() int {
-	if req.account != nil && req.account.Ranked {
+	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
 	}
 	return 0
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -84,7 +84,7 @@
 
 // spaceRank is the rank by which memory is lent: the account's before the route's.
 func (req *request) spaceRank() int {
-	if req.account != nil && req.account.Ranked {
+	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
 	}
 	return req.route.Rank
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -124,7 +124,7 @@
 	It("closes one idle connection when a caller finds no room", func() {
 		gt := sized(0, 1)
 		kept := config()
-		kept.Limits.IdleAfter = time.Minute
+		kept.Limits.IdleTimeout = time.Minute
 		gt.know(1, kept, 4, newEngine("a", nil))
 		var conns []net.Conn
 		for turn := range 16 {
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -61,8 +61,8 @@
 		select {
 		case now := <-ticker.C:
 			limit := defaultIdle
-			if table := srv.gate.tables.Load(); table != nil && table.Config().Limits.IdleAfter > 0 {
-				limit = table.Config().Limits.IdleAfter
+			if table := srv.gate.tables.Load(); table != nil && table.Config().Limits.IdleTimeout > 0 {
+				limit = table.Config().Limits.IdleTimeout
 			}
 			srv.listener.CloseIdle(now.Add(-limit))
 		case <-srv.stop:
--- a/io/yuccagate/silence.go
+++ b/io/yuccagate/silence.go
@@ -55,7 +55,7 @@
 // showed notes an event of a stream.
 func (sil *silence) showed() {
 	if sil.timer != nil && sil.timer.Stop() {
-		sil.timer.Reset(silentGaps * max(sil.req.route.Gap, silentSlack))
+		sil.timer.Reset(silentGaps * max(sil.req.route.MaxGap, silentSlack))
 	}
 }
 
