--- a/core/yuccaroster/entry.go
+++ b/core/yuccaroster/entry.go
@@ -18,9 +18,9 @@
 	Slots   int            `msgpack:"slots"`
 	// Leaving says that the target takes no new work.
 	Leaving bool `msgpack:"leaving"`
-	// Born is the start of the target's process in Unix milliseconds. A target that
+	// ProcessStart is the start of the target's process in Unix milliseconds. A target that
 	// started again under its name holds nothing of what its predecessor held.
-	Born int64 `msgpack:"born"`
+	ProcessStart int64 `msgpack:"born"`
 	// WarmAfter is how much longer after the registration the target is slow.
 	WarmAfter time.Duration `msgpack:"warmAfter"`
 	Revision  Revision      `msgpack:"revision"`
--- a/core/yuccaroster/roster.go
+++ b/core/yuccaroster/roster.go
@@ -81,8 +81,8 @@
 	return true
 }
 
-// Read takes a whole list as it was at a revision: what it lacks has been removed.
-func (ros *Roster) Read(now time.Time, entries []Entry, at Revision, sure bool) {
+// ReplaceAll takes a whole list as it was at a revision: what it lacks has been removed.
+func (ros *Roster) ReplaceAll(now time.Time, entries []Entry, at Revision, sure bool) {
 	listed := make(map[yuccaid.Target]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.Target] = true
--- a/core/yuccaroster/roster_test.go
+++ b/core/yuccaroster/roster_test.go
@@ -67,7 +67,7 @@
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		ros.Put(start, entry("b", 2))
-		ros.Read(start, nil, 9, false)
+		ros.ReplaceAll(start, nil, 9, false)
 		Expect(names(ros.Usable("draft"))).To(Equal([]yuccaid.Target{"a", "b"}))
 		Expect(ros.Tick(start.Add(1900 * time.Millisecond))).To(BeEmpty())
 		Expect(ros.Put(start.Add(time.Second), entry("b", 10))).To(BeTrue())
@@ -79,7 +79,7 @@
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		for at := range 10 {
-			ros.Read(start.Add(time.Duration(at)*300*time.Millisecond), nil, yuccaroster.Revision(5+at), false)
+			ros.ReplaceAll(start.Add(time.Duration(at)*300*time.Millisecond), nil, yuccaroster.Revision(5+at), false)
 		}
 		Expect(ros.Tick(start.Add(2 * time.Second))).To(Equal([]yuccaid.Target{"a"}))
 	})
@@ -87,7 +87,7 @@
 	It("takes a trusted list for the truth", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
-		ros.Read(start, []yuccaroster.Entry{entry("b", 4)}, 5, true)
+		ros.ReplaceAll(start, []yuccaroster.Entry{entry("b", 4)}, 5, true)
 		Expect(names(ros.Entries())).To(Equal([]yuccaid.Target{"b"}))
 	})
 
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -152,7 +152,7 @@
 func (gate *Gate) onTargets(now time.Time, message yuccawire.Targets) {
 	gate.platformAt = max(gate.platformAt, message.At)
 	if message.Whole {
-		gate.roster.Read(now, message.Entries, message.At, message.Sure)
+		gate.roster.ReplaceAll(now, message.Entries, message.At, message.Sure)
 	} else {
 		for _, entry := range message.Entries {
 			gate.roster.Put(now, entry)
@@ -189,7 +189,7 @@
 		switch {
 		case !known:
 			came = append(came, entry.Target)
-		case before.Born != entry.Born:
+		case before.ProcessStart != entry.ProcessStart:
 			reborn = append(reborn, entry.Target)
 		}
 		if entry.Leaving && !before.Leaving {
@@ -223,7 +223,7 @@
 	usable := gate.roster.Usable(dsk.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
 	for _, entry := range usable {
-		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), Born: entry.Born}
+		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), Born: entry.ProcessStart}
 		if gate.settings.Regions[entry.Centre] != gate.settings.Regions[gate.settings.Centre] {
 			target.Away = true
 			target.Way = betweenRegions
