--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -16,31 +16,31 @@
 // differ from what they announce.
 type Class uint32
 
-// Ask is a request that waits for a target.
-type Ask struct {
+// Request is a request that waits for a target.
+type Request struct {
 	ID    ID
 	Class Class
 	// Tier orders requests strictly, and Rank within a tier; 0 is the most urgent of both.
 	Tier int
 	Rank int
-	// Over says that the request's account is beyond its quota and only tolerated.
-	Over bool
+	// OverQuota says that the request's account is beyond its quota and only tolerated.
+	OverQuota bool
 	// Prompt and Answer are the tokens that the request announces, zero where it doesn't.
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// Aim is until when the first event is on time, and Until is when the caller leaves.
-	Aim   time.Time
-	Until time.Time
-	// Gap is the longest pause between two events that counts as on time.
-	Gap time.Duration
-	// Tried are the targets that failed this request before.
-	Tried []yuccaid.Target
+	// SoftDeadline is until when the first event is on time, and Until is when the caller leaves.
+	SoftDeadline   time.Time
+	Deadline time.Time
+	// MaxGap is the longest pause between two events that counts as on time.
+	MaxGap time.Duration
+	// FailedTargets are the targets that failed this request before.
+	FailedTargets []yuccaid.Target
 }
 
 // rank returns the request's rank, which is lower when its account has had its share.
-func (ask *Ask) rank() int {
+func (ask *Request) rank() int {
 	rank := min(max(ask.Rank, 0), mostRank)
-	if ask.Over {
+	if ask.OverQuota {
 		rank += overRanks
 	}
 	return rank
@@ -50,9 +50,9 @@
 type Grant struct {
 	ID     ID
 	Target yuccaid.Target
-	// Expect is when the first event was expected after the sending, and Busy how many runs
+	// ExpectedFirst is when the first event was expected after the sending, and Busy how many runs
 	// the target had before, for the log.
-	Expect time.Duration
+	ExpectedFirst time.Duration
 	Busy   int
 }
 
@@ -65,20 +65,20 @@
 	ReasonNoTarget Reason = "noTarget"
 	// ReasonLate says that the answer would begin too late to be of use.
 	ReasonLate Reason = "late"
-	// ReasonFull says that too many wait.
-	ReasonFull Reason = "full"
+	// ReasonQueueFull says that too many wait.
+	ReasonQueueFull Reason = "full"
 )
 
 // Refusal is the final answer to an ask; Back is when coming back makes sense.
 type Refusal struct {
 	ID     ID
 	Reason Reason
-	Back   time.Duration
-	// Waiting and Free are how many waited before the request and how many places were free,
+	RetryAfter   time.Duration
+	// QueueLength and Free are how many waited before the request and how many places were free,
 	// and Wait how long it would have waited, for the log.
-	Waiting int
-	Free    int
-	Wait    time.Duration
+	QueueLength int
+	FreeSlots    int
+	EstimatedWait    time.Duration
 }
 
 // Decisions is what one event led to.
@@ -120,23 +120,23 @@
 	return "unknown"
 }
 
-// Ended gives a target's place back and tells how the run went.
-type Ended struct {
+// Finished gives a target's place back and tells how the run went.
+type Finished struct {
 	ID      ID
 	Outcome Outcome
-	// First is the time from sending to the first event, zero if there was none.
-	First time.Duration
+	// TimeToFirst is the time from sending to the first event, zero if there was none.
+	TimeToFirst time.Duration
 	// Events counts the events, Span is the time from the first to the last, and Pause the
 	// longest between two.
 	Events int
 	Span   time.Duration
-	Pause  time.Duration
+	LongestGap  time.Duration
 	// Load is the target's own word on its load, if it gave one.
-	Load Load
+	Load ReportedLoad
 }
 
-// Load is what a target says runs and waits there.
-type Load struct {
+// ReportedLoad is what a target says runs and waits there.
+type ReportedLoad struct {
 	Known   bool
 	Running int
 	Waiting int
@@ -144,21 +144,21 @@
 
 // Running is a run that an owner tells a new leader of.
 type Running struct {
-	Ask    Ask
+	Request    Request
 	Target yuccaid.Target
 	Sent   time.Time
-	// Begun says that the first event has come.
-	Begun bool
+	// Started says that the first event has come.
+	Started bool
 }
 
 // Target is what is known of one target without having used it.
 type Target struct {
 	Name  yuccaid.Target
 	Slots int
-	// Born tells a restarted target from its predecessor.
-	Born int64
-	// Way is the time that a message takes there and back.
-	Way time.Duration
-	// Away says that the way is paid by volume.
-	Away bool
+	// StartMillis tells a restarted target from its predecessor.
+	StartMillis int64
+	// RoundTrip is the time that a message takes there and back.
+	RoundTrip time.Duration
+	// Remote says that the way is paid by volume.
+	Remote bool
 }
--- a/core/yuccagrant/bench_test.go
+++ b/core/yuccagrant/bench_test.go
@@ -20,7 +20,7 @@
 		for i := range targets {
 			target := yuccagrant.Target{Name: yuccaid.Target(fmt.Sprintf("engine-%d", i)), Slots: 6}
 			if i%3 > 0 {
-				target.Away, target.Way = true, 60*time.Millisecond
+				target.Remote, target.RoundTrip = true, 60*time.Millisecond
 			}
 			list = append(list, target)
 		}
@@ -29,8 +29,8 @@
 		serve := func() {
 			number++
 			id := yuccagrant.ID{Number: number}
-			lead.Ask(now, yuccagrant.Ask{ID: id, Prompt: 400, Aim: now.Add(time.Second), Until: now.Add(4 * time.Second)})
-			lead.Ended(now, yuccagrant.Ended{ID: id, Outcome: yuccagrant.Served, First: 100 * time.Millisecond})
+			lead.Submit(now, yuccagrant.Request{ID: id, Prompt: 400, SoftDeadline: now.Add(time.Second), Deadline: now.Add(4 * time.Second)})
+			lead.RunFinished(now, yuccagrant.Finished{ID: id, Outcome: yuccagrant.Served, TimeToFirst: 100 * time.Millisecond})
 		}
 		for range 10_000 {
 			serve()
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -22,7 +22,7 @@
 	held, gap, read float64
 }
 
-func (lead *Leader) basis(ask *Ask) basis {
+func (lead *Leader) basis(ask *Request) basis {
 	_, slope := lead.model.line()
 	return basis{
 		first: seconds(lead.first(ask)), held: lead.model.held(), gap: lead.model.gap(),
@@ -47,13 +47,13 @@
 	*bnd = bound{near: len(nodes), pace: math.Inf(1)}
 	for at, nd := range nodes {
 		bnd.pace = min(bnd.pace, nd.pace)
-		if !nd.Away {
+		if !nd.Remote {
 			continue
 		}
 		if at < bnd.near {
-			bnd.near, bnd.way = at, nd.Way
+			bnd.near, bnd.way = at, nd.RoundTrip
 		}
-		bnd.way = min(bnd.way, nd.Way)
+		bnd.way = min(bnd.way, nd.RoundTrip)
 	}
 }
 
@@ -63,7 +63,7 @@
 // Made for targets of unlike pace in several data centres. The cost is the time to the
 // first event, and what it adds that the target is crowded, that its answers pause or
 // fail, and that the way there is paid for.
-func (lead *Leader) choose(now time.Time, ask *Ask) choice {
+func (lead *Leader) choose(now time.Time, ask *Request) choice {
 	best := choice{cost: math.MaxInt64}
 	view := lead.basis(ask)
 	least := time.Duration(lead.bound.pace*float64(view.first)) + lead.bound.way + awayCost
@@ -82,19 +82,19 @@
 	return best
 }
 
-func (lead *Leader) estimate(now time.Time, nd *node, ask *Ask, view *basis) choice {
+func (lead *Leader) estimate(now time.Time, nd *node, ask *Request, view *basis) choice {
 	work := time.Duration(nd.pace * float64(view.first))
 	busy := nd.busy(now)
 	slots := float64(max(nd.Slots, 1))
 	crowd := crowdCost * float64(busy) / slots
 	wait := seconds(float64(max(busy-nd.Slots+1, 0)) * view.held * nd.pace / slots)
-	one := choice{node: nd, first: wait + work + nd.Way}
+	one := choice{node: nd, first: wait + work + nd.RoundTrip}
 	one.cost = one.first + time.Duration((crowd+nd.bias)*float64(work)) +
 		time.Duration(nd.late*float64(lateCost)) + time.Duration(nd.failed*float64(failCost))
-	if nd.Away {
+	if nd.Remote {
 		one.cost += awayCost
 	}
-	left := ask.Aim.Sub(now)
+	left := ask.SoftDeadline.Sub(now)
 	one.suits = one.first <= time.Duration(margin*float64(left)) && !pauses(nd, ask, view)
 	return one
 }
@@ -103,12 +103,12 @@
 // nothing disturbs it, or whether reading the prompt would make the answers beside it pause.
 // An engine reads a long prompt in parts between the tokens of its other answers; on a slow
 // target each part takes as long as several pauses may last.
-func pauses(nd *node, ask *Ask, view *basis) bool {
-	if ask.Gap <= 0 {
+func pauses(nd *node, ask *Request, view *basis) bool {
+	if ask.MaxGap <= 0 {
 		return false
 	}
 	read := seconds(nd.pace * view.read)
-	return seconds(nd.pace*view.gap) > ask.Gap/2 || nd.pace > slowPace && read > ask.Gap
+	return seconds(nd.pace*view.gap) > ask.MaxGap/2 || nd.pace > slowPace && read > ask.MaxGap
 }
 
 // free returns how many places are free on targets that get work.
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -23,23 +23,23 @@
 		for i := range rapid.IntRange(1, 8).Draw(rt, "targets") {
 			target := Target{Name: yuccaid.Target(fmt.Sprint("engine-", i)), Slots: rapid.IntRange(1, 6).Draw(rt, "slots")}
 			if rapid.Bool().Draw(rt, "away") {
-				target.Away, target.Way = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "way"))*time.Millisecond
+				target.Remote, target.RoundTrip = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "way"))*time.Millisecond
 			}
 			targets = append(targets, target)
 		}
 		lead.Configure(now, targets)
 		for number := range uint64(rapid.IntRange(0, 60).Draw(rt, "requests")) {
-			ask := Ask{
+			ask := Request{
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
-				Aim: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Until: now.Add(10 * time.Second),
+				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
 			}
 			if got, want := lead.choose(now, &ask), lead.bestOfAll(now, &ask); got.node != want.node {
 				rt.Fatalf("chose %+v instead of %+v", got, want)
 			}
-			lead.Ask(now, ask)
+			lead.Submit(now, ask)
 			if rapid.Bool().Draw(rt, "ends") {
 				took := time.Duration(rapid.IntRange(1, 2000).Draw(rt, "took")) * time.Millisecond
-				lead.Ended(now, Ended{ID: ask.ID, Outcome: Served, First: took})
+				lead.RunFinished(now, Finished{ID: ask.ID, Outcome: Served, TimeToFirst: took})
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "pause")) * time.Millisecond)
 			lead.Tick(now)
@@ -48,7 +48,7 @@
 }
 
 // bestOfAll is choose without the bound.
-func (lead *Leader) bestOfAll(now time.Time, ask *Ask) choice {
+func (lead *Leader) bestOfAll(now time.Time, ask *Request) choice {
 	lead.bound.near = math.MaxInt
 	defer lead.bound.configure(lead.nodes)
 	return lead.choose(now, ask)
--- a/core/yuccagrant/empty_test.go
+++ b/core/yuccagrant/empty_test.go
@@ -12,8 +12,8 @@
 
 var _ = Describe("a pool without targets", func() {
 	start := time.Unix(1_700_000_000, 0)
-	ask := func(number uint64, now time.Time) yuccagrant.Ask {
-		return yuccagrant.Ask{ID: yuccagrant.ID{Owner: owner, Number: number}, Aim: now.Add(time.Second), Until: now.Add(4 * time.Second)}
+	ask := func(number uint64, now time.Time) yuccagrant.Request {
+		return yuccagrant.Request{ID: yuccagrant.ID{Owner: owner, Number: number}, SoftDeadline: now.Add(time.Second), Deadline: now.Add(4 * time.Second)}
 	}
 	empty := func() *yuccagrant.Leader {
 		lead := yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
@@ -25,7 +25,7 @@
 	// comes between the two. Sent away, it would come back half a second later for nothing.
 	It("serves who came just before its first target", func() {
 		lead := empty()
-		Expect(lead.Ask(start, ask(1, start))).To(BeZero())
+		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
 		dec := lead.Configure(start.Add(50*time.Millisecond), []yuccagrant.Target{{Name: "a", Slots: 1}})
 		Expect(dec.Grants).To(HaveLen(1))
 		Expect(dec.Grants[0].Target).To(BeEquivalentTo("a"))
@@ -35,13 +35,13 @@
 	// when they can no longer be served on time, and at once when the targets are gone.
 	It("refuses who has waited in vain, and everybody once its targets are gone", func() {
 		lead := empty()
-		Expect(lead.Ask(start, ask(1, start))).To(BeZero())
+		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
 		Expect(lead.Tick(start.Add(900 * time.Millisecond)).Refusals).To(BeEmpty())
-		Expect(lead.Ask(start.Add(1500*time.Millisecond), ask(2, start.Add(1500*time.Millisecond)))).To(BeZero())
+		Expect(lead.Submit(start.Add(1500*time.Millisecond), ask(2, start.Add(1500*time.Millisecond)))).To(BeZero())
 		dec := lead.Tick(start.Add(1600 * time.Millisecond))
 		Expect(dec.Refusals).To(HaveLen(1))
 		Expect(dec.Refusals[0].Reason).To(Equal(yuccagrant.ReasonNoTarget))
 		Expect(lead.Tick(start.Add(2100 * time.Millisecond)).Refusals).To(HaveLen(1))
-		Expect(lead.Ask(start.Add(2200*time.Millisecond), ask(3, start.Add(2200*time.Millisecond))).Refusals).To(HaveLen(1))
+		Expect(lead.Submit(start.Add(2200*time.Millisecond), ask(3, start.Add(2200*time.Millisecond))).Refusals).To(HaveLen(1))
 	})
 })
--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -118,11 +118,11 @@
 	went.events++
 	if went.events == 1 {
 		one.first = eng.batch.at
-		one.onTime = !one.first.After(one.ask.Aim)
-		wld.apply(wld.lead.Begun(wld.now, one.ask.ID, one.first.Sub(one.sent), yuccagrant.Load{}))
+		one.onTime = !one.first.After(one.ask.SoftDeadline)
+		wld.apply(wld.lead.RunStarted(wld.now, one.ask.ID, one.first.Sub(one.sent), yuccagrant.ReportedLoad{}))
 	} else {
 		went.pause = max(went.pause, eng.batch.at.Sub(went.last))
-		one.onTime = one.onTime && went.pause <= one.ask.Gap
+		one.onTime = one.onTime && went.pause <= one.ask.MaxGap
 	}
 	went.last = eng.batch.at
 }
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -45,7 +45,7 @@
 	usual := usualPace(old)
 	for _, target := range targets {
 		nd := old[target.Name]
-		if nd == nil || nd.Born != target.Born {
+		if nd == nil || nd.StartMillis != target.StartMillis {
 			nd = newNode(target, biasPart*lead.rng.Float64())
 			nd.pace = usual
 		}
@@ -71,17 +71,17 @@
 
 func compareAway(a, b *node) int {
 	switch {
-	case a.Away == b.Away:
+	case a.Remote == b.Remote:
 		return 0
-	case b.Away:
+	case b.Remote:
 		return -1
 	}
 	return 1
 }
 
-// Share sets how many daemons decide on the same targets without knowing of one another:
+// SetLeaderCount sets how many daemons decide on the same targets without knowing of one another:
 // each takes its part of the places. There is one at least.
-func (lead *Leader) Share(now time.Time, sharers int) Decisions {
+func (lead *Leader) SetLeaderCount(now time.Time, sharers int) Decisions {
 	var dec Decisions
 	if sharers == lead.sharers {
 		return dec
@@ -109,8 +109,8 @@
 	return known[len(known)/2]
 }
 
-// Ask takes a request: it is granted, refused or left waiting.
-func (lead *Leader) Ask(now time.Time, ask Ask) Decisions {
+// Submit takes a request: it is granted, refused or left waiting.
+func (lead *Leader) Submit(now time.Time, ask Request) Decisions {
 	var dec Decisions
 	if _, runs := lead.runs[ask.ID]; runs {
 		return dec
@@ -123,13 +123,13 @@
 		return dec
 	}
 	if lead.queue.len() >= mostWaiting {
-		lead.refuse(now, lead.newWaiting(now, ask), ReasonFull, &dec)
+		lead.refuse(now, lead.newWaiting(now, ask), ReasonQueueFull, &dec)
 		return dec
 	}
 	item := lead.newWaiting(now, ask)
 	lead.queue.push(item)
 	lead.serve(now, &dec)
-	if lead.Waits(ask.ID) && lead.hopeless(now, item) {
+	if lead.IsWaiting(ask.ID) && lead.hopeless(now, item) {
 		lead.queue.remove(ask.ID)
 		lead.refuse(now, item, ReasonLate, &dec)
 	}
@@ -155,8 +155,8 @@
 	return dec
 }
 
-// Begun notes a run's first event, and what its target said of its load with it.
-func (lead *Leader) Begun(now time.Time, id ID, took time.Duration, load Load) Decisions {
+// RunStarted notes a run's first event, and what its target said of its load with it.
+func (lead *Leader) RunStarted(now time.Time, id ID, took time.Duration, load ReportedLoad) Decisions {
 	var dec Decisions
 	one, runs := lead.runs[id]
 	if !runs || one.begun {
@@ -169,15 +169,15 @@
 	return dec
 }
 
-// Ended frees a place and learns from how the run went.
-func (lead *Leader) Ended(now time.Time, end Ended) Decisions {
+// RunFinished frees a place and learns from how the run went.
+func (lead *Leader) RunFinished(now time.Time, end Finished) Decisions {
 	var dec Decisions
 	one, runs := lead.runs[end.ID]
 	if !runs {
 		return dec
 	}
-	if end.First > 0 && !one.begun {
-		lead.learnFirst(one, end.First)
+	if end.TimeToFirst > 0 && !one.begun {
+		lead.learnFirst(one, end.TimeToFirst)
 	}
 	if !one.begun {
 		one.node.reported(now, end.Load)
@@ -188,24 +188,24 @@
 	return dec
 }
 
-// Hold counts a run that was granted by another leader.
-func (lead *Leader) Hold(now time.Time, running Running) {
-	if _, runs := lead.runs[running.Ask.ID]; runs {
+// AddRunning counts a run that was granted by another leader.
+func (lead *Leader) AddRunning(now time.Time, running Running) {
+	if _, runs := lead.runs[running.Request.ID]; runs {
 		return
 	}
-	lead.queue.remove(running.Ask.ID)
+	lead.queue.remove(running.Request.ID)
 	nd, known := lead.byName[running.Target]
 	if !known {
 		return
 	}
-	one := lead.start(now, nd, running.Ask)
+	one := lead.start(now, nd, running.Request)
 	one.sent = running.Sent
-	one.begun = running.Begun
+	one.begun = running.Started
 }
 
-// OwnerGone drops what a lost daemon had waiting and running. Targets drop a request whose
+// DropOwner drops what a lost daemon had waiting and running. Targets drop a request whose
 // connection closes.
-func (lead *Leader) OwnerGone(now time.Time, owner yuccaid.Incarnation) Decisions {
+func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	for id, item := range lead.queue.byID {
 		if item.ID.Owner == owner {
@@ -221,9 +221,9 @@
 	return dec
 }
 
-// Keep drops what other owners than one have waiting and running, when leadership has gone
+// DropOtherOwners drops what other owners than one have waiting and running, when leadership has gone
 // to another daemon.
-func (lead *Leader) Keep(owner yuccaid.Incarnation) {
+func (lead *Leader) DropOtherOwners(owner yuccaid.Incarnation) {
 	for id := range lead.queue.byID {
 		if id.Owner != owner {
 			lead.queue.remove(id)
@@ -236,9 +236,9 @@
 	}
 }
 
-// SetOthers sets how many runs the leaders of other data centres have on some targets, and
+// SetRemoteLoads sets how many runs the leaders of other data centres have on some targets, and
 // takes over the paces that they have learned where this leader knows none.
-func (lead *Leader) SetOthers(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
+func (lead *Leader) SetRemoteLoads(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
 	var dec Decisions
 	for target, load := range loads {
 		if nd, known := lead.byName[target]; known {
@@ -252,8 +252,8 @@
 	return dec
 }
 
-// ForgetOthers drops what SetOthers set.
-func (lead *Leader) ForgetOthers() {
+// ClearRemoteLoads drops what SetOthers set.
+func (lead *Leader) ClearRemoteLoads() {
 	for _, nd := range lead.nodes {
 		nd.others = 0
 	}
@@ -285,8 +285,8 @@
 	return TargetLoad{}
 }
 
-// Waits reports whether a request waits.
-func (lead *Leader) Waits(id ID) bool {
+// IsWaiting reports whether a request waits.
+func (lead *Leader) IsWaiting(id ID) bool {
 	_, waits := lead.queue.byID[id]
 	return waits
 }
@@ -307,15 +307,15 @@
 	return dec
 }
 
-// Waiting returns how many requests wait.
-func (lead *Leader) Waiting() int { return lead.queue.len() }
+// QueueLength returns how many requests wait.
+func (lead *Leader) QueueLength() int { return lead.queue.len() }
 
 // Targets returns how the targets look to the leader.
-func (lead *Leader) Targets(now time.Time) []Status {
-	list := make([]Status, 0, len(lead.nodes))
+func (lead *Leader) Targets(now time.Time) []TargetStatus {
+	list := make([]TargetStatus, 0, len(lead.nodes))
 	for _, nd := range lead.nodes {
-		list = append(list, Status{
-			Target: nd.Name, Busy: nd.busy(now), Slots: nd.Slots, Pace: nd.pace, Late: nd.late, Failed: nd.failed, Resting: nd.resting(now),
+		list = append(list, TargetStatus{
+			Target: nd.Name, Busy: nd.busy(now), Slots: nd.Slots, Pace: nd.pace, LateFraction: nd.late, FailureRate: nd.failed, BackingOff: nd.resting(now),
 		})
 	}
 	return list
--- a/core/yuccagrant/learn.go
+++ b/core/yuccagrant/learn.go
@@ -7,20 +7,20 @@
 
 // learnFirst takes a first event into the pool's model and the target's pace.
 func (lead *Leader) learnFirst(one *run, took time.Duration) {
-	net := max(took-one.node.Way, time.Millisecond).Seconds()
+	net := max(took-one.node.RoundTrip, time.Millisecond).Seconds()
 	expected := max(lead.model.first(one.ask.Prompt), time.Millisecond).Seconds()
-	honest := one.ask.Gap == 0 || lead.lengths.learnFirst(one.ask.Class, net/one.node.pace/expected)
+	honest := one.ask.MaxGap == 0 || lead.lengths.learnFirst(one.ask.Class, net/one.node.pace/expected)
 	if honest {
 		lead.model.learnFirst(one.ask.Prompt, net/one.node.pace)
 	}
-	if lead.model.seen > 1 && one.ask.Gap == 0 {
+	if lead.model.seen > 1 && one.ask.MaxGap == 0 {
 		one.node.learnPace(net/expected, callWeight)
 		lead.repaced(one.node)
 	}
 }
 
 // judge learns from how a run ended.
-func (lead *Leader) judge(now time.Time, one *run, end Ended) {
+func (lead *Leader) judge(now time.Time, one *run, end Finished) {
 	nd := one.node
 	switch end.Outcome {
 	case Served:
@@ -40,12 +40,12 @@
 	}
 }
 
-func (lead *Leader) learnServed(now time.Time, one *run, end Ended) {
+func (lead *Leader) learnServed(now time.Time, one *run, end Finished) {
 	nd := one.node
 	nd.strikes = 0
 	nd.outcome(false)
 	lead.model.learnHold(now.Sub(one.sent).Seconds() / nd.pace)
-	if one.ask.Gap > 0 {
+	if one.ask.MaxGap > 0 {
 		lead.lengths.learnAnswer(&one.ask, end.Events)
 	}
 	if end.Events > eventsForPace && end.Span > 0 {
@@ -57,8 +57,8 @@
 			lead.repaced(nd)
 		}
 	}
-	if one.ask.Gap > 0 {
-		nd.learnPause(end.Pause > one.ask.Gap)
+	if one.ask.MaxGap > 0 {
+		nd.learnPause(end.LongestGap > one.ask.MaxGap)
 	}
 }
 
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -46,7 +46,7 @@
 
 // events returns how many events an answer is expected to have, or false if nothing like it
 // has been seen.
-func (known *lengths) events(ask *Ask) (float64, bool) {
+func (known *lengths) events(ask *Request) (float64, bool) {
 	past := known.classes[ask.Class]
 	enough := past != nil && past.weight >= lengthsEnough
 	switch {
@@ -70,7 +70,7 @@
 }
 
 // learnAnswer takes a whole answer in.
-func (known *lengths) learnAnswer(ask *Ask, events int) {
+func (known *lengths) learnAnswer(ask *Request, events int) {
 	past := known.of(ask.Class)
 	past.weight = past.weight*lengthKept + 1
 	past.events = past.events*lengthKept + float64(events)
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -32,7 +32,7 @@
 
 // run is one request on a target.
 type run struct {
-	ask    Ask
+	ask    Request
 	node   *node
 	sent   time.Time
 	begun  bool
@@ -79,7 +79,7 @@
 
 // reported takes the target's own word on its load. What the leaders of other data centres
 // told is a moment older, so a difference of a run or two means nothing.
-func (nd *node) reported(now time.Time, load Load) {
+func (nd *node) reported(now time.Time, load ReportedLoad) {
 	if !load.Known {
 		return
 	}
@@ -148,8 +148,8 @@
 	nd.late += lateWeight * (sample - nd.late)
 }
 
-func (nd *node) tried(ask *Ask) bool {
-	for _, name := range ask.Tried {
+func (nd *node) tried(ask *Request) bool {
+	for _, name := range ask.FailedTargets {
 		if name == nd.Name {
 			return true
 		}
@@ -157,13 +157,13 @@
 	return false
 }
 
-// Status is one target as the leader sees it, for operators.
-type Status struct {
+// TargetStatus is one target as the leader sees it, for operators.
+type TargetStatus struct {
 	Target  yuccaid.Target `json:"target"`
 	Busy    int            `json:"busy"`
 	Slots   int            `json:"slots"`
 	Pace    float64        `json:"pace"`
-	Late    float64        `json:"late"`
-	Failed  float64        `json:"failed"`
-	Resting bool           `json:"resting"`
+	LateFraction    float64        `json:"late"`
+	FailureRate  float64        `json:"failed"`
+	BackingOff bool           `json:"resting"`
 }
--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -82,12 +82,12 @@
 		lead, now := knowing(quickClass, slowClass)
 		running, number := lead.fill(now, quickClass, 8+2)
 		start := now
-		lead.Ask(now, askOf(1, slowClass, now))
+		lead.Submit(now, askOf(1, slowClass, now))
 		for waited := time.Duration(0); ; waited = now.Sub(start) {
 			Expect(waited).To(BeNumerically("<=", 2100*time.Millisecond))
 			now = now.Add(20 * time.Millisecond)
 			number++
-			Expect(lead.Ask(now, askOf(number, quickClass, now)).Grants).To(BeEmpty())
+			Expect(lead.Submit(now, askOf(number, quickClass, now)).Grants).To(BeEmpty())
 			lead.Tick(now)
 			granted := lead.end(now, running[0])
 			running = append(running[1:], granted)
@@ -109,7 +109,7 @@
 				wld.classes = slices.Clone(feed)
 				for _, cls := range feed {
 					cls.kind, cls.share = "rushing "+cls.kind, cls.share*0.5
-					cls.lies = func(ask *yuccagrant.Ask) { ask.Over = over && ask.ID.Number%5 > 0 }
+					cls.lies = func(ask *yuccagrant.Request) { ask.OverQuota = over && ask.ID.Number%5 > 0 }
 					wld.classes = append(wld.classes, cls)
 				}
 				for at := range feed {
@@ -129,19 +129,19 @@
 	// An account announces one token for each of its long answers, or 50,000 tokens for each of
 	// its short prompts, while the engines are full.
 	DescribeTable("gives an account that announces wrong lengths no more than one that announces none",
-		func(lies func(ask *yuccagrant.Ask)) {
-			Expect(beside(lies)).To(BeNumerically(">=", beside(func(ask *yuccagrant.Ask) { ask.Prompt, ask.Answer = 0, 0 })-0.02))
+		func(lies func(ask *yuccagrant.Request)) {
+			Expect(beside(lies)).To(BeNumerically(">=", beside(func(ask *yuccagrant.Request) { ask.Prompt, ask.Answer = 0, 0 })-0.02))
 		},
-		Entry("one token of each answer", func(ask *yuccagrant.Ask) { ask.Answer = 1 }),
-		Entry("one token of each prompt", func(ask *yuccagrant.Ask) { ask.Prompt = 1 }),
-		Entry("far too many of each prompt", func(ask *yuccagrant.Ask) { ask.Prompt = 50_000 }),
-		Entry("far too many of each answer", func(ask *yuccagrant.Ask) { ask.Answer = 50_000 }),
+		Entry("one token of each answer", func(ask *yuccagrant.Request) { ask.Answer = 1 }),
+		Entry("one token of each prompt", func(ask *yuccagrant.Request) { ask.Prompt = 1 }),
+		Entry("far too many of each prompt", func(ask *yuccagrant.Request) { ask.Prompt = 50_000 }),
+		Entry("far too many of each answer", func(ask *yuccagrant.Request) { ask.Answer = 50_000 }),
 	)
 })
 
 // beside returns the part of all others that is served beside an account that lies about its
 // questions.
-func beside(lies func(ask *yuccagrant.Ask)) float64 {
+func beside(lies func(ask *yuccagrant.Request)) float64 {
 	var sum tally
 	for seed := range uint64(3) {
 		wld := feedWorld(seed)
@@ -174,10 +174,10 @@
 	for number := range uint64(40) {
 		cls := classes[number%uint64(len(classes))]
 		one := askOf(1000+number, cls, now)
-		lead.Ask(now, one)
+		lead.Submit(now, one)
 		span := time.Duration(cls.events) * 10 * time.Millisecond
 		now = now.Add(50*time.Millisecond + span)
-		lead.Ended(now, yuccagrant.Ended{ID: one.ID, Outcome: yuccagrant.Served, First: 50 * time.Millisecond, Events: int(cls.events), Span: span})
+		lead.RunFinished(now, yuccagrant.Finished{ID: one.ID, Outcome: yuccagrant.Served, TimeToFirst: 50 * time.Millisecond, Events: int(cls.events), Span: span})
 	}
 	lead.Tick(now)
 	return lead, now
@@ -186,7 +186,7 @@
 // fill has so many requests granted, and returns them and the last number used.
 func (lead eight) fill(now time.Time, cls class, count int) (running []yuccagrant.ID, number uint64) {
 	for number = 2000; number < 2000+uint64(count); number++ {
-		dec := lead.Ask(now, askOf(number, cls, now))
+		dec := lead.Submit(now, askOf(number, cls, now))
 		Expect(dec.Grants).To(HaveLen(1))
 		running = append(running, idOf(number))
 	}
@@ -195,17 +195,17 @@
 
 // end ends a run and returns the request that gets its place.
 func (lead eight) end(now time.Time, id yuccagrant.ID) yuccagrant.ID {
-	dec := lead.Ended(now, yuccagrant.Ended{ID: id, Outcome: yuccagrant.Served, First: 50 * time.Millisecond, Events: 2, Span: 10 * time.Millisecond})
+	dec := lead.RunFinished(now, yuccagrant.Finished{ID: id, Outcome: yuccagrant.Served, TimeToFirst: 50 * time.Millisecond, Events: 2, Span: 10 * time.Millisecond})
 	Expect(dec.Grants).To(HaveLen(1))
 	return dec.Grants[0].ID
 }
 
 func idOf(number uint64) yuccagrant.ID { return yuccagrant.ID{Owner: owner, Number: number} }
 
-func askOf(number uint64, cls class, now time.Time) yuccagrant.Ask {
-	return yuccagrant.Ask{
+func askOf(number uint64, cls class, now time.Time) yuccagrant.Request {
+	return yuccagrant.Request{
 		ID: idOf(number), Rank: cls.rank, Class: classOf(cls.kind), Prompt: 100, Answer: yuccaid.Tokens(6 * cls.events),
-		Aim: now.Add(time.Second), Until: now.Add(4 * time.Second), Gap: time.Second,
+		SoftDeadline: now.Add(time.Second), Deadline: now.Add(4 * time.Second), MaxGap: time.Second,
 	}
 }
 
@@ -214,15 +214,15 @@
 	RegisterTestingT(b)
 	lead, now := knowing(quickClass, slowClass)
 	running, number := lead.fill(now, slowClass, 10)
-	for lead.Waiting() < 1990 {
+	for lead.QueueLength() < 1990 {
 		number++
 		one := askOf(number, slowClass, now)
-		one.Aim, one.Until = now.Add(time.Hour), now.Add(2*time.Hour)
-		lead.Ask(now, one)
+		one.SoftDeadline, one.Deadline = now.Add(time.Hour), now.Add(2*time.Hour)
+		lead.Submit(now, one)
 	}
 	for b.Loop() {
 		number++
-		lead.Ask(now, askOf(number, quickClass, now))
+		lead.Submit(now, askOf(number, quickClass, now))
 		running = append(running[1:], lead.end(now, running[0]))
 	}
 }
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -15,20 +15,20 @@
 func (lead *Leader) hopeless(now time.Time, item *waiting) bool {
 	if lead.model.holds < fewHolds {
 		// Nobody knows yet how long a place is held.
-		return !now.Before(item.Until)
+		return !now.Before(item.Deadline)
 	}
-	begin := lead.wait(now, lead.queue.ahead(item.Tier, item.index)) + seconds(lead.first(&item.Ask))
-	if begin <= item.Aim.Sub(now)+soon {
+	begin := lead.wait(now, lead.queue.ahead(item.Tier, item.index)) + seconds(lead.first(&item.Request))
+	if begin <= item.SoftDeadline.Sub(now)+soon {
 		return false
 	}
-	if lead.lowerRuns(&item.Ask) {
-		return begin > time.Duration(patience*float64(item.Until.Sub(now)))
+	if lead.lowerRuns(&item.Request) {
+		return begin > time.Duration(patience*float64(item.Deadline.Sub(now)))
 	}
 	return true
 }
 
 // lowerRuns reports whether something less urgent runs.
-func (lead *Leader) lowerRuns(ask *Ask) bool {
+func (lead *Leader) lowerRuns(ask *Request) bool {
 	for _, one := range lead.runs {
 		if cmp.Or(cmp.Compare(one.ask.Tier, ask.Tier), cmp.Compare(one.ask.rank(), ask.rank())) > 0 {
 			return true
@@ -45,7 +45,7 @@
 	}
 	var gone []*waiting
 	for _, item := range lead.queue.byID {
-		if !item.onTime(now) && lead.hopeless(now, item) || !now.Before(item.Until) {
+		if !item.onTime(now) && lead.hopeless(now, item) || !now.Before(item.Deadline) {
 			gone = append(gone, item)
 		}
 	}
@@ -75,8 +75,8 @@
 	lead.sizes.learn(item.rank(), item.work, false)
 	wait := lead.wait(now, lead.queue.ahead(item.Tier, item.index))
 	dec.Refusals = append(dec.Refusals, Refusal{
-		ID: item.ID, Reason: reason, Back: lead.back(now, item.Tier),
-		Waiting: lead.queue.len(), Free: lead.free(now), Wait: wait,
+		ID: item.ID, Reason: reason, RetryAfter: lead.back(now, item.Tier),
+		QueueLength: lead.queue.len(), FreeSlots: lead.free(now), EstimatedWait: wait,
 	})
 }
 
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -45,24 +45,24 @@
 // place grants a request its best target. One that can still be on time waits rather than
 // take a target where it would be late, while a better one may become free in time.
 func (lead *Leader) place(now time.Time, item *waiting, dec *Decisions) bool {
-	best := lead.choose(now, &item.Ask)
+	best := lead.choose(now, &item.Request)
 	if best.node == nil {
 		return false
 	}
-	if !best.suits && item.onTime(now) && lead.worthWaiting(now, &item.Ask) {
+	if !best.suits && item.onTime(now) && lead.worthWaiting(now, &item.Request) {
 		return false
 	}
 	lead.queue.remove(item.ID)
 	lead.sizes.learn(item.rank(), item.work, true)
 	busy := best.node.busy(now)
-	lead.start(now, best.node, item.Ask)
-	dec.Grants = append(dec.Grants, Grant{ID: item.ID, Target: best.node.Name, Expect: best.first, Busy: busy})
+	lead.start(now, best.node, item.Request)
+	dec.Grants = append(dec.Grants, Grant{ID: item.ID, Target: best.node.Name, ExpectedFirst: best.first, Busy: busy})
 	return true
 }
 
 // worthWaiting reports whether a target that would suit the request is full now and
 // likely to have a place while the request can still be on time.
-func (lead *Leader) worthWaiting(now time.Time, ask *Ask) bool {
+func (lead *Leader) worthWaiting(now time.Time, ask *Request) bool {
 	wait := lead.nextPlace(now)
 	view := lead.basis(ask)
 	for _, nd := range lead.nodes {
@@ -70,7 +70,7 @@
 			continue
 		}
 		one := lead.estimate(now, nd, ask, &view)
-		if one.suits && one.first+wait <= time.Duration(margin*float64(ask.Aim.Sub(now))) {
+		if one.suits && one.first+wait <= time.Duration(margin*float64(ask.SoftDeadline.Sub(now))) {
 			return true
 		}
 	}
@@ -88,27 +88,27 @@
 }
 
 // newWaiting returns an ask for the queue.
-func (lead *Leader) newWaiting(now time.Time, ask Ask) *waiting {
+func (lead *Leader) newWaiting(now time.Time, ask Request) *waiting {
 	work := lead.work(&ask)
 	weight := math.Pow(rankWeight, float64(ask.rank()))
-	return &waiting{Ask: ask, asked: now, work: work, index: weight * lead.sizes.weigh(ask.rank(), work)}
+	return &waiting{Request: ask, asked: now, work: work, index: weight * lead.sizes.weigh(ask.rank(), work)}
 }
 
 // work is how long a run is expected to hold a place of the quickest target, in seconds.
-func (lead *Leader) work(ask *Ask) float64 {
+func (lead *Leader) work(ask *Request) float64 {
 	events, known := lead.lengths.events(ask)
-	if ask.Gap <= 0 || !known {
+	if ask.MaxGap <= 0 || !known {
 		return lead.model.held()
 	}
 	return lead.first(ask) + lead.model.gap()*max(events-1, 0)
 }
 
 // first is how long the quickest target is expected to take to the first event, in seconds.
-func (lead *Leader) first(ask *Ask) float64 {
+func (lead *Leader) first(ask *Request) float64 {
 	return lead.model.first(ask.Prompt).Seconds() * lead.lengths.firstRatio(ask.Class)
 }
 
-func (lead *Leader) start(now time.Time, nd *node, ask Ask) *run {
+func (lead *Leader) start(now time.Time, nd *node, ask Request) *run {
 	view := lead.basis(&ask)
 	one := &run{ask: ask, node: nd, sent: now, expect: lead.estimate(now, nd, &ask, &view).first}
 	lead.runs[ask.ID] = one
--- a/core/yuccagrant/waiting.go
+++ b/core/yuccagrant/waiting.go
@@ -8,7 +8,7 @@
 
 // waiting is an ask in the queue.
 type waiting struct {
-	Ask
+	Request
 	asked time.Time
 	// work is how long a run is expected to hold a place of the quickest target, in seconds,
 	// and index that work counted by the rank: within a tier the least goes first.
@@ -17,12 +17,12 @@
 }
 
 // onTime reports whether the first event can still be on time.
-func (item *waiting) onTime(now time.Time) bool { return !item.Aim.Before(now) }
+func (item *waiting) onTime(now time.Time) bool { return !item.SoftDeadline.Before(now) }
 
 // pressed reports whether the request has waited so long that no less urgent one may go
 // before it any more.
 func (item *waiting) pressed(now time.Time) bool {
-	return now.Sub(item.asked) > time.Duration(passedPart*float64(item.Until.Sub(item.asked)))
+	return now.Sub(item.asked) > time.Duration(passedPart*float64(item.Deadline.Sub(item.asked)))
 }
 
 // line is what waits of one tier, the least index first.
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -38,7 +38,7 @@
 
 // job is one request of a caller.
 type job struct {
-	ask     yuccagrant.Ask
+	ask     yuccagrant.Request
 	arrived time.Time
 	events  int
 	// prompt is how long the prompt is, whatever is announced.
@@ -69,7 +69,7 @@
 	// until is how long callers wait for the first event, four times the aim if it is zero.
 	until time.Duration
 	// lies changes what a request announces.
-	lies func(ask *yuccagrant.Ask)
+	lies func(ask *yuccagrant.Request)
 }
 
 var classes = []class{
@@ -153,10 +153,10 @@
 	}
 	wld.number++
 	one := &job{arrived: wld.now, kind: cls.kind, events: 1 + int(cls.events*wld.spread()), prompt: yuccaid.Tokens(cls.prompt * wld.spread())}
-	one.ask = yuccagrant.Ask{
+	one.ask = yuccagrant.Request{
 		ID: yuccagrant.ID{Owner: owner, Number: wld.number}, Rank: cls.rank, Class: classOf(cls.kind),
 		Prompt: one.prompt, Answer: yuccaid.Tokens(float64(6*one.events) * wld.error()),
-		Aim: wld.now.Add(cls.aim), Until: wld.now.Add(cmp.Or(cls.until, 4*cls.aim)), Gap: cmp.Or(wld.gap, 300*time.Millisecond),
+		SoftDeadline: wld.now.Add(cls.aim), Deadline: wld.now.Add(cmp.Or(cls.until, 4*cls.aim)), MaxGap: cmp.Or(wld.gap, 300*time.Millisecond),
 	}
 	if cls.lies != nil {
 		cls.lies(&one.ask)
@@ -169,7 +169,7 @@
 		}))
 		return
 	}
-	wld.apply(wld.lead.Ask(wld.now, one.ask))
+	wld.apply(wld.lead.Submit(wld.now, one.ask))
 }
 
 // classOf numbers kinds of requests.
@@ -200,7 +200,7 @@
 	}
 	for _, refusal := range dec.Refusals {
 		one := wld.jobs[refusal.ID]
-		one.refused, one.back = true, refusal.Back
+		one.refused, one.back = true, refusal.RetryAfter
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	var going []*job
 	for _, one := range eng.runs {
-		if one.doomed == yuccagrant.Lost && wld.now.Before(one.ask.Until) {
+		if one.doomed == yuccagrant.Lost && wld.now.Before(one.ask.Deadline) {
 			going = append(going, one)
 			continue
 		}
@@ -243,9 +243,9 @@
 		}
 		if one.first.IsZero() && !wld.now.Before(one.began) {
 			one.first = wld.now
-			one.onTime = !wld.now.After(one.ask.Aim)
+			one.onTime = !wld.now.After(one.ask.SoftDeadline)
 			if !wld.simple {
-				wld.apply(wld.lead.Begun(wld.now, one.ask.ID, wld.now.Sub(one.sent), yuccagrant.Load{}))
+				wld.apply(wld.lead.RunStarted(wld.now, one.ask.ID, wld.now.Sub(one.sent), yuccagrant.ReportedLoad{}))
 			}
 		}
 		if wld.now.Before(one.ends) {
@@ -270,15 +270,15 @@
 	if wld.simple {
 		return
 	}
-	end := yuccagrant.Ended{ID: one.ask.ID, Outcome: outcome}
+	end := yuccagrant.Finished{ID: one.ask.ID, Outcome: outcome}
 	if !one.first.IsZero() {
-		end.First, end.Events, end.Span = one.first.Sub(one.sent), one.events, wld.now.Sub(one.first)
-		end.Pause = time.Duration(eng.pace * float64(eventTime))
+		end.TimeToFirst, end.Events, end.Span = one.first.Sub(one.sent), one.events, wld.now.Sub(one.first)
+		end.LongestGap = time.Duration(eng.pace * float64(eventTime))
 	}
 	if eng.batch != nil {
-		end.Pause = one.went.pause
+		end.LongestGap = one.went.pause
 	}
-	wld.apply(wld.lead.Ended(wld.now, end))
+	wld.apply(wld.lead.RunFinished(wld.now, end))
 }
 
 // tally is what became of the callers of one kind.
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -62,7 +62,7 @@
 // configure tells a desk of its targets, if they have changed, and of its part of them. A
 // fleet that comes up has as many changes of its members as it has daemons.
 func (gate *Gate) configure(now time.Time, dsk *desk) {
-	gate.apply(now, dsk, dsk.own.Share(now, gate.sharers(dsk)))
+	gate.apply(now, dsk, dsk.own.SetLeaderCount(now, gate.sharers(dsk)))
 	if version := gate.roster.Version(); dsk.targetsAt != version {
 		dsk.targetsAt = version
 		dsk.awayAll = true
@@ -108,8 +108,8 @@
 	gate.log.belief("leader", "pool", dsk.pool, "leader", leader.VM, "leads", dsk.leads)
 	dsk.awayAll = true
 	if led && !dsk.leads {
-		dsk.own.Keep(gate.inc)
-		dsk.own.ForgetOthers()
+		dsk.own.DropOtherOwners(gate.inc)
+		dsk.own.ClearRemoteLoads()
 	}
 	gate.configure(now, dsk)
 	for _, tkt := range gate.tickets {
@@ -149,7 +149,7 @@
 	tkt.word = time.Time{}
 	if dsk.leads || dsk.leader.IsZero() || now.Before(dsk.doubted) {
 		tkt.alone = true
-		gate.apply(now, dsk, dsk.own.Ask(now, tkt.ask))
+		gate.apply(now, dsk, dsk.own.Submit(now, tkt.ask))
 		return
 	}
 	tkt.alone = false
@@ -193,7 +193,7 @@
 	for _, grant := range dec.Grants {
 		if grant.ID.Owner != gate.inc {
 			gate.send(grant.ID.Owner, yuccawire.KindPlaced, yuccawire.Placed{
-				Pool: dsk.pool, Number: grant.ID.Number, Target: grant.Target, ExpectMillis: grant.Expect.Milliseconds(), Busy: grant.Busy,
+				Pool: dsk.pool, Number: grant.ID.Number, Target: grant.Target, ExpectMillis: grant.ExpectedFirst.Milliseconds(), Busy: grant.Busy,
 			})
 			continue
 		}
@@ -202,8 +202,8 @@
 	for _, refusal := range dec.Refusals {
 		if refusal.ID.Owner != gate.inc {
 			gate.send(refusal.ID.Owner, yuccawire.KindPlaced, yuccawire.Placed{
-				Pool: dsk.pool, Number: refusal.ID.Number, Reason: string(refusal.Reason), BackMillis: refusal.Back.Milliseconds(),
-				Waiting: refusal.Waiting, Free: refusal.Free, WaitMillis: refusal.Wait.Milliseconds(),
+				Pool: dsk.pool, Number: refusal.ID.Number, Reason: string(refusal.Reason), BackMillis: refusal.RetryAfter.Milliseconds(),
+				Waiting: refusal.QueueLength, Free: refusal.FreeSlots, WaitMillis: refusal.EstimatedWait.Milliseconds(),
 			})
 			continue
 		}
@@ -222,8 +222,8 @@
 	entry, found := gate.roster.Find(target)
 	if !found || entry.Leaving {
 		tkt.req.told("declined", "target", target, "known", found, "leader", dsk.leader.VM, "revision", gate.platformAt)
-		tkt.ask.Tried = append(tkt.ask.Tried, target)
-		gate.giveBack(now, dsk, yuccagrant.Ended{ID: tkt.ask.ID, Outcome: yuccagrant.Dropped})
+		tkt.ask.FailedTargets = append(tkt.ask.FailedTargets, target)
+		gate.giveBack(now, dsk, yuccagrant.Finished{ID: tkt.ask.ID, Outcome: yuccagrant.Dropped})
 		gate.ask(now, dsk, tkt)
 		return
 	}
@@ -231,13 +231,13 @@
 	tkt.target = target
 	tkt.sent = now
 	if !tkt.alone {
-		dsk.own.Hold(now, yuccagrant.Running{Ask: tkt.ask, Target: target, Sent: now})
+		dsk.own.AddRunning(now, yuccagrant.Running{Request: tkt.ask, Target: target, Sent: now})
 	} else {
 		gate.tell(now, dsk, tkt)
 	}
 	tkt.placed <- placed{
 		target: target, address: entry.Address, alone: tkt.alone && !dsk.leads,
-		inputs: gate.inputs(now, dsk, given.Expect, given.Busy),
+		inputs: gate.inputs(now, dsk, given.ExpectedFirst, given.Busy),
 	}
 }
 
@@ -255,8 +255,8 @@
 }
 
 // giveBack tells those who decide that a run has ended.
-func (gate *Gate) giveBack(now time.Time, dsk *desk, end yuccagrant.Ended) {
-	gate.apply(now, dsk, dsk.own.Ended(now, end))
+func (gate *Gate) giveBack(now time.Time, dsk *desk, end yuccagrant.Finished) {
+	gate.apply(now, dsk, dsk.own.RunFinished(now, end))
 	if !dsk.leads && !dsk.leader.IsZero() {
 		gate.send(dsk.leader, yuccawire.KindEnded, wireEnded(dsk.pool, end))
 	}
@@ -265,6 +265,6 @@
 // ownerGone drops what a lost daemon had waiting and running.
 func (gate *Gate) ownerGone(now time.Time, owner yuccaid.Incarnation) {
 	for _, dsk := range gate.desks {
-		gate.apply(now, dsk, dsk.own.OwnerGone(now, owner))
+		gate.apply(now, dsk, dsk.own.DropOwner(now, owner))
 	}
 }
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -100,10 +100,10 @@
 	running := uint64(0)
 	set := func(runs uint64) {
 		for ; running < runs; running++ {
-			dsk.own.Hold(now, yuccagrant.Running{Ask: yuccagrant.Ask{ID: yuccagrant.ID{Number: running}}, Target: "a", Sent: now})
+			dsk.own.AddRunning(now, yuccagrant.Running{Request: yuccagrant.Request{ID: yuccagrant.ID{Number: running}}, Target: "a", Sent: now})
 		}
 		for ; running > runs; running-- {
-			dsk.own.Ended(now, yuccagrant.Ended{ID: yuccagrant.ID{Number: running - 1}, Outcome: yuccagrant.Dropped})
+			dsk.own.RunFinished(now, yuccagrant.Finished{ID: yuccagrant.ID{Number: running - 1}, Outcome: yuccagrant.Dropped})
 		}
 	}
 	for _, step := range []struct {
--- a/io/yuccagate/dialect.go
+++ b/io/yuccagate/dialect.go
@@ -55,5 +55,5 @@
 	// isn't the target that was meant.
 	NotRun      bool
 	Misdirected bool
-	Load        yuccagrant.Load
+	Load        yuccagrant.ReportedLoad
 }
--- a/io/yuccagate/loads.go
+++ b/io/yuccagate/loads.go
@@ -166,14 +166,14 @@
 		clear(dsk.awayNews)
 		return dec
 	case dsk.awayAll:
-		dsk.own.ForgetOthers()
-		dec = dsk.own.SetOthers(now, dsk.others())
+		dsk.own.ClearRemoteLoads()
+		dec = dsk.own.SetRemoteLoads(now, dsk.others())
 	case len(dsk.awayNews) > 0:
 		loads := make(map[yuccaid.Target]yuccagrant.TargetLoad, len(dsk.awayNews))
 		for target := range dsk.awayNews {
 			loads[target] = dsk.othersOn(target)
 		}
-		dec = dsk.own.SetOthers(now, loads)
+		dec = dsk.own.SetRemoteLoads(now, loads)
 	}
 	dsk.awayAll = false
 	clear(dsk.awayNews)
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -11,48 +11,48 @@
 func wireAsk(now time.Time, tkt *ticket) yuccawire.Ask {
 	ask := &tkt.ask
 	return yuccawire.Ask{
-		Pool: tkt.pool, Number: ask.ID.Number, Class: uint32(ask.Class), Tier: ask.Tier, Rank: ask.Rank, Over: ask.Over, Prompt: ask.Prompt, Answer: ask.Answer,
-		AimMillis: ask.Aim.Sub(now).Milliseconds(), UntilMillis: ask.Until.Sub(now).Milliseconds(),
-		GapMillis: ask.Gap.Milliseconds(), Tried: ask.Tried,
+		Pool: tkt.pool, Number: ask.ID.Number, Class: uint32(ask.Class), Tier: ask.Tier, Rank: ask.Rank, Over: ask.OverQuota, Prompt: ask.Prompt, Answer: ask.Answer,
+		AimMillis: ask.SoftDeadline.Sub(now).Milliseconds(), UntilMillis: ask.Deadline.Sub(now).Milliseconds(),
+		GapMillis: ask.MaxGap.Milliseconds(), Tried: ask.FailedTargets,
 	}
 }
 
-func askOf(now time.Time, owner yuccaid.Incarnation, message yuccawire.Ask) yuccagrant.Ask {
-	return yuccagrant.Ask{
-		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Class: yuccagrant.Class(message.Class), Tier: message.Tier, Rank: message.Rank, Over: message.Over, Prompt: message.Prompt, Answer: message.Answer,
-		Aim:   now.Add(time.Duration(message.AimMillis) * time.Millisecond),
-		Until: now.Add(time.Duration(message.UntilMillis) * time.Millisecond),
-		Gap:   time.Duration(message.GapMillis) * time.Millisecond, Tried: message.Tried,
+func askOf(now time.Time, owner yuccaid.Incarnation, message yuccawire.Ask) yuccagrant.Request {
+	return yuccagrant.Request{
+		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Class: yuccagrant.Class(message.Class), Tier: message.Tier, Rank: message.Rank, OverQuota: message.Over, Prompt: message.Prompt, Answer: message.Answer,
+		SoftDeadline:   now.Add(time.Duration(message.AimMillis) * time.Millisecond),
+		Deadline: now.Add(time.Duration(message.UntilMillis) * time.Millisecond),
+		MaxGap:   time.Duration(message.GapMillis) * time.Millisecond, FailedTargets: message.Tried,
 	}
 }
 
-func wireEnded(pool yuccaid.Pool, end yuccagrant.Ended) yuccawire.Ended {
+func wireEnded(pool yuccaid.Pool, end yuccagrant.Finished) yuccawire.Ended {
 	message := yuccawire.Ended{
-		Pool: pool, Number: end.ID.Number, Outcome: uint8(end.Outcome), FirstMicro: end.First.Microseconds(),
-		Events: end.Events, SpanMicro: end.Span.Microseconds(), PauseMicro: end.Pause.Microseconds(),
+		Pool: pool, Number: end.ID.Number, Outcome: uint8(end.Outcome), FirstMicro: end.TimeToFirst.Microseconds(),
+		Events: end.Events, SpanMicro: end.Span.Microseconds(), PauseMicro: end.LongestGap.Microseconds(),
 	}
 	message.Load = wireLoad(end.Load)
 	return message
 }
 
-func wireLoad(load yuccagrant.Load) []int {
+func wireLoad(load yuccagrant.ReportedLoad) []int {
 	if !load.Known {
 		return nil
 	}
 	return []int{load.Running, load.Waiting}
 }
 
-func loadOf(message []int) yuccagrant.Load {
+func loadOf(message []int) yuccagrant.ReportedLoad {
 	if len(message) != 2 {
-		return yuccagrant.Load{}
+		return yuccagrant.ReportedLoad{}
 	}
-	return yuccagrant.Load{Known: true, Running: message[0], Waiting: message[1]}
+	return yuccagrant.ReportedLoad{Known: true, Running: message[0], Waiting: message[1]}
 }
 
-func endedOf(owner yuccaid.Incarnation, message yuccawire.Ended) yuccagrant.Ended {
-	end := yuccagrant.Ended{
+func endedOf(owner yuccaid.Incarnation, message yuccawire.Ended) yuccagrant.Finished {
+	end := yuccagrant.Finished{
 		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Outcome: yuccagrant.Outcome(message.Outcome),
-		First: micros(message.FirstMicro), Events: message.Events, Span: micros(message.SpanMicro), Pause: micros(message.PauseMicro),
+		TimeToFirst: micros(message.FirstMicro), Events: message.Events, Span: micros(message.SpanMicro), LongestGap: micros(message.PauseMicro),
 	}
 	end.Load = loadOf(message.Load)
 	return end
@@ -70,8 +70,8 @@
 		return
 	}
 	ask := askOf(now, from, message)
-	gate.apply(now, dsk, dsk.own.Ask(now, ask))
-	if dsk.own.Waits(ask.ID) {
+	gate.apply(now, dsk, dsk.own.Submit(now, ask))
+	if dsk.own.IsWaiting(ask.ID) {
 		gate.send(from, yuccawire.KindPlaced, yuccawire.Placed{Pool: message.Pool, Number: message.Number})
 	}
 }
@@ -97,12 +97,12 @@
 	case !waits:
 	case message.Target != "":
 		gate.grant(now, gate.desks[tkt.pool], yuccagrant.Grant{
-			ID: tkt.ask.ID, Target: message.Target, Expect: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
+			ID: tkt.ask.ID, Target: message.Target, ExpectedFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
 		})
 	case message.Reason != "":
 		gate.refuse(yuccagrant.Refusal{
-			ID: tkt.ask.ID, Reason: yuccagrant.Reason(message.Reason), Back: time.Duration(message.BackMillis) * time.Millisecond,
-			Waiting: message.Waiting, Free: message.Free, Wait: time.Duration(message.WaitMillis) * time.Millisecond,
+			ID: tkt.ask.ID, Reason: yuccagrant.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
+			QueueLength: message.Waiting, FreeSlots: message.Free, EstimatedWait: time.Duration(message.WaitMillis) * time.Millisecond,
 		})
 	default:
 		tkt.word = now
@@ -126,7 +126,7 @@
 	}
 }
 
-func (gate *Gate) tellBegun(dsk *desk, tkt *ticket, took time.Duration, load yuccagrant.Load) {
+func (gate *Gate) tellBegun(dsk *desk, tkt *ticket, took time.Duration, load yuccagrant.ReportedLoad) {
 	if !dsk.leads && !dsk.leader.IsZero() {
 		gate.send(dsk.leader, yuccawire.KindBegun, yuccawire.Begun{
 			Pool: dsk.pool, Number: tkt.ask.ID.Number, TookMicro: took.Microseconds(), Load: wireLoad(load),
@@ -136,12 +136,12 @@
 
 func (gate *Gate) onBegun(now time.Time, from yuccaid.Incarnation, message yuccawire.Begun) {
 	dsk := gate.desk(now, message.Pool)
-	gate.apply(now, dsk, dsk.own.Begun(now, yuccagrant.ID{Owner: from, Number: message.Number}, micros(message.TookMicro), loadOf(message.Load)))
+	gate.apply(now, dsk, dsk.own.RunStarted(now, yuccagrant.ID{Owner: from, Number: message.Number}, micros(message.TookMicro), loadOf(message.Load)))
 }
 
 func (gate *Gate) onEnded(now time.Time, from yuccaid.Incarnation, message yuccawire.Ended) {
 	dsk := gate.desk(now, message.Pool)
-	gate.apply(now, dsk, dsk.own.Ended(now, endedOf(from, message)))
+	gate.apply(now, dsk, dsk.own.RunFinished(now, endedOf(from, message)))
 }
 
 func (gate *Gate) onHolding(now time.Time, from yuccaid.Incarnation, message yuccawire.Holding) {
@@ -149,8 +149,8 @@
 	if !dsk.leads {
 		return
 	}
-	dsk.own.Hold(now, yuccagrant.Running{
-		Ask: askOf(now, from, message.Ask), Target: message.Target, Begun: message.Begun,
+	dsk.own.AddRunning(now, yuccagrant.Running{
+		Request: askOf(now, from, message.Ask), Target: message.Target, Started: message.Begun,
 		Sent: now.Add(-time.Duration(message.AgeMillis) * time.Millisecond),
 	})
 }
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -70,7 +70,7 @@
 }
 
 // finish gives the target's place back and tells how the answer went.
-func (req *request) finish(ctx context.Context, att *attempt, end yuccagrant.Ended, err error) {
+func (req *request) finish(ctx context.Context, att *attempt, end yuccagrant.Finished, err error) {
 	end.Load = att.word.Load
 	end.Outcome = outcomeOf(ctx, att, err)
 	att.close()
@@ -78,11 +78,11 @@
 	req.logAnswered(att, end, err)
 }
 
-func (req *request) logAnswered(att *attempt, end yuccagrant.Ended, err error) {
-	req.gate.metrics.answered(req.shownRank(), end.Outcome, att.sent.Add(end.First).Sub(req.arrived), end.Pause)
+func (req *request) logAnswered(att *attempt, end yuccagrant.Finished, err error) {
+	req.gate.metrics.answered(req.shownRank(), end.Outcome, att.sent.Add(end.TimeToFirst).Sub(req.arrived), end.LongestGap)
 	fields := []any{
-		"target", att.tkt.target, "status", att.answer.Status, "outcome", end.Outcome.String(), "firstMillis", end.First.Milliseconds(),
-		"events", end.Events, "pauseMillis", end.Pause.Milliseconds(), "sends", req.sends, "runs", req.runs,
+		"target", att.tkt.target, "status", att.answer.Status, "outcome", end.Outcome.String(), "firstMillis", end.TimeToFirst.Milliseconds(),
+		"events", end.Events, "pauseMillis", end.LongestGap.Milliseconds(), "sends", req.sends, "runs", req.runs,
 	}
 	if err != nil || end.Outcome != yuccagrant.Served {
 		req.told("answered", append(fields, "cause", text(err))...)
@@ -106,7 +106,7 @@
 
 func (req *request) relayBody(ctx context.Context, att *attempt) error {
 	att.watch.answered()
-	end := yuccagrant.Ended{First: time.Since(att.sent)}
+	end := yuccagrant.Finished{TimeToFirst: time.Since(att.sent)}
 	err := req.pumpBody(att)
 	req.finish(ctx, att, end, err)
 	return err
@@ -153,7 +153,7 @@
 		if outcome == yuccagrant.Served {
 			outcome = yuccagrant.Failed
 		}
-		req.gate.ended(tkt, yuccagrant.Ended{Outcome: outcome, Load: att.word.Load})
+		req.gate.ended(tkt, yuccagrant.Finished{Outcome: outcome, Load: att.word.Load})
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -170,7 +170,7 @@
 	// last is when the caller got the last event.
 	last time.Time
 	// end is what was seen of the present target.
-	end yuccagrant.Ended
+	end yuccagrant.Finished
 }
 
 // relay hands on a stream, and goes on with it at another target where the first one breaks
@@ -199,15 +199,15 @@
 	req := fl.req
 	control := http.NewResponseController(req.w)
 	stream := newEvents(att.answer)
-	fl.end = yuccagrant.Ended{}
+	fl.end = yuccagrant.Finished{}
 	var first time.Time
 	for {
 		list, err := stream.next()
 		now := time.Now()
 		if first.IsZero() && len(list) > 0 {
 			first = now
-			fl.end.First = now.Sub(att.sent)
-			req.gate.begun(att.tkt, fl.end.First, att.word.Load)
+			fl.end.TimeToFirst = now.Sub(att.sent)
+			req.gate.begun(att.tkt, fl.end.TimeToFirst, att.word.Load)
 		}
 		if len(list) > 0 || err == io.EOF {
 			fl.begin(att)
@@ -267,7 +267,7 @@
 
 func (fl *flow) seen(now, first time.Time, events int) {
 	if fl.end.Events > 0 {
-		fl.end.Pause = max(fl.end.Pause, now.Sub(fl.last))
+		fl.end.LongestGap = max(fl.end.LongestGap, now.Sub(fl.last))
 	}
 	fl.end.Events += events
 	fl.end.Span = now.Sub(first)
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -248,25 +248,25 @@
 }
 
 // ask describes the request to those who decide.
-func (req *request) ask() yuccagrant.Ask {
-	ask := yuccagrant.Ask{
-		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, Over: req.over, Prompt: req.caller.Prompt, Answer: req.caller.Answer,
-		Aim: req.arrived.Add(req.route.LatencyTarget), Until: req.until, Tried: req.tried,
+func (req *request) ask() yuccagrant.Request {
+	ask := yuccagrant.Request{
+		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, OverQuota: req.over, Prompt: req.caller.Prompt, Answer: req.caller.Answer,
+		SoftDeadline: req.arrived.Add(req.route.LatencyTarget), Deadline: req.until, FailedTargets: req.tried,
 	}
 	if req.route.LatencyTarget <= 0 {
-		ask.Aim = req.until
+		ask.SoftDeadline = req.until
 	}
 	if req.route.Kind == yuccaroute.Stream {
-		ask.Gap = req.route.MaxGap
+		ask.MaxGap = req.route.MaxGap
 	}
 	heard := req.arrived
 	if !req.broke.IsZero() {
 		// The caller notices a pause, not how long ago it asked.
 		heard = req.broke
-		ask.Aim = req.broke.Add(req.route.MaxGap)
+		ask.SoftDeadline = req.broke.Add(req.route.MaxGap)
 	}
-	if req.caller.Patience > 0 && heard.Add(req.caller.Patience).Before(ask.Until) {
-		ask.Until = heard.Add(req.caller.Patience)
+	if req.caller.Patience > 0 && heard.Add(req.caller.Patience).Before(ask.Deadline) {
+		ask.Deadline = heard.Add(req.caller.Patience)
 	}
 	return ask
 }
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -63,11 +63,11 @@
 			if !req.again(yuccagrant.Failed, att) {
 				return req.relay(ctx, att)
 			}
-			req.gate.ended(tkt, yuccagrant.Ended{Outcome: yuccagrant.Failed, Load: att.word.Load})
+			req.gate.ended(tkt, yuccagrant.Finished{Outcome: yuccagrant.Failed, Load: att.word.Load})
 			failure = att
 		default:
 			att.close()
-			req.gate.ended(tkt, yuccagrant.Ended{Outcome: outcome, Load: att.word.Load})
+			req.gate.ended(tkt, yuccagrant.Finished{Outcome: outcome, Load: att.word.Load})
 			if ctx.Err() != nil || !req.again(outcome, att) {
 				return req.failed(ctx, outcome)
 			}
@@ -152,11 +152,11 @@
 	switch refusal.Reason {
 	case yuccagrant.ReasonNoTarget:
 		kind = KindNoTarget
-	case yuccagrant.ReasonFull:
+	case yuccagrant.ReasonQueueFull:
 		kind = KindBusy
 	}
-	return &Problem{Kind: kind, Detail: string(refusal.Reason), Back: refusal.Back, inputs: []any{
-		"leader", place.inputs.leader, "waiting", refusal.Waiting, "free", refusal.Free, "waitMillis", refusal.Wait.Milliseconds(),
+	return &Problem{Kind: kind, Detail: string(refusal.Reason), Back: refusal.RetryAfter, inputs: []any{
+		"leader", place.inputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
 		"revision", place.inputs.revision, "newsAgeMillis", place.inputs.age.Milliseconds(),
 	}}
 }
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -44,7 +44,7 @@
 	Pool    yuccaid.Pool        `json:"pool"`
 	Leader  yuccaid.VM          `json:"leader"`
 	Waiting int                 `json:"waiting"`
-	Targets []yuccagrant.Status `json:"targets"`
+	Targets []yuccagrant.TargetStatus `json:"targets"`
 }
 
 // TargetStatus is one registered target.
@@ -85,7 +85,7 @@
 	}
 	for _, dsk := range gate.desks {
 		status.Pools = append(status.Pools, PoolStatus{
-			Pool: dsk.pool, Leader: dsk.leader.VM, Waiting: dsk.own.Waiting(), Targets: dsk.own.Targets(now),
+			Pool: dsk.pool, Leader: dsk.leader.VM, Waiting: dsk.own.QueueLength(), Targets: dsk.own.Targets(now),
 		})
 	}
 	slices.SortFunc(status.Pools, func(a, b PoolStatus) int { return cmp.Compare(a.Pool, b.Pool) })
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -223,10 +223,10 @@
 	usable := gate.roster.Usable(dsk.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
 	for _, entry := range usable {
-		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), Born: entry.ProcessStart}
+		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), StartMillis: entry.ProcessStart}
 		if gate.settings.Regions[entry.Centre] != gate.settings.Regions[gate.settings.Centre] {
-			target.Away = true
-			target.Way = betweenRegions
+			target.Remote = true
+			target.RoundTrip = betweenRegions
 		}
 		list = append(list, target)
 	}
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -15,7 +15,7 @@
 	// req is the request; only what never changes of it may be read here.
 	req  *request
 	pool yuccaid.Pool
-	ask  yuccagrant.Ask
+	ask  yuccagrant.Request
 	// placed gets the one decision on the ask.
 	placed chan placed
 
@@ -75,7 +75,7 @@
 			return
 		}
 		req.counted = true
-		tkt.ask.Over = req.over
+		tkt.ask.OverQuota = req.over
 		gate.budget.Request(now, req.pool)
 	}
 	gate.tickets[tkt.ask.ID.Number] = tkt
@@ -91,25 +91,25 @@
 	if !tkt.running {
 		gate.withdraw(now, dsk, tkt)
 	}
-	gate.end(now, tkt, yuccagrant.Ended{Outcome: yuccagrant.Dropped})
+	gate.end(now, tkt, yuccagrant.Finished{Outcome: yuccagrant.Dropped})
 }
 
 // begun tells of a run's first event.
-func (gate *Gate) begun(tkt *ticket, took time.Duration, load yuccagrant.Load) {
+func (gate *Gate) begun(tkt *ticket, took time.Duration, load yuccagrant.ReportedLoad) {
 	gate.control.Post(func(now time.Time) {
 		tkt.begun = true
 		dsk := gate.desk(now, tkt.pool)
-		gate.apply(now, dsk, dsk.own.Begun(now, tkt.ask.ID, took, load))
+		gate.apply(now, dsk, dsk.own.RunStarted(now, tkt.ask.ID, took, load))
 		gate.tellBegun(dsk, tkt, took, load)
 	})
 }
 
 // ended gives a target's place back.
-func (gate *Gate) ended(tkt *ticket, end yuccagrant.Ended) {
+func (gate *Gate) ended(tkt *ticket, end yuccagrant.Finished) {
 	gate.control.Post(func(now time.Time) { gate.end(now, tkt, end) })
 }
 
-func (gate *Gate) end(now time.Time, tkt *ticket, end yuccagrant.Ended) {
+func (gate *Gate) end(now time.Time, tkt *ticket, end yuccagrant.Finished) {
 	delete(gate.tickets, tkt.ask.ID.Number)
 	end.ID = tkt.ask.ID
 	gate.giveBack(now, gate.desk(now, tkt.pool), end)
