--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -48,7 +48,7 @@
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
-	Amount    float64
+	Allowance    float64
 }
 
 // Ledger counts what accounts are let in for. It isn't safe for concurrent use.
@@ -109,7 +109,7 @@
 func (led *Ledger) SetTolerance(now time.Time, tolerance Tolerance) {
 	tolerance = tolerance.orDefault()
 	if tolerance.Window != led.tolerance.Window {
-		led.Forgot(now)
+		led.MarkWithoutHistory(now)
 	}
 	led.tolerance = tolerance
 }
@@ -121,15 +121,15 @@
 	return tol
 }
 
-// Forgot notes that this daemon's process began anew in a fleet that was there before, so
+// MarkWithoutHistory notes that this daemon's process began anew in a fleet that was there before, so
 // that others may have been let in by processes that are gone.
-func (led *Ledger) Forgot(now time.Time) {
+func (led *Ledger) MarkWithoutHistory(now time.Time) {
 	led.forgot = now
 	led.amnesic = true
 }
 
-// Amnesic reports whether this daemon still doesn't know what was let in before it began.
-func (led *Ledger) Amnesic(now time.Time) bool {
+// WithoutHistory reports whether this daemon still doesn't know what was let in before it began.
+func (led *Ledger) WithoutHistory(now time.Time) bool {
 	if led.amnesic && now.Sub(led.forgot) >= led.tolerance.Window {
 		led.amnesic = false
 	}
@@ -187,8 +187,8 @@
 	led.delay = max(delay.Round(delayGrain), delayGrain)
 }
 
-// Part returns the part that was set.
-func (led *Ledger) Part() float64 { return led.part }
+// QuotaShare returns the part that was set.
+func (led *Ledger) QuotaShare() float64 { return led.part }
 
 // Daemons returns how many daemons share what an account has left.
 func (led *Ledger) Daemons() int { return led.daemons }
@@ -198,44 +198,44 @@
 
 // The verdicts of Take.
 const (
-	// Taken says that the account was let in.
-	Taken Verdict = "taken"
-	// Full says that the account's window has no room.
-	Full Verdict = "windowFull"
-	// Shared says that this daemon had its share of the room; the rest is for the others.
-	Shared Verdict = "shareUsed"
-	// Held says that the account asks for more than its rate while nobody remembers what it
+	// Admitted says that the account was let in.
+	Admitted Verdict = "taken"
+	// WindowFull says that the account's window has no room.
+	WindowFull Verdict = "windowFull"
+	// ShareUsed says that this daemon had its share of the room; the rest is for the others.
+	ShareUsed Verdict = "shareUsed"
+	// HeldAfterRestart says that the account asks for more than its rate while nobody remembers what it
 	// was let in for before.
-	Held Verdict = "heldAfterRestart"
+	HeldAfterRestart Verdict = "heldAfterRestart"
 )
 
 // Answer is a verdict with what led to it.
 type Answer struct {
 	Verdict Verdict
-	// Back is when the account has room again, where it wasn't let in.
-	Back time.Duration
+	// RetryAfter is when the account has room again, where it wasn't let in.
+	RetryAfter time.Duration
 	// Used is what the account was let in for before, as far as is known, and Limit what it
 	// might have been let in for.
 	Used  int64
 	Limit int64
-	// Mine is the part of Used that this daemon let in.
-	Mine int64
-	// Asked is what the account asked for since all was forgotten, and Rush what an account
+	// UsedByDaemon is the part of Used that this daemon let in.
+	UsedByDaemon int64
+	// Demand is what the account asked for since all was forgotten, and Rush what an account
 	// within its quota may have; both are zero where its use is remembered.
-	Asked int64
-	Rush  int64
-	// Over says that the account is beyond its quota, and was let in because that is tolerated.
-	Over bool
+	Demand int64
+	DemandLimit  int64
+	// OverQuota says that the account is beyond its quota, and was let in because that is tolerated.
+	OverQuota bool
 }
 
-// Take lets an account in for a cost if its window has room for it.
+// Admit lets an account in for a cost if its window has room for it.
 //
 // A request that costs more than a whole window is let in by an empty one: it would never
 // be otherwise. Rank 0 is the most urgent.
-func (led *Ledger) Take(now time.Time, account yuccaid.Account, cost float64, rank int) Answer {
+func (led *Ledger) Admit(now time.Time, account yuccaid.Account, cost float64, rank int) Answer {
 	win := led.windows[account]
 	if win == nil || !led.configured {
-		return Answer{Verdict: Taken}
+		return Answer{Verdict: Admitted}
 	}
 	led.advance(now, win)
 	win.note(cost)
@@ -243,17 +243,17 @@
 	if cost > smallPart*limit {
 		limit *= 1 - rankKept*float64(min(max(rank, 0), mostRanks))
 	}
-	answer := Answer{Used: win.let.all.Total(), Limit: int64(limit), Mine: win.let.mine.Total()}
-	if led.Amnesic(now) {
+	answer := Answer{Used: win.let.all.Total(), Limit: int64(limit), UsedByDaemon: win.let.mine.Total()}
+	if led.WithoutHistory(now) {
 		win.asked.count(int64(cost))
-		answer.Asked, answer.Rush = win.asked.all.Total(), int64(led.rush(now, win))
+		answer.Demand, answer.DemandLimit = win.asked.all.Total(), int64(led.rush(now, win))
 	}
-	answer.Verdict, answer.Back = led.judge(now, account, win, cost, limit)
-	if answer.Verdict == Taken && answer.Asked > max(answer.Rush, int64(cost)) {
-		answer.Verdict, answer.Back = led.hold(now, win, cost, limit)
+	answer.Verdict, answer.RetryAfter = led.judge(now, account, win, cost, limit)
+	if answer.Verdict == Admitted && answer.Demand > max(answer.DemandLimit, int64(cost)) {
+		answer.Verdict, answer.RetryAfter = led.hold(now, win, cost, limit)
 	}
-	answer.Over = float64(win.let.all.Total())+cost > led.plain(win.quota)
-	if answer.Verdict == Taken {
+	answer.OverQuota = float64(win.let.all.Total())+cost > led.plain(win.quota)
+	if answer.Verdict == Admitted {
 		win.let.count(int64(cost))
 		win.recent.Add(int64(cost))
 	}
@@ -273,11 +273,11 @@
 	room := limit - sum
 	switch {
 	case sum > 0 && cost > room:
-		return Full, bounded(win.let.all.Until(int64(cost - room)))
+		return WindowFull, bounded(win.let.all.Until(int64(cost - room)))
 	case !led.fairly(now, account, win, cost, room):
-		return Shared, bounded(led.delay)
+		return ShareUsed, bounded(led.delay)
 	}
-	return Taken, 0
+	return Admitted, 0
 }
 
 func bounded(back time.Duration) time.Duration {
@@ -306,7 +306,7 @@
 
 // tolerated is what a window may hold before that counts as a breach.
 func (led *Ledger) tolerated(quota yuccaroute.Quota) float64 {
-	return led.plain(quota)*(1+led.tolerance.Overshoot) + led.tolerance.Amount
+	return led.plain(quota)*(1+led.tolerance.Overshoot) + led.tolerance.Allowance
 }
 
 // kept is what is left free of what is tolerated.
@@ -318,8 +318,8 @@
 	return time.Duration(value * float64(time.Second))
 }
 
-// Return gives back what a request was let in for that did not run.
-func (led *Ledger) Return(now time.Time, account yuccaid.Account, cost float64) {
+// Refund gives back what a request was let in for that did not run.
+func (led *Ledger) Refund(now time.Time, account yuccaid.Account, cost float64) {
 	if win := led.windows[account]; win != nil {
 		led.advance(now, win)
 		win.let.count(-int64(cost))
@@ -339,20 +339,20 @@
 	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Parts
 }
 
-// Use is what an account was let in for within its window, and what the window may hold.
-type Use struct {
+// QuotaUsage is what an account was let in for within its window, and what the window may hold.
+type QuotaUsage struct {
 	Account yuccaid.Account
 	Used    int64
 	Limit   int64
 }
 
-// Uses returns how much of its quota each account has used.
-func (led *Ledger) Uses(now time.Time) []Use {
-	var list []Use
+// QuotaUsages returns how much of its quota each account has used.
+func (led *Ledger) QuotaUsages(now time.Time) []QuotaUsage {
+	var list []QuotaUsage
 	for name, win := range led.windows {
 		led.advance(now, win)
-		list = append(list, Use{Account: name, Used: win.let.all.Total(), Limit: int64(led.limit(now, win))})
+		list = append(list, QuotaUsage{Account: name, Used: win.let.all.Total(), Limit: int64(led.limit(now, win))})
 	}
-	slices.SortFunc(list, func(a, b Use) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b QuotaUsage) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -23,7 +23,7 @@
 
 var (
 	strict   = yuccaquota.Tolerance{Window: span}
-	tolerant = yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Amount: 40_000}
+	tolerant = yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: 40_000}
 )
 
 // allowed is what a window may hold by the quota, and bound what is tolerated.
@@ -97,8 +97,8 @@
 	led := flt.ledgers[at]
 	for i, other := range flt.ledgers {
 		if i != at {
-			other.Meet(flt.now, flt.name(at), led.Ever(), led.Mine(flt.now))
-			led.Meet(flt.now, flt.name(i), other.Ever(), other.Mine(flt.now))
+			other.PeerConnected(flt.now, flt.name(at), led.LifetimeUsage(), led.DaemonTotals(flt.now))
+			led.PeerConnected(flt.now, flt.name(i), other.LifetimeUsage(), other.DaemonTotals(flt.now))
 		}
 	}
 }
@@ -119,7 +119,7 @@
 		spent := led.Report()
 		for j, other := range flt.ledgers {
 			if i != j && !flt.cut(i) && !flt.cut(j) {
-				other.Heard(flt.now, flt.name(i), spent)
+				other.ApplyReport(flt.now, flt.name(i), spent)
 			}
 		}
 	}
@@ -128,7 +128,7 @@
 // press sends at each daemon in turn for a while.
 func (flt *fleet) press(span time.Duration, cost float64) {
 	for turn := range int(span / step) {
-		if verdict := flt.ledgers[turn%len(flt.ledgers)].Take(flt.now, "rally", cost, 0).Verdict; verdict == yuccaquota.Taken {
+		if verdict := flt.ledgers[turn%len(flt.ledgers)].Admit(flt.now, "rally", cost, 0).Verdict; verdict == yuccaquota.Admitted {
 			flt.let = append(flt.let, letIn{at: flt.now, cost: cost})
 		}
 		flt.pass()
@@ -155,8 +155,8 @@
 			flt := newFleet(7, 200*time.Millisecond, strict)
 			for turn := range 3000 {
 				// 90 tokens each 10 ms are nine tenths of the rate.
-				verdict := flt.ledgers[pick(turn)].Take(flt.now, "rally", 90, 0).Verdict
-				Expect(verdict).To(Equal(yuccaquota.Taken), "turn %d", turn)
+				verdict := flt.ledgers[pick(turn)].Admit(flt.now, "rally", 90, 0).Verdict
+				Expect(verdict).To(Equal(yuccaquota.Admitted), "turn %d", turn)
 				flt.pass()
 			}
 		},
@@ -190,8 +190,8 @@
 	It("lets a large fleet take a long request while there is room", func() {
 		flt := newFleet(70, 300*time.Millisecond, strict)
 		flt.press(10*time.Second, 30)
-		verdict := flt.ledgers[50].Take(flt.now, "rally", allowed/8, 0).Verdict
-		Expect(verdict).To(Equal(yuccaquota.Taken))
+		verdict := flt.ledgers[50].Admit(flt.now, "rally", allowed/8, 0).Verdict
+		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
 	// An account has used three quarters of its window, evenly, and asks for one long and urgent
@@ -200,9 +200,9 @@
 	It("lets a long request of a calm account in", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.press(10*time.Second, 120)
-		answer := flt.ledgers[3].Take(flt.now, "rally", 16_000, 0)
+		answer := flt.ledgers[3].Admit(flt.now, "rally", 16_000, 0)
 		Expect(float64(answer.Used)).To(BeNumerically("~", 0.72*float64(answer.Limit), 0.02*float64(answer.Limit)))
-		Expect(answer.Verdict).To(Equal(yuccaquota.Taken))
+		Expect(answer.Verdict).To(Equal(yuccaquota.Admitted))
 	})
 
 	// Operators say how far an account may go beyond its quota before it counts as a breach.
@@ -222,10 +222,10 @@
 			flt.press(time.Second, 600)
 			fresh := ledger(flt.now, tolerant)
 			fresh.SetFleet(flt.now, 1, 4, 150*time.Millisecond)
-			fresh.Forgot(flt.now)
+			fresh.MarkWithoutHistory(flt.now)
 			flt.restart(turn%4, fresh)
 			flt.meet(turn % 4)
-			fresh.Raise(flt.now, flt.ledgers[(turn+1)%4].Totals(flt.now), true)
+			fresh.RaiseTotals(flt.now, flt.ledgers[(turn+1)%4].Totals(flt.now), true)
 		}
 		Expect(flt.most()).To(BeNumerically("<=", bound))
 	})
@@ -251,7 +251,7 @@
 			for at := range flt.ledgers {
 				flt.restart(at, ledger(flt.now, tolerant))
 				flt.ledgers[at].SetFleet(flt.now, 1, 7, 150*time.Millisecond)
-				flt.ledgers[at].Forgot(flt.now)
+				flt.ledgers[at].MarkWithoutHistory(flt.now)
 			}
 			flt.meetAll()
 			flt.press(15*time.Second, pressure)
@@ -266,7 +266,7 @@
 	It("lets in what is within the quota when all daemons forget", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		for _, led := range flt.ledgers {
-			led.Forgot(flt.now)
+			led.MarkWithoutHistory(flt.now)
 		}
 		flt.press(10*time.Second, 95)
 		Expect(flt.let).To(HaveLen(int(10 * time.Second / step)))
@@ -315,39 +315,39 @@
 	It("follows a lowered quota at once and an unlimited one never refuses", func() {
 		led := ledger(start, strict)
 		led.Configure(start, accounts(100, 200))
-		verdict := led.Take(start, "rally", 900, 0).Verdict
-		Expect(verdict).To(Equal(yuccaquota.Taken))
-		answer := led.Take(start, "rally", 200, 0)
-		back, verdict := answer.Back, answer.Verdict
-		Expect(verdict).NotTo(Equal(yuccaquota.Taken))
+		verdict := led.Admit(start, "rally", 900, 0).Verdict
+		Expect(verdict).To(Equal(yuccaquota.Admitted))
+		answer := led.Admit(start, "rally", 200, 0)
+		back, verdict := answer.RetryAfter, answer.Verdict
+		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
 		Expect(back).To(BeNumerically("~", span, span/10))
 		led.Configure(start, nil)
-		verdict = led.Take(start, "rally", 1e9, 0).Verdict
-		Expect(verdict).To(Equal(yuccaquota.Taken))
+		verdict = led.Admit(start, "rally", 1e9, 0).Verdict
+		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
 	It("lets in a request larger than a window when that is empty", func() {
 		led := ledger(start, strict)
-		verdict := led.Take(start, "rally", 3*allowed, 0).Verdict
-		Expect(verdict).To(Equal(yuccaquota.Taken))
-		verdict = led.Take(start, "rally", 1, 0).Verdict
-		Expect(verdict).NotTo(Equal(yuccaquota.Taken))
+		verdict := led.Admit(start, "rally", 3*allowed, 0).Verdict
+		Expect(verdict).To(Equal(yuccaquota.Admitted))
+		verdict = led.Admit(start, "rally", 1, 0).Verdict
+		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
 	})
 
 	// An account has used most of its quota, for letters and notes alike. A gas leak that is
 	// reported now must not be told to wait for letters.
 	It("keeps the last of it for urgent requests and for short ones", func() {
 		led := ledger(start, strict)
-		for verdict := yuccaquota.Taken; verdict == yuccaquota.Taken; {
-			verdict = led.Take(start, "rally", 1000, 2).Verdict
+		for verdict := yuccaquota.Admitted; verdict == yuccaquota.Admitted; {
+			verdict = led.Admit(start, "rally", 1000, 2).Verdict
 		}
-		letter := led.Take(start, "rally", 1000, 2).Verdict
-		Expect(letter).To(Equal(yuccaquota.Full))
-		short := led.Take(start, "rally", allowed/4000, 2).Verdict
-		Expect(short).To(Equal(yuccaquota.Taken))
+		letter := led.Admit(start, "rally", 1000, 2).Verdict
+		Expect(letter).To(Equal(yuccaquota.WindowFull))
+		short := led.Admit(start, "rally", allowed/4000, 2).Verdict
+		Expect(short).To(Equal(yuccaquota.Admitted))
 		for range 10 {
-			note := led.Take(start, "rally", 1000, 0).Verdict
-			Expect(note).To(Equal(yuccaquota.Taken))
+			note := led.Admit(start, "rally", 1000, 0).Verdict
+			Expect(note).To(Equal(yuccaquota.Admitted))
 		}
 	})
 
@@ -356,50 +356,50 @@
 	It("says which requests are beyond it", func() {
 		led := ledger(start, tolerant)
 		for used := 0.0; used < allowed; used += 1000 {
-			Expect(led.Take(start, "rally", 1000, 0).Over).To(BeFalse())
+			Expect(led.Admit(start, "rally", 1000, 0).OverQuota).To(BeFalse())
 		}
-		answer := led.Take(start, "rally", 1000, 0)
-		Expect(answer.Verdict).To(Equal(yuccaquota.Taken))
-		Expect(answer.Over).To(BeTrue())
+		answer := led.Admit(start, "rally", 1000, 0)
+		Expect(answer.Verdict).To(Equal(yuccaquota.Admitted))
+		Expect(answer.OverQuota).To(BeTrue())
 	})
 
 	It("gives back what didn't run", func() {
 		led := ledger(start, strict)
-		led.Take(start, "rally", allowed, 0)
-		led.Return(start, "rally", allowed)
+		led.Admit(start, "rally", allowed, 0)
+		led.Refund(start, "rally", allowed)
 		Expect(led.Report()).To(BeEmpty())
-		verdict := led.Take(start, "rally", allowed, 0).Verdict
-		Expect(verdict).To(Equal(yuccaquota.Taken))
+		verdict := led.Admit(start, "rally", allowed, 0).Verdict
+		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
 	// The daemon that speaks for its data centre is killed. What was let in until another one
 	// takes over would never be heard of elsewhere.
 	It("passes on to other data centres what a predecessor left out", func() {
 		led := ledger(start, strict)
-		led.Meet(start, peer, nil, nil)
-		led.Heard(start, peer, []yuccaquota.Spent{{Account: "rally", Amount: 500}})
-		led.Reported([]yuccaquota.Spent{{Account: "rally", Amount: 300}})
-		led.Take(start, "rally", 40, 0)
-		Expect(led.ReportAway()).To(Equal([]yuccaquota.Spent{{Account: yuccaid.Account("rally"), Amount: 240}}))
+		led.PeerConnected(start, peer, nil, nil)
+		led.ApplyReport(start, peer, []yuccaquota.Usage{{Account: "rally", Amount: 500}})
+		led.MarkRemoteReported([]yuccaquota.Usage{{Account: "rally", Amount: 300}})
+		led.Admit(start, "rally", 40, 0)
+		Expect(led.RemoteReport()).To(Equal([]yuccaquota.Usage{{Account: yuccaid.Account("rally"), Amount: 240}}))
 	})
 
 	// A daemon is restarted. A neighbour tells it what all data centres let in, and then each of
 	// them tells its part again; counted twice, accounts within their quota would be refused.
 	It("counts once what a neighbour and its own data centre both tell", func() {
 		led := ledger(start, strict)
-		led.Forgot(start)
-		spent := func(amount int64) []yuccaquota.Aged {
-			return []yuccaquota.Aged{{Account: "rally", Let: []int64{amount}}}
+		led.MarkWithoutHistory(start)
+		spent := func(amount int64) []yuccaquota.UsageByAge {
+			return []yuccaquota.UsageByAge{{Account: "rally", Let: []int64{amount}}}
 		}
-		led.Raise(start, spent(9000), true)
-		led.HeardWhole(start, "gulf", spent(4000))
-		led.HeardWhole(start, "austin", spent(3000))
+		led.RaiseTotals(start, spent(9000), true)
+		led.ApplyRemoteTotals(start, "gulf", spent(4000))
+		led.ApplyRemoteTotals(start, "austin", spent(3000))
 		Expect(led.Totals(start)).To(Equal(spent(9000)))
-		led.HeardWhole(start, "gulf", spent(4500))
+		led.ApplyRemoteTotals(start, "gulf", spent(4500))
 		Expect(led.Totals(start)).To(Equal(spent(9000)))
-		led.HeardWhole(start, "gulf", spent(8000))
+		led.ApplyRemoteTotals(start, "gulf", spent(8000))
 		Expect(led.Totals(start)).To(Equal(spent(11000)))
-		led.RaiseAway(start, "austin", spent(11000), spent(3000))
+		led.RaiseRemoteTotals(start, "austin", spent(11000), spent(3000))
 		Expect(led.Totals(start)).To(Equal(spent(11000)))
 	})
 
@@ -408,13 +408,13 @@
 	// passed on were counted anew each time.
 	It("forgets after a window what daemons pass on to one another", func() {
 		leds := []*yuccaquota.Ledger{ledger(start, strict), ledger(start, strict), ledger(start, strict)}
-		Expect(leds[0].Take(start, "rally", allowed/2, 0).Verdict).To(Equal(yuccaquota.Taken))
+		Expect(leds[0].Admit(start, "rally", allowed/2, 0).Verdict).To(Equal(yuccaquota.Admitted))
 		now := start
 		for turn := range 90 {
 			now = now.Add(100 * time.Millisecond)
 			from, to := leds[turn%3], leds[(turn+1)%3]
-			to.Raise(now, from.Totals(now), true)
-			to.HeardWhole(now, "gulf", from.Totals(now))
+			to.RaiseTotals(now, from.Totals(now), true)
+			to.ApplyRemoteTotals(now, "gulf", from.Totals(now))
 			if turn == 40 {
 				Expect(to.Totals(now)).NotTo(BeEmpty())
 			}
@@ -426,11 +426,11 @@
 
 	It("passes on to other data centres what this one let in, and nothing of theirs", func() {
 		led := ledger(start, strict)
-		led.Take(start, "rally", 100, 0)
-		led.Meet(start, peer, nil, nil)
-		led.Heard(start, peer, []yuccaquota.Spent{{Account: "rally", Amount: 50}})
-		led.HeardAway(start, "gulf", []yuccaquota.Spent{{Account: "rally", Amount: 7000}})
-		Expect(led.ReportAway()).To(Equal([]yuccaquota.Spent{{Account: yuccaid.Account("rally"), Amount: 150}}))
-		Expect(led.ReportAway()).To(BeEmpty())
+		led.Admit(start, "rally", 100, 0)
+		led.PeerConnected(start, peer, nil, nil)
+		led.ApplyReport(start, peer, []yuccaquota.Usage{{Account: "rally", Amount: 50}})
+		led.ApplyRemoteReport(start, "gulf", []yuccaquota.Usage{{Account: "rally", Amount: 7000}})
+		Expect(led.RemoteReport()).To(Equal([]yuccaquota.Usage{{Account: yuccaid.Account("rally"), Amount: 150}}))
+		Expect(led.RemoteReport()).To(BeEmpty())
 	})
 })
--- a/core/yuccaquota/report.go
+++ b/core/yuccaquota/report.go
@@ -9,10 +9,10 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// Spent is what one account was let in for, in the units of its quota: by one daemon since
+// Usage is what one account was let in for, in the units of its quota: by one daemon since
 // it began, or by a data centre since its last report, or within a window. It is negative
 // where requests that had been let in didn't run.
-type Spent struct {
+type Usage struct {
 	Account yuccaid.Account
 	Amount  int64
 	// Asked is what it asked for, also where it was refused. It is only counted by daemons
@@ -20,9 +20,9 @@
 	Asked int64
 }
 
-// Aged is what one account was let in for within its window by how long ago that was, in
+// UsageByAge is what one account was let in for within its window by how long ago that was, in
 // equal parts of the window, the latest first.
-type Aged struct {
+type UsageByAge struct {
 	Account yuccaid.Account
 	Let     []int64
 	// Asked is what it asked for, at whatever age.
@@ -50,19 +50,19 @@
 // teller is another daemon of this data centre, and what it last told that it let in since
 // it began.
 type teller struct {
-	ever map[yuccaid.Account]Spent
+	ever map[yuccaid.Account]Usage
 	at   time.Time
 }
 
-// Heard takes a report of a daemon of this data centre.
+// ApplyReport takes a report of a daemon of this data centre.
 //
 // Reports tell sums since the daemon began, of which what was heard before is taken off. So
 // one that is lost with its connection is made up for by the next.
-func (led *Ledger) Heard(now time.Time, from yuccaid.Incarnation, spent []Spent) {
+func (led *Ledger) ApplyReport(now time.Time, from yuccaid.Incarnation, spent []Usage) {
 	tlr := led.tellers[from]
 	if tlr == nil {
 		// Sums since it began say nothing of a window.
-		led.Meet(now, from, spent, nil)
+		led.PeerConnected(now, from, spent, nil)
 		return
 	}
 	tlr.at = now
@@ -76,21 +76,21 @@
 	}
 }
 
-// Met reports whether a daemon of this data centre has been heard of lately.
-func (led *Ledger) Met(from yuccaid.Incarnation) bool { return led.tellers[from] != nil }
+// ConnectedBefore reports whether a daemon of this data centre has been heard of lately.
+func (led *Ledger) ConnectedBefore(from yuccaid.Incarnation) bool { return led.tellers[from] != nil }
 
-// Meet takes what a daemon of this data centre let in since it began, and what of that lies
+// PeerConnected takes what a daemon of this data centre let in since it began, and what of that lies
 // within its windows, when a connection to it comes up. What was missed since it was last
 // heard is counted as if it had been let in now: it can't be told when it was, and too little
 // would let the account in for too much.
-func (led *Ledger) Meet(now time.Time, from yuccaid.Incarnation, ever, within []Spent) {
+func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, ever, within []Usage) {
 	for other, tlr := range led.tellers {
 		if now.Sub(tlr.at) > heardFor {
 			delete(led.tellers, other)
 		}
 	}
 	before := led.tellers[from]
-	met := &teller{ever: make(map[yuccaid.Account]Spent, len(ever)), at: now}
+	met := &teller{ever: make(map[yuccaid.Account]Usage, len(ever)), at: now}
 	for _, each := range ever {
 		met.ever[each.Account] = each
 	}
@@ -108,8 +108,8 @@
 	}
 }
 
-// HeardAway takes a report of another data centre.
-func (led *Ledger) HeardAway(now time.Time, centre yuccaid.Centre, spent []Spent) {
+// ApplyRemoteReport takes a report of another data centre.
+func (led *Ledger) ApplyRemoteReport(now time.Time, centre yuccaid.Centre, spent []Usage) {
 	for _, each := range spent {
 		if win := led.told(now, each.Account); win != nil {
 			win.let.far(now, led.span(), centre, each.Amount)
@@ -118,12 +118,12 @@
 	}
 }
 
-// HeardWhole takes all that another data centre let in within its windows, and counts what
+// ApplyRemoteTotals takes all that another data centre let in within its windows, and counts what
 // of it hasn't been heard.
 //
 // Reports are lost while two data centres have no connection, and most of all after every
 // daemon was killed: each lets accounts in before it has met the others.
-func (led *Ledger) HeardWhole(now time.Time, centre yuccaid.Centre, totals []Aged) {
+func (led *Ledger) ApplyRemoteTotals(now time.Time, centre yuccaid.Centre, totals []UsageByAge) {
 	for _, each := range totals {
 		if win := led.told(now, each.Account); win != nil {
 			win.let.whole(now, led.span(), centre, each.Let)
@@ -134,11 +134,11 @@
 
 // Report returns what this daemon let in since it began, of the accounts for which that has
 // changed since the last report.
-func (led *Ledger) Report() []Spent {
-	var list []Spent
+func (led *Ledger) Report() []Usage {
+	var list []Usage
 	for name, win := range led.windows {
 		if win.let.ever != win.let.reported || win.asked.ever != win.asked.reported {
-			list = append(list, Spent{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
+			list = append(list, Usage{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
 			win.let.reported, win.asked.reported = win.let.ever, win.asked.ever
 		}
 	}
@@ -146,23 +146,23 @@
 	return list
 }
 
-// Ever returns what this daemon let in since it began, for one that it meets.
-func (led *Ledger) Ever() []Spent {
-	var list []Spent
+// LifetimeUsage returns what this daemon let in since it began, for one that it meets.
+func (led *Ledger) LifetimeUsage() []Usage {
+	var list []Usage
 	for name, win := range led.windows {
-		list = append(list, Spent{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
+		list = append(list, Usage{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
 	}
 	slices.SortFunc(list, compareSpent)
 	return list
 }
 
-// ReportAway returns what this data centre let in since the last such report, for the one
+// RemoteReport returns what this data centre let in since the last such report, for the one
 // daemon that reports to the others.
-func (led *Ledger) ReportAway() []Spent {
-	var list []Spent
+func (led *Ledger) RemoteReport() []Usage {
+	var list []Usage
 	for name, win := range led.windows {
 		if win.let.centre != 0 || win.asked.centre != 0 {
-			list = append(list, Spent{Account: name, Amount: win.let.centre, Asked: win.asked.centre})
+			list = append(list, Usage{Account: name, Amount: win.let.centre, Asked: win.asked.centre})
 			win.let.centre, win.asked.centre = 0, 0
 		}
 	}
@@ -170,9 +170,9 @@
 	return list
 }
 
-// Reported notes what another daemon reported of this data centre to the others. What it
+// MarkRemoteReported notes what another daemon reported of this data centre to the others. What it
 // left out, because it ended first, is reported by its successor.
-func (led *Ledger) Reported(spent []Spent) {
+func (led *Ledger) MarkRemoteReported(spent []Usage) {
 	for _, each := range spent {
 		if win := led.windows[each.Account]; win != nil {
 			win.let.centre -= each.Amount
@@ -182,18 +182,18 @@
 }
 
 // Totals returns what the windows hold, for a daemon that has just started or was cut off.
-func (led *Ledger) Totals(now time.Time) []Aged {
+func (led *Ledger) Totals(now time.Time) []UsageByAge {
 	return led.aged(now, func(tl *tally) *yuccawindow.Sum { return &tl.all })
 }
 
-// Home returns what this data centre let in within the windows, for another one that may
+// CentreTotals returns what this data centre let in within the windows, for another one that may
 // have missed reports.
-func (led *Ledger) Home(now time.Time) []Aged {
+func (led *Ledger) CentreTotals(now time.Time) []UsageByAge {
 	return led.aged(now, func(tl *tally) *yuccawindow.Sum { return &tl.home })
 }
 
-func (led *Ledger) aged(now time.Time, of func(*tally) *yuccawindow.Sum) []Aged {
-	var list []Aged
+func (led *Ledger) aged(now time.Time, of func(*tally) *yuccawindow.Sum) []UsageByAge {
+	var list []UsageByAge
 	for name, win := range led.windows {
 		led.advance(now, win)
 		let, asked := of(&win.let), of(&win.asked)
@@ -205,29 +205,29 @@
 		for last > 0 && ages[last-1] == 0 {
 			last--
 		}
-		list = append(list, Aged{Account: name, Let: ages[:last], Asked: asked.Total()})
+		list = append(list, UsageByAge{Account: name, Let: ages[:last], Asked: asked.Total()})
 	}
-	slices.SortFunc(list, func(a, b Aged) int { return cmp.Compare(a.Account, b.Account) })
+	slices.SortFunc(list, func(a, b UsageByAge) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
-// Mine returns what this daemon let in within the windows, for a daemon of its data centre
+// DaemonTotals returns what this daemon let in within the windows, for a daemon of its data centre
 // that it meets for the first time.
-func (led *Ledger) Mine(now time.Time) []Spent {
-	var list []Spent
+func (led *Ledger) DaemonTotals(now time.Time) []Usage {
+	var list []Usage
 	for name, win := range led.windows {
 		led.advance(now, win)
 		if let, asked := win.let.mine.Total(), win.asked.mine.Total(); let > 0 || asked > 0 {
-			list = append(list, Spent{Account: name, Amount: let, Asked: asked})
+			list = append(list, Usage{Account: name, Amount: let, Asked: asked})
 		}
 	}
 	slices.SortFunc(list, compareSpent)
 	return list
 }
 
-// Raise takes over another daemon's totals where they are higher. Knows says that the other
+// RaiseTotals takes over another daemon's totals where they are higher. Knows says that the other
 // has a memory of its own.
-func (led *Ledger) Raise(now time.Time, totals []Aged, knows bool) {
+func (led *Ledger) RaiseTotals(now time.Time, totals []UsageByAge, knows bool) {
 	for _, each := range totals {
 		if win := led.told(now, each.Account); win != nil {
 			win.let.raise(each.Let)
@@ -239,10 +239,10 @@
 	}
 }
 
-// RaiseAway takes over the totals of a daemon of another data centre that remembers, which
+// RaiseRemoteTotals takes over the totals of a daemon of another data centre that remembers, which
 // hold what that data centre itself let in: that part isn't counted again when it is reported.
-func (led *Ledger) RaiseAway(now time.Time, centre yuccaid.Centre, totals, home []Aged) {
-	led.Raise(now, totals, true)
+func (led *Ledger) RaiseRemoteTotals(now time.Time, centre yuccaid.Centre, totals, home []UsageByAge) {
+	led.RaiseTotals(now, totals, true)
 	for _, each := range home {
 		if win := led.told(now, each.Account); win != nil {
 			win.let.whole(now, led.span(), centre, each.Let)
@@ -250,6 +250,6 @@
 	}
 }
 
-func compareSpent(a, b Spent) int {
+func compareSpent(a, b Usage) int {
 	return cmp.Compare(a.Account, b.Account)
 }
--- a/core/yuccaquota/rush.go
+++ b/core/yuccaquota/rush.go
@@ -27,9 +27,9 @@
 	wait := led.tolerance.Window - seconds(fillPart*limit/demand)
 	spare := led.part*win.rush(0) + demand*max(since-wait, 0).Seconds()
 	if float64(win.let.all.Total())+cost <= spare {
-		return Taken, 0
+		return Admitted, 0
 	}
-	return Held, bounded(wait - since)
+	return HeldAfterRestart, bounded(wait - since)
 }
 
 // rush is what an account may have asked for since the daemons lost their memory.
--- a/core/yuccaquota/sizes_test.go
+++ b/core/yuccaquota/sizes_test.go
@@ -41,7 +41,7 @@
 			at := rsh.rng.IntN(len(flt.ledgers))
 			rsh.asked++
 			rsh.refused++
-			if verdict := flt.ledgers[at].Take(flt.now, "rally", cost, rsh.rank).Verdict; verdict == yuccaquota.Taken {
+			if verdict := flt.ledgers[at].Admit(flt.now, "rally", cost, rsh.rank).Verdict; verdict == yuccaquota.Admitted {
 				rsh.refused--
 				flt.let = append(flt.let, letIn{at: flt.now, cost: cost})
 			}
@@ -55,7 +55,7 @@
 	for at := range flt.ledgers {
 		flt.restart(at, ledger(flt.now, tolerant))
 		flt.ledgers[at].SetFleet(flt.now, 0.15, 6, 300*time.Millisecond)
-		flt.ledgers[at].Forgot(flt.now)
+		flt.ledgers[at].MarkWithoutHistory(flt.now)
 	}
 	flt.cut = func(int) bool { return true }
 	rsh.run(450 * time.Millisecond)
@@ -89,7 +89,7 @@
 	DescribeTable("is kept by an account whose requests are large against its rate",
 		func(daemons int, every time.Duration) {
 			const rate, burst, amount = 2000.0, 4000.0, 190_000.0
-			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Amount: amount}
+			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: amount}
 			for seed := range uint64(20) {
 				flt := newFleet(daemons, every, tolerance)
 				for _, led := range flt.ledgers {
@@ -111,7 +111,7 @@
 	// times what their account may have in eight seconds.
 	DescribeTable("is kept in a burst that reaches all daemons at once",
 		func(daemons, rank int, rate, burst, amount, mean float64) {
-			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Amount: amount}
+			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: amount}
 			tolerated := (rate*8+burst)*1.25 + amount
 			for seed := range uint64(20) {
 				flt := newFleet(daemons, 200*time.Millisecond, tolerance)
--- a/io/yuccagate/cast.go
+++ b/io/yuccagate/cast.go
@@ -110,7 +110,7 @@
 	}
 	if message.Centre == gate.settings.Centre {
 		if message.Topic == yuccawire.TopicUse {
-			gate.ledger.Reported(message.Use)
+			gate.ledger.MarkRemoteReported(message.Use)
 		}
 		gate.across(message)
 		return
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -145,7 +145,7 @@
 	gate.peers = yuccapeer.New(self, yuccapeer.WithSeeds(settings.Seeds...), yuccapeer.WithTiming(peerTiming()))
 	gate.looked = gate.began
 	if !settings.First {
-		gate.ledger.Forgot(gate.began)
+		gate.ledger.MarkWithoutHistory(gate.began)
 	}
 	ready := make(chan struct{})
 	gate.control = yuccaloop.New(ready, tickEvery, gate.tick)
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -60,8 +60,8 @@
 		gate.log.belief("peer reached", "peer", member.VM, "centre", member.Centre)
 		gate.onChange(now, gate.peers.Linked(now, member))
 		gate.send(member.Incarnation, yuccawire.KindUse, yuccawire.Use{
-			Totals: true, Spent: gate.ledger.Ever(), Mine: gate.ledger.Mine(now), All: gate.ledger.Totals(now), Home: gate.ledger.Home(now),
-			Knows: !gate.ledger.Amnesic(now),
+			Totals: true, Spent: gate.ledger.LifetimeUsage(), Mine: gate.ledger.DaemonTotals(now), All: gate.ledger.Totals(now), Home: gate.ledger.CentreTotals(now),
+			Knows: !gate.ledger.WithoutHistory(now),
 		})
 		gate.resync(now, member.Incarnation)
 	})
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -45,7 +45,7 @@
 }
 
 func (bnd *Bounds) tolerance() yuccaquota.Tolerance {
-	return yuccaquota.Tolerance{Window: bnd.QuotaWindow, Overshoot: bnd.QuotaOvershoot, Amount: bnd.QuotaAllowance}
+	return yuccaquota.Tolerance{Window: bnd.QuotaWindow, Overshoot: bnd.QuotaOvershoot, Allowance: bnd.QuotaAllowance}
 }
 
 func (bnd *Bounds) resends() yuccabudget.Bounds {
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -75,7 +75,7 @@
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
 		Number: gate.number(), Rests: gate.rests.Load(), PlatformMillis: -1,
-		QuotaPart: gate.ledger.Part(), Open: gate.open.Load(), Held: gate.room.taken(),
+		QuotaPart: gate.ledger.QuotaShare(), Open: gate.open.Load(), Held: gate.room.taken(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
 		status.PlatformMillis = age.Milliseconds()
@@ -94,7 +94,7 @@
 			Target: entry.Target, Pool: entry.Pool, Centre: entry.Centre, Address: entry.Address, Leaving: entry.Leaving,
 		})
 	}
-	for _, use := range gate.ledger.Uses(now) {
+	for _, use := range gate.ledger.QuotaUsages(now) {
 		status.Accounts = append(status.Accounts, AccountStatus(use))
 	}
 	return status
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -35,12 +35,12 @@
 		return nil
 	}
 	cost := req.account.Quota.Cost(req.caller.Charged)
-	answer := gate.ledger.Take(now, req.account.Name, cost, req.route.Rank)
-	req.over = answer.Over
-	if answer.Verdict != yuccaquota.Taken {
+	answer := gate.ledger.Admit(now, req.account.Name, cost, req.route.Rank)
+	req.over = answer.OverQuota
+	if answer.Verdict != yuccaquota.Admitted {
 		gate.metrics.quota(answer.Verdict)
-		req.told("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.Mine, "asked", answer.Asked, "rush", answer.Rush, "part", gate.ledger.Part(), "daemons", gate.ledger.Daemons())
-		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), Back: answer.Back}
+		req.told("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.UsedByDaemon, "asked", answer.Demand, "rush", answer.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
+		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), Back: answer.RetryAfter}
 	}
 	return nil
 }
@@ -54,7 +54,7 @@
 		if !req.counted {
 			return
 		}
-		gate.ledger.Return(now, req.account.Name, req.account.Quota.Cost(req.caller.Charged))
+		gate.ledger.Refund(now, req.account.Name, req.account.Quota.Cost(req.caller.Charged))
 	})
 }
 
@@ -63,8 +63,8 @@
 func (gate *Gate) tickUse(now time.Time) {
 	visible, total := gate.fleet(now)
 	part := gate.part(now, visible, total)
-	if part != gate.ledger.Part() {
-		gate.log.belief("part of the quotas", "part", part, "before", gate.ledger.Part(), "visible", visible, "total", total)
+	if part != gate.ledger.QuotaShare() {
+		gate.log.belief("part of the quotas", "part", part, "before", gate.ledger.QuotaShare(), "visible", visible, "total", total)
 	}
 	peers := len(gate.peers.Live(gate.settings.Centre)) - 1
 	every := time.Duration(peers) * useForPeer
@@ -87,7 +87,7 @@
 	switch {
 	case gate.settled || len(gate.settings.Seeds) == 0:
 		return partOf(visible, total)
-	case !gate.settings.First && !gate.ledger.Amnesic(now):
+	case !gate.settings.First && !gate.ledger.WithoutHistory(now):
 		return 1
 	}
 	return firstPart
@@ -115,7 +115,7 @@
 	if !found || speaker.Incarnation != gate.inc {
 		return
 	}
-	spent := gate.ledger.ReportAway()
+	spent := gate.ledger.RemoteReport()
 	quiet := max(castLatest, spacing)
 	if now.Sub(gate.began) < centreAwaited {
 		// Data centres that start together find one another by these.
@@ -129,7 +129,7 @@
 	gate.cast(message)
 	if gate.wholeDue || len(spent) > 0 && now.Sub(gate.wholeAt) >= wholeEvery {
 		gate.wholeDue, gate.wholeAt = false, now
-		message.Use, message.Whole = nil, gate.ledger.Home(now)
+		message.Use, message.Whole = nil, gate.ledger.CentreTotals(now)
 		gate.cast(message)
 	}
 }
@@ -142,9 +142,9 @@
 	away := found && peer.Centre != gate.settings.Centre
 	switch {
 	case !message.Totals:
-		gate.ledger.Heard(now, from, message.Spent)
+		gate.ledger.ApplyReport(now, from, message.Spent)
 	case away && message.Knows:
-		gate.ledger.RaiseAway(now, peer.Centre, message.All, message.Home)
+		gate.ledger.RaiseRemoteTotals(now, peer.Centre, message.All, message.Home)
 	case away:
 	default:
 		gate.meetUse(now, from, message)
@@ -155,12 +155,12 @@
 // one that remembers hold what it let in itself, and so may those that others told.
 func (gate *Gate) meetUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	within := message.Mine
-	if message.Knows && !gate.ledger.Met(from) {
+	if message.Knows && !gate.ledger.ConnectedBefore(from) {
 		within = nil
 	}
-	gate.ledger.Meet(now, from, message.Spent, within)
+	gate.ledger.PeerConnected(now, from, message.Spent, within)
 	if message.Knows {
-		gate.ledger.Raise(now, message.All, true)
+		gate.ledger.RaiseTotals(now, message.All, true)
 	}
 }
 
@@ -170,6 +170,6 @@
 		gate.wholeDue = true
 	}
 	gate.centres[message.Centre] = &centre{daemons: message.Daemons, heard: now}
-	gate.ledger.HeardAway(now, message.Centre, message.Use)
-	gate.ledger.HeardWhole(now, message.Centre, message.Whole)
+	gate.ledger.ApplyRemoteReport(now, message.Centre, message.Use)
+	gate.ledger.ApplyRemoteTotals(now, message.Centre, message.Whole)
 }
--- a/io/yuccawire/gate.go
+++ b/io/yuccawire/gate.go
@@ -46,12 +46,12 @@
 	Totals bool
 	// Spent is what the sender itself let in since it began: of accounts for which that has
 	// changed, or of all.
-	Spent []yuccaquota.Spent
+	Spent []yuccaquota.Usage
 	// Mine is the part of Spent within the windows.
-	Mine []yuccaquota.Spent
+	Mine []yuccaquota.Usage
 	// All is what everybody let in within them, and Home what the sender's data centre did.
-	All  []yuccaquota.Aged
-	Home []yuccaquota.Aged
+	All  []yuccaquota.UsageByAge
+	Home []yuccaquota.UsageByAge
 	// Knows says that the sender has been there for a whole window or was told by one that
 	// had.
 	Knows bool
@@ -79,8 +79,8 @@
 	Sequence uint64
 	// Use is what the data centre let in since the last cast, and Whole all that it did
 	// within the windows, where that is told.
-	Use   []yuccaquota.Spent
-	Whole []yuccaquota.Aged
+	Use   []yuccaquota.Usage
+	Whole []yuccaquota.UsageByAge
 	Load  []TargetLoad
 	// Part says that Load holds only targets for which something has changed.
 	Part bool
