--- a/core/yuccabudget/budget.go
+++ b/core/yuccabudget/budget.go
@@ -38,14 +38,14 @@
 // SetBounds changes the bound; what was counted stays.
 func (bud *Budget) SetBounds(bounds Bounds) { bud.bounds = bounds }
 
-// Request counts a request of a caller.
-func (bud *Budget) Request(now time.Time, pool yuccaid.Pool) {
+// CountRequest counts a request of a caller.
+func (bud *Budget) CountRequest(now time.Time, pool yuccaid.Pool) {
 	bud.window(now, pool).requests.Add(1)
 }
 
-// Resend counts one more sending of a request and reports whether the bound allows it,
+// AllowResend counts one more sending of a request and reports whether the bound allows it,
 // where so many daemons share the allowance.
-func (bud *Budget) Resend(now time.Time, pool yuccaid.Pool, daemons int) bool {
+func (bud *Budget) AllowResend(now time.Time, pool yuccaid.Pool, daemons int) bool {
 	win := bud.window(now, pool)
 	bound := caution * (bud.bounds.Ratio*float64(win.requests.Total()) + bud.bounds.Allowance/float64(max(daemons, 1)))
 	if float64(win.resends.Total()+1) > bound {
--- a/core/yuccabudget/budget_test.go
+++ b/core/yuccabudget/budget_test.go
@@ -25,8 +25,8 @@
 		for range 40 * perSecond {
 			now = now.Add(time.Second / perSecond)
 			for _, bud := range all {
-				bud.Request(now, "desk")
-				for bud.Resend(now, "desk", daemons) {
+				bud.CountRequest(now, "desk")
+				for bud.AllowResend(now, "desk", daemons) {
 					resent = append(resent, now)
 				}
 			}
@@ -49,7 +49,7 @@
 		now := time.Unix(1_700_000_000, 0)
 		count := func() int {
 			sent := 0
-			for bud.Resend(now, "desk", 7) {
+			for bud.AllowResend(now, "desk", 7) {
 				sent++
 			}
 			return sent
@@ -64,8 +64,8 @@
 	It("counts each pool by itself", func() {
 		bud := yuccabudget.New(bounds)
 		now := time.Unix(1_700_000_000, 0)
-		for bud.Resend(now, "desk", 7) {
+		for bud.AllowResend(now, "desk", 7) {
 		}
-		Expect(bud.Resend(now, "draft", 7)).To(BeTrue())
+		Expect(bud.AllowResend(now, "draft", 7)).To(BeTrue())
 	})
 })
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -76,7 +76,7 @@
 		}
 		req.counted = true
 		tkt.ask.OverQuota = req.over
-		gate.budget.Request(now, req.pool)
+		gate.budget.CountRequest(now, req.pool)
 	}
 	gate.tickets[tkt.ask.ID.Number] = tkt
 	gate.ask(now, gate.desk(now, tkt.pool), tkt)
@@ -121,7 +121,7 @@
 	allowed := false
 	gate.control.Call(func(now time.Time) {
 		_, daemons := gate.fleet(now)
-		allowed = gate.budget.Resend(now, pool, daemons)
+		allowed = gate.budget.AllowResend(now, pool, daemons)
 	})
 	gate.metrics.resend(allowed)
 	return allowed
