--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -273,7 +273,7 @@
 	room := limit - sum
 	switch {
 	case sum > 0 && cost > room:
-		return WindowFull, bounded(win.let.all.Until(int64(cost - room)))
+		return WindowFull, bounded(win.let.all.ExpiresIn(int64(cost - room)))
 	case !led.fairly(now, account, win, cost, room):
 		return ShareUsed, bounded(led.delay)
 	}
@@ -295,7 +295,7 @@
 	if led.parted.IsZero() {
 		return whole
 	}
-	before := float64(win.let.all.Total() - win.let.all.Since(now.Sub(led.parted)))
+	before := float64(win.let.all.Total() - win.let.all.Recent(now.Sub(led.parted)))
 	return before + led.part*max(whole-before, 0)
 }
 
--- a/core/yuccaquota/tally.go
+++ b/core/yuccaquota/tally.go
@@ -73,8 +73,8 @@
 func (tl *tally) whole(now time.Time, span time.Duration, centre yuccaid.Centre, theirs []int64) {
 	sum := tl.of(now, span, centre)
 	for _, part := range missing(theirs, sum) {
-		sum.AddAged(part.age, part.amount)
-		tl.all.AddAged(part.age, part.amount-tl.place(part))
+		sum.AddAtAge(part.age, part.amount)
+		tl.all.AddAtAge(part.age, part.amount-tl.place(part))
 	}
 }
 
@@ -82,15 +82,15 @@
 // goes, and returns how much that was.
 func (tl *tally) place(part aged) int64 {
 	placed := min(part.amount, max(tl.unplaced.Total(), 0))
-	tl.unplaced.AddAged(part.age, -placed)
+	tl.unplaced.AddAtAge(part.age, -placed)
 	return placed
 }
 
 // raise takes over a higher total, which is given by age.
 func (tl *tally) raise(theirs []int64) {
 	for _, part := range missing(theirs, &tl.all) {
-		tl.all.AddAged(part.age, part.amount)
-		tl.unplaced.AddAged(part.age, part.amount)
+		tl.all.AddAtAge(part.age, part.amount)
+		tl.unplaced.AddAtAge(part.age, part.amount)
 	}
 }
 
--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -45,28 +45,28 @@
 	sum.total += amount
 }
 
-// AddBefore counts an amount as if half a window ago.
-func (sum *Sum) AddBefore(amount int64) {
+// AddHalfWindowAgo counts an amount as if half a window ago.
+func (sum *Sum) AddHalfWindowAgo(amount int64) {
 	sum.slot[(sum.last-slots/2+slots)%slots] += amount
 	sum.total += amount
 }
 
-// Ages is into how many parts Ages divides a window.
-const Ages = slots / 2
+// AgeGroups is into how many parts AgeGroups divides a window.
+const AgeGroups = slots / 2
 
 // Ages returns the sum by how long ago it was counted, the latest first.
-func (sum *Sum) Ages() [Ages]int64 {
-	var ages [Ages]int64
+func (sum *Sum) Ages() [AgeGroups]int64 {
+	var ages [AgeGroups]int64
 	for back := range int64(slots) {
-		ages[back/(slots/Ages)] += sum.slot[(sum.last-back+slots)%slots]
+		ages[back/(slots/AgeGroups)] += sum.slot[(sum.last-back+slots)%slots]
 	}
 	return ages
 }
 
-// AddAged counts an amount, or takes it back, at one of the ages: as old as that part
+// AddAtAge counts an amount, or takes it back, at one of the ages: as old as that part
 // reaches. An amount that is passed on again and again never grows younger by it.
-func (sum *Sum) AddAged(age int, amount int64) {
-	back := int64(age+1)*(slots/Ages) - 1
+func (sum *Sum) AddAtAge(age int, amount int64) {
+	back := int64(age+1)*(slots/AgeGroups) - 1
 	sum.slot[(sum.last-back+slots)%slots] += amount
 	sum.total += amount
 }
@@ -74,8 +74,8 @@
 // Total returns the sum.
 func (sum *Sum) Total() int64 { return sum.total }
 
-// Since returns what was counted within the last of the window, in whole parts.
-func (sum *Sum) Since(ago time.Duration) int64 {
+// Recent returns what was counted within the last of the window, in whole parts.
+func (sum *Sum) Recent(ago time.Duration) int64 {
 	width := max(sum.span/slots, 1)
 	parts := min(int64((ago+width-1)/width)+1, slots)
 	recent := int64(0)
@@ -85,8 +85,8 @@
 	return recent
 }
 
-// Until returns how long it takes until an amount has left the window.
-func (sum *Sum) Until(amount int64) time.Duration {
+// ExpiresIn returns how long it takes until an amount has left the window.
+func (sum *Sum) ExpiresIn(amount int64) time.Duration {
 	width := sum.span / slots
 	wait := width
 	for at := sum.last + 1; at < sum.last+slots && amount > 0; at++ {
--- a/core/yuccawindow/window_test.go
+++ b/core/yuccawindow/window_test.go
@@ -85,8 +85,8 @@
 		var sum yuccawindow.Sum
 		sum.Advance(now, 32*time.Second)
 		sum.Add(5)
-		Expect(sum.Until(5)).To(Equal(32 * time.Second))
-		sum.AddBefore(5)
-		Expect(sum.Until(5)).To(BeNumerically("~", 16*time.Second, time.Second))
+		Expect(sum.ExpiresIn(5)).To(Equal(32 * time.Second))
+		sum.AddHalfWindowAgo(5)
+		Expect(sum.ExpiresIn(5)).To(BeNumerically("~", 16*time.Second, time.Second))
 	})
 })
