--- a/core/yuccaspace/space.go
+++ b/core/yuccaspace/space.go
@@ -3,11 +3,11 @@
 import "yuccacleat/core/yuccaid"
 
 const (
-	// RequestCost is what a request under way takes beside its body: two connections with
+	// RequestOverhead is what a request under way takes beside its body: two connections with
 	// their buffers, goroutines, the heads of request and answer, and an event that its caller
 	// hasn't read. Measured with 700 streams of 16 KB events whose callers read nothing: 112 KB
 	// of resident memory for each in two runs, part of which the collector had not freed yet.
-	RequestCost yuccaid.Bytes = 64 << 10
+	RequestOverhead yuccaid.Bytes = 64 << 10
 
 	// requestsPart is the part of a machine's memory that requests under way may take. The
 	// rest is for the program, the configuration, idle connections and what the collector
@@ -30,48 +30,48 @@
 	fewest = 16
 )
 
-// Machine is what one daemon's process may use; zero stands for no bound.
-type Machine struct {
+// ProcessLimits is what one daemon's process may use; zero stands for no bound.
+type ProcessLimits struct {
 	Memory      yuccaid.Bytes
 	Descriptors int
 }
 
 // Bounds is what a daemon may hold at once; zero stands for no bound.
 type Bounds struct {
-	// Requests is the memory of requests under way.
-	Requests yuccaid.Bytes
-	// Callers is how many connections callers may have open.
-	Callers int
-	// Unused is how many unused connections to targets may be kept.
-	Unused int
+	// RequestMemory is the memory of requests under way.
+	RequestMemory yuccaid.Bytes
+	// CallerConnections is how many connections callers may have open.
+	CallerConnections int
+	// IdleConnections is how many unused connections to targets may be kept.
+	IdleConnections int
 }
 
 // BoundsOf divides a machine between the uses of it.
-func BoundsOf(machine Machine) Bounds {
-	bounds := Bounds{Requests: yuccaid.Bytes(requestsPart * float64(machine.Memory))}
+func BoundsOf(machine ProcessLimits) Bounds {
+	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestsPart * float64(machine.Memory))}
 	if machine.Descriptors > 0 {
 		sockets := float64(machine.Descriptors - files)
-		bounds.Callers = max(int(callersPart*sockets), fewest)
-		bounds.Unused = max(int(unusedPart*sockets), fewest)
+		bounds.CallerConnections = max(int(callersPart*sockets), fewest)
+		bounds.IdleConnections = max(int(unusedPart*sockets), fewest)
 	}
 	return bounds
 }
 
-// Space lends memory to requests. It isn't safe for concurrent use; the zero value has no
+// MemoryLimiter lends memory to requests. It isn't safe for concurrent use; the zero value has no
 // bound.
-type Space struct {
+type MemoryLimiter struct {
 	limit yuccaid.Bytes
 	taken yuccaid.Bytes
 }
 
 // New returns a space of so much memory; zero stands for no bound.
-func New(limit yuccaid.Bytes) *Space {
-	return &Space{limit: limit}
+func New(limit yuccaid.Bytes) *MemoryLimiter {
+	return &MemoryLimiter{limit: limit}
 }
 
-// Take lends memory to a request, or reports that there is none for its rank. Rank 0 is the
+// Reserve lends memory to a request, or reports that there is none for its rank. Rank 0 is the
 // most urgent.
-func (sp *Space) Take(rank int, size yuccaid.Bytes) bool {
+func (sp *MemoryLimiter) Reserve(rank int, size yuccaid.Bytes) bool {
 	open := float64(sp.limit) * (1 - rankKept*float64(min(max(rank, 0), mostRanks)))
 	if sp.limit > 0 && float64(sp.taken+size) > open {
 		return false
@@ -80,10 +80,10 @@
 	return true
 }
 
-// Give takes lent memory back.
-func (sp *Space) Give(size yuccaid.Bytes) {
+// Release takes lent memory back.
+func (sp *MemoryLimiter) Release(size yuccaid.Bytes) {
 	sp.taken -= size
 }
 
-// Taken returns how much is lent.
-func (sp *Space) Taken() yuccaid.Bytes { return sp.taken }
+// Reserved returns how much is lent.
+func (sp *MemoryLimiter) Reserved() yuccaid.Bytes { return sp.taken }
--- a/core/yuccaspace/space_test.go
+++ b/core/yuccaspace/space_test.go
@@ -12,19 +12,19 @@
 )
 
 func ExampleBoundsOf() {
-	bounds := yuccaspace.BoundsOf(yuccaspace.Machine{Memory: 284 << 20, Descriptors: 4100})
-	fmt.Println(bounds.Requests>>20, "MB for requests,", bounds.Callers, "callers,", bounds.Unused, "unused connections to targets")
+	bounds := yuccaspace.BoundsOf(yuccaspace.ProcessLimits{Memory: 284 << 20, Descriptors: 4100})
+	fmt.Println(bounds.RequestMemory>>20, "MB for requests,", bounds.CallerConnections, "callers,", bounds.IdleConnections, "unused connections to targets")
 	// Output: 113 MB for requests, 1560 callers, 312 unused connections to targets
 }
 
 var _ = Describe("a machine", func() {
 	DescribeTable("is divided so that everything fits",
 		func(memory yuccaid.Bytes, descriptors int) {
-			bounds := yuccaspace.BoundsOf(yuccaspace.Machine{Memory: memory, Descriptors: descriptors})
-			Expect(bounds.Requests).To(BeNumerically("<", memory/2))
-			Expect(bounds.Requests / yuccaspace.RequestCost).To(BeNumerically(">", 500))
+			bounds := yuccaspace.BoundsOf(yuccaspace.ProcessLimits{Memory: memory, Descriptors: descriptors})
+			Expect(bounds.RequestMemory).To(BeNumerically("<", memory/2))
+			Expect(bounds.RequestMemory / yuccaspace.RequestOverhead).To(BeNumerically(">", 500))
 			// Each caller's request may hold a connection to a target.
-			Expect(2*bounds.Callers + bounds.Unused).To(BeNumerically("<", descriptors-300))
+			Expect(2*bounds.CallerConnections + bounds.IdleConnections).To(BeNumerically("<", descriptors-300))
 		},
 		Entry("of the usual size", 284*yuccaid.Bytes(1<<20), 4100),
 		Entry("that is the smallest", 184*yuccaid.Bytes(1<<20), 4100),
@@ -32,8 +32,8 @@
 	)
 
 	It("without a size has no bounds", func() {
-		Expect(yuccaspace.BoundsOf(yuccaspace.Machine{})).To(Equal(yuccaspace.Bounds{}))
-		Expect(new(yuccaspace.Space).Take(9, 1<<40)).To(BeTrue())
+		Expect(yuccaspace.BoundsOf(yuccaspace.ProcessLimits{})).To(Equal(yuccaspace.Bounds{}))
+		Expect(new(yuccaspace.MemoryLimiter).Reserve(9, 1<<40)).To(BeTrue())
 	})
 })
 
@@ -43,19 +43,19 @@
 	It("has room for urgent requests when the others have filled theirs", func() {
 		space := yuccaspace.New(100 << 20)
 		letters := 0
-		for space.Take(2, 1<<20) {
+		for space.Reserve(2, 1<<20) {
 			letters++
 		}
 		Expect(letters).To(Equal(80))
-		Expect(space.Take(1, 1<<20)).To(BeTrue())
+		Expect(space.Reserve(1, 1<<20)).To(BeTrue())
 		notes := 0
-		for space.Take(0, 1<<20) {
+		for space.Reserve(0, 1<<20) {
 			notes++
 		}
 		Expect(notes).To(Equal(19))
-		space.Give(1 << 20)
-		Expect(space.Take(2, 1<<20)).To(BeFalse())
-		Expect(space.Take(0, 1<<20)).To(BeTrue())
+		space.Release(1 << 20)
+		Expect(space.Reserve(2, 1<<20)).To(BeFalse())
+		Expect(space.Reserve(0, 1<<20)).To(BeTrue())
 	})
 
 	It("never exceeds its limit, and never refuses a rank what a lower one gets", func() {
@@ -67,20 +67,20 @@
 				size := yuccaid.Bytes(rapid.IntRange(1, 300).Draw(t, "size"))
 				rank := rapid.IntRange(0, 6).Draw(t, "rank")
 				if len(lent) > 0 && rapid.Bool().Draw(t, "give") {
-					space.Give(lent[0])
+					space.Release(lent[0])
 					lent = lent[1:]
 					continue
 				}
-				if space.Take(rank, size) {
+				if space.Reserve(rank, size) {
 					lent = append(lent, size)
 					continue
 				}
-				if space.Take(rank+1, size) {
+				if space.Reserve(rank+1, size) {
 					t.Fatalf("rank %d was refused %d bytes that rank %d gets", rank, size, rank+1)
 				}
 			}
-			if space.Taken() > limit {
-				t.Fatalf("%d bytes are lent", space.Taken())
+			if space.Reserved() > limit {
+				t.Fatalf("%d bytes are lent", space.Reserved())
 			}
 		})
 	})
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -119,7 +119,7 @@
 		log:      logger{target: log.NewNopLogger()},
 		metrics:  newMetrics(),
 		hop:      newHop(bounds),
-		room:     newRoom(bounds.Requests),
+		room:     newRoom(bounds.RequestMemory),
 		bounds:   bounds,
 		began:    time.Now(),
 
@@ -163,7 +163,7 @@
 
 func newHop(bounds yuccaspace.Bounds) *yuccahop.Client {
 	limits := yuccahop.DefaultLimits()
-	limits.IdleTotal = bounds.Unused
+	limits.IdleTotal = bounds.IdleConnections
 	return yuccahop.New(yuccahop.WithLimits(limits))
 }
 
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -144,7 +144,7 @@
 	req.pool = route.Pick(mathrand.Float64())
 	req.until = req.arrived.Add(req.patience())
 	req.writeUntil(req.until.Add(lastWords))
-	if !req.hold(yuccaspace.RequestCost) {
+	if !req.hold(yuccaspace.RequestOverhead) {
 		return &Problem{Kind: KindBusy, Detail: detailRoom, Back: roomBack}
 	}
 	return req.read(r)
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -28,7 +28,7 @@
 // room lends this daemon's memory to the goroutines that serve callers.
 type room struct {
 	mu    sync.Mutex
-	space *yuccaspace.Space
+	space *yuccaspace.MemoryLimiter
 }
 
 func newRoom(limit yuccaid.Bytes) *room {
@@ -38,26 +38,26 @@
 func (rm *room) take(rank int, size yuccaid.Bytes) bool {
 	rm.mu.Lock()
 	defer rm.mu.Unlock()
-	return rm.space.Take(rank, size)
+	return rm.space.Reserve(rank, size)
 }
 
 func (rm *room) give(size yuccaid.Bytes) {
 	rm.mu.Lock()
 	defer rm.mu.Unlock()
-	rm.space.Give(size)
+	rm.space.Release(size)
 }
 
 func (rm *room) taken() yuccaid.Bytes {
 	rm.mu.Lock()
 	defer rm.mu.Unlock()
-	return rm.space.Taken()
+	return rm.space.Reserved()
 }
 
 // turnedAway notes that a caller's connection found no room.
 func (gate *Gate) turnedAway(now time.Time) {
 	gate.metrics.turnedAway()
 	if was := gate.turned.Swap(now.UnixNano()); now.Sub(time.Unix(0, was)) > crowdedFor {
-		gate.log.belief("callers turned away", "connections", gate.bounds.Callers)
+		gate.log.belief("callers turned away", "connections", gate.bounds.CallerConnections)
 	}
 }
 
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -22,7 +22,7 @@
 // sized returns a gateway whose machine has so much memory and so many descriptors.
 func sized(memory, descriptors int) *gate {
 	return newGateOf(listen(), "odessa", "entry-1", func(set *yuccagate.Settings) {
-		set.Machine = yuccaspace.Machine{Memory: yuccaid.Bytes(memory), Descriptors: descriptors}
+		set.Machine = yuccaspace.ProcessLimits{Memory: yuccaid.Bytes(memory), Descriptors: descriptors}
 	})
 }
 
@@ -93,7 +93,7 @@
 		gt.know(1, ranked(), 4, eng)
 		const sent = 512<<10 - 1
 		part := strings.Repeat("x", sent)
-		each := yuccaspace.RequestCost + sent + 1
+		each := yuccaspace.RequestOverhead + sent + 1
 		for turn := range 5 {
 			dial(gt, head("/lookup/", fmt.Sprint("letter", turn), 1<<20)+part)
 			Eventually(func() yuccaid.Bytes { return gt.Status().Held }).Should(Equal(yuccaid.Bytes(turn+1) * each))
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -34,7 +34,7 @@
 
 // Serve starts serving callers.
 func (gate *Gate) Serve(inner net.Listener) *Server {
-	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.Callers, gate.turnedAway), failed: make(chan error, 1), stop: make(chan struct{})}
+	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.turnedAway), failed: make(chan error, 1), stop: make(chan struct{})}
 	srv.http = &http.Server{
 		Handler:           gate,
 		ReadHeaderTimeout: headAfter,
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -25,7 +25,7 @@
 	// before.
 	First bool
 	// Machine is what the process may use.
-	Machine yuccaspace.Machine
+	Machine yuccaspace.ProcessLimits
 }
 
 // Bounds are the operators' limits on what the whole fleet may do.
