--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// DefaultTries is how many other data centres one request is offered to. Each try
+	// DefaultMaxTries is how many other data centres one request is offered to. Each try
 	// costs a round trip of the time that remains; in an overload of all regions more
 	// tries would only add messages where there is no room anywhere.
-	DefaultTries = 2
-	// DefaultPrice is the most that one request may cost in traffic between regions, in
+	DefaultMaxTries = 2
+	// DefaultMaxPrice is the most that one request may cost in traffic between regions, in
 	// the unit of the links' prices. It lets a long rulebook of a megabyte and its
 	// answer through at up to 5 a gigabyte, and stops a mistyped price.
-	DefaultPrice = 0.01
+	DefaultMaxPrice = 0.01
 	// DefaultDelay is assumed one way between regions for which no link is configured.
 	DefaultDelay = 30 * time.Millisecond
 	// nearDelay is the way between data centres of one region.
@@ -48,27 +48,27 @@
 // Option changes a planner's limits.
 type Option func(*Planner)
 
-// WithTries sets how many other data centres one request is offered to.
-func WithTries(tries int) Option {
+// WithMaxTries sets how many other data centres one request is offered to.
+func WithMaxTries(tries int) Option {
 	return func(plan *Planner) { plan.tries = tries }
 }
 
-// WithPrice sets the most that one request may cost in traffic.
-func WithPrice(price float64) Option {
+// WithMaxPrice sets the most that one request may cost in traffic.
+func WithMaxPrice(price float64) Option {
 	return func(plan *Planner) { plan.price = price }
 }
 
 // New returns a planner that has heard no refusals.
 func New(options ...Option) *Planner {
-	plan := &Planner{tries: DefaultTries, price: DefaultPrice, refused: make(map[place]time.Time)}
+	plan := &Planner{tries: DefaultMaxTries, price: DefaultMaxPrice, refused: make(map[place]time.Time)}
 	for _, option := range options {
 		option(plan)
 	}
 	return plan
 }
 
-// Place is a data centre to offer a request to.
-type Place struct {
+// Candidate is a data centre to offer a request to.
+type Candidate struct {
 	Centre yuccaid.Centre
 	// Delay is the way there; the leader there is told the remaining time less both
 	// round trips, since it can't know how far away the owner is.
@@ -77,7 +77,7 @@
 }
 
 // Remaining is the time that the leader at the place has for a request.
-func (place Place) Remaining(remaining time.Duration) time.Duration {
+func (place Candidate) Remaining(remaining time.Duration) time.Duration {
 	return remaining - roundTrips*2*place.Delay
 }
 
@@ -88,11 +88,11 @@
 // The harm it prevents is an urgent request refused beside idle engines. Its limits:
 // at most some tries, a bound on the price, no offer where the way alone takes the
 // time that remains, and none where the same tier was refused until the time named.
-func (plan *Planner) Next(now time.Time, state *yuccastate.State, ask yuccaqueue.Ask, tried []yuccaid.Centre) (Place, bool) {
+func (plan *Planner) Next(now time.Time, state *yuccastate.State, ask yuccaqueue.Ask, tried []yuccaid.Centre) (Candidate, bool) {
 	if len(tried) >= plan.tries {
-		return Place{}, false
+		return Candidate{}, false
 	}
-	var places []Place
+	var places []Candidate
 	for _, centre := range centresOf(state, ask) {
 		if centre == ask.Centre || slices.Contains(tried, centre) {
 			continue
@@ -103,18 +103,18 @@
 		}
 	}
 	if len(places) == 0 {
-		return Place{}, false
+		return Candidate{}, false
 	}
 	return slices.MinFunc(places, compare), true
 }
 
-// Refused notes that a data centre had no room for a tier, and until when.
-func (plan *Planner) Refused(now time.Time, centre yuccaid.Centre, ask yuccaqueue.Ask, back time.Duration) {
+// MarkRefused notes that a data centre had no room for a tier, and until when.
+func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, ask yuccaqueue.Ask, back time.Duration) {
 	plan.forget(now)
 	plan.refused[place{centre, ask.Pool, ask.Rank}] = now.Add(back)
 }
 
-func (plan *Planner) worth(now time.Time, ask yuccaqueue.Ask, candidate Place) bool {
+func (plan *Planner) worth(now time.Time, ask yuccaqueue.Ask, candidate Candidate) bool {
 	if candidate.Price > plan.price || candidate.Remaining(ask.Remaining) <= 0 {
 		return false
 	}
@@ -144,17 +144,17 @@
 
 // reach says how far a data centre is and what the request's traffic costs. The
 // answer is paid for where it leaves, the prompt where the owner is.
-func reach(state *yuccastate.State, ask yuccaqueue.Ask, centre yuccaid.Centre) Place {
+func reach(state *yuccastate.State, ask yuccaqueue.Ask, centre yuccaid.Centre) Candidate {
 	home, there := state.Centres[ask.Centre].Region, state.Centres[centre].Region
 	if home == there {
-		return Place{Centre: centre, Delay: nearDelay}
+		return Candidate{Centre: centre, Delay: nearDelay}
 	}
 	delay := max(state.Links[home].Delay, state.Links[there].Delay)
 	if delay == 0 {
 		delay = DefaultDelay
 	}
 	price := cost(ask.Prompt, state.Links[home]) + cost(ask.Answer, state.Links[there])
-	return Place{Centre: centre, Delay: delay, Price: price}
+	return Candidate{Centre: centre, Delay: delay, Price: price}
 }
 
 func cost(tokens yuccaid.Tokens, link yuccastate.Link) float64 {
@@ -162,6 +162,6 @@
 }
 
 // compare prefers the cheaper, then the nearer; names break ties alike everywhere.
-func compare(a, b Place) int {
+func compare(a, b Candidate) int {
 	return cmp.Or(cmp.Compare(a.Price, b.Price), cmp.Compare(a.Delay, b.Delay), cmp.Compare(a.Centre, b.Centre))
 }
--- a/core/yuccashift/shift_test.go
+++ b/core/yuccashift/shift_test.go
@@ -69,7 +69,7 @@
 	It("leaves a place alone until the time it named, for that tier only", func() {
 		plan := yuccashift.New()
 		state := world()
-		plan.Refused(now, "a2", ask, time.Second)
+		plan.MarkRefused(now, "a2", ask, time.Second)
 		found, _ := plan.Next(now, state, ask, nil)
 		Expect(found.Centre).To(Equal(yuccaid.Centre("c1")))
 		lower := ask
--- a/io/yuccadaemon/away.go
+++ b/io/yuccadaemon/away.go
@@ -25,7 +25,7 @@
 // away is a request's connection to the leader of another data centre. It is the
 // request's own, so that it needs no membership across regions.
 type away struct {
-	place  yuccashift.Place
+	place  yuccashift.Candidate
 	words  chan word
 	cancel context.CancelFunc
 }
@@ -63,7 +63,7 @@
 // can't make a request run twice.
 func (d *Daemon) shift(now time.Time, r *run, refusal yuccapool.Refusal) bool {
 	if r.away != nil {
-		d.shifts.Refused(now, r.away.place.Centre, r.ask, refusal.Back)
+		d.shifts.MarkRefused(now, r.away.place.Centre, r.ask, refusal.Back)
 		r.away.cancel()
 		r.away = nil
 	}
