--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -9,41 +9,41 @@
 )
 
 // announce raises the version and returns the whole heartbeat for everybody.
-func (peers *Peers) announce(now time.Time) []Beat {
+func (peers *Peers) announce(now time.Time) []Message {
 	peers.self.Version++
 	peers.self.Sequence++
 	peers.beaten = now
 	whole := peers.Heartbeat()
-	return peers.toAll(func(to yuccaid.Incarnation) Beat {
-		return Beat{To: to, Heartbeat: &whole}
+	return peers.toAll(func(to yuccaid.Incarnation) Message {
+		return Message{To: to, Heartbeat: &whole}
 	})
 }
 
 // pulses is the round that says we are alive; it asks those for their whole heartbeat
 // whom we don't know, or no longer since a pause.
-func (peers *Peers) pulses(now time.Time) []Beat {
+func (peers *Peers) pulses(now time.Time) []Message {
 	peers.self.Sequence++
 	peers.beaten = now
-	return peers.toAll(func(to yuccaid.Incarnation) Beat {
-		return Beat{To: to, Pulse: peers.pulseNow(!peers.knows(to))}
+	return peers.toAll(func(to yuccaid.Incarnation) Message {
+		return Message{To: to, Pulse: peers.pulseNow(!peers.knows(to))}
 	})
 }
 
 // whole is the heartbeat for one peer that lacks it.
-func (peers *Peers) whole(to yuccaid.Incarnation) Beat {
+func (peers *Peers) whole(to yuccaid.Incarnation) Message {
 	peers.self.Sequence++
 	whole := peers.Heartbeat()
-	return Beat{To: to, Heartbeat: &whole}
+	return Message{To: to, Heartbeat: &whole}
 }
 
 // pulse is a pulse for one peer out of turn.
-func (peers *Peers) pulse(to yuccaid.Incarnation, ask bool) Beat {
+func (peers *Peers) pulse(to yuccaid.Incarnation, ask bool) Message {
 	peers.self.Sequence++
-	return Beat{To: to, Pulse: peers.pulseNow(ask)}
+	return Message{To: to, Pulse: peers.pulseNow(ask)}
 }
 
 func (peers *Peers) pulseNow(ask bool) Pulse {
-	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, Ask: ask}
+	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, RequestHeartbeat: ask}
 }
 
 func (peers *Peers) knows(inc yuccaid.Incarnation) bool {
@@ -52,12 +52,12 @@
 }
 
 // toAll makes one beat for each connected peer, in the order of their names.
-func (peers *Peers) toAll(beat func(yuccaid.Incarnation) Beat) []Beat {
-	beats := make([]Beat, 0, len(peers.linked))
+func (peers *Peers) toAll(beat func(yuccaid.Incarnation) Message) []Message {
+	beats := make([]Message, 0, len(peers.linked))
 	for inc := range peers.linked {
 		beats = append(beats, beat(inc))
 	}
-	slices.SortFunc(beats, func(a, b Beat) int {
+	slices.SortFunc(beats, func(a, b Message) int {
 		return strings.Compare(a.To.String(), b.To.String())
 	})
 	return beats
--- a/core/yuccapeer/bench_test.go
+++ b/core/yuccapeer/bench_test.go
@@ -18,8 +18,8 @@
 			view := yuccapeer.New(benchMember(0))
 			for at := 1; at < daemons; at++ {
 				other := benchMember(at)
-				view.Linked(now, other)
-				view.Heard(now, yuccapeer.Heartbeat{
+				view.HandleConnect(now, other)
+				view.HandleHeartbeat(now, yuccapeer.Heartbeat{
 					Incarnation: other.Incarnation, Centre: other.Centre, Address: other.Address, Sequence: 1, Version: 1, Unlisted: true,
 				})
 			}
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -18,10 +18,10 @@
 	until time.Time
 }
 
-// Listed replaces what the platform's list says. The list only names candidates: it
+// SetListings replaces what the platform's list says. The list only names candidates: it
 // lags, by a different time on each daemon, so a view that took members from it would
 // differ from the others' for as long.
-func (peers *Peers) Listed(_ time.Time, listings []Listing) {
+func (peers *Peers) SetListings(_ time.Time, listings []Listing) {
 	peers.changed()
 	clear(peers.listed)
 	clear(peers.told)
@@ -37,9 +37,9 @@
 	return peers.listed[peers.self.Incarnation.VM].Leaving
 }
 
-// Told adds candidates that a peer knows, for a daemon that can't read the platform's
+// AddListings adds candidates that a peer knows, for a daemon that can't read the platform's
 // list. They are forgotten after Remember, since nobody says when such a VM is gone.
-func (peers *Peers) Told(now time.Time, listings []Listing) {
+func (peers *Peers) AddListings(now time.Time, listings []Listing) {
 	if !peers.self.Unlisted {
 		return
 	}
@@ -48,7 +48,7 @@
 			peers.changed()
 		}
 		if len(peers.told) < maxTold {
-			peers.told[listing.VM] = hearsay{Listing: listing, until: now.Add(peers.timing.Remember)}
+			peers.told[listing.VM] = hearsay{Listing: listing, until: now.Add(peers.timing.ForgetAfter)}
 		}
 	}
 }
--- a/core/yuccapeer/change.go
+++ b/core/yuccapeer/change.go
@@ -8,32 +8,32 @@
 
 // Change is what one event did to the view, and what has to be sent for it.
 type Change struct {
-	// Joined and Left are the members that came into and went out of the view. One
+	// Joined and Removed are the members that came into and went out of the view. One
 	// that was replaced or changed its address stands in both.
-	Joined, Left []Member
-	// Woken says that this process was paused for about Slept: the view, and all
+	Joined, Removed []Member
+	// Resumed says that this process was paused for about Slept: the view, and all
 	// that rests on it, expired before anything else was done.
-	Woken bool
-	Slept time.Duration
-	// Behind is the peer with the highest configuration number above our own.
-	Behind Source
+	Resumed bool
+	PausedFor time.Duration
+	// NewerConfig is the peer with the highest configuration number above our own.
+	NewerConfig PeerConfig
 	// Diverged are peers with our configuration number and another digest.
-	Diverged []Source
-	// Rosters are peers that can't read the platform's list and need ours.
-	Rosters []yuccaid.Incarnation
-	// Beats are the heartbeats to send now.
-	Beats []Beat
+	Diverged []PeerConfig
+	// RosterRecipients are peers that can't read the platform's list and need ours.
+	RosterRecipients []yuccaid.Incarnation
+	// Messages are the heartbeats to send now.
+	Messages []Message
 }
 
-// Source is a peer's accepted configuration as its heartbeat told it.
-type Source struct {
+// PeerConfig is a peer's accepted configuration as its heartbeat told it.
+type PeerConfig struct {
 	Peer   yuccaid.Incarnation
 	Number yuccaid.ConfigNumber
 	Digest yuccaid.Digest
 }
 
-// Beat is one message to one peer: the whole heartbeat, or the pulse if it is nil.
-type Beat struct {
+// Message is one message to one peer: the whole heartbeat, or the pulse if it is nil.
+type Message struct {
 	To        yuccaid.Incarnation
 	Heartbeat *Heartbeat
 	Pulse     Pulse
--- a/core/yuccapeer/cost_test.go
+++ b/core/yuccapeer/cost_test.go
@@ -34,7 +34,7 @@
 func newFleet(tb testing.TB, centres, count int) *fleet {
 	flt := &fleet{world: newWorld(1, 500*time.Millisecond, centres, count)}
 	flt.advance(20)
-	flt.world.sent = func(from, to *run, beat yuccapeer.Beat) {
+	flt.world.sent = func(from, to *run, beat yuccapeer.Message) {
 		size := frameSize(tb, beat)
 		flt.costs[from].frames += size
 		flt.costs[from].sent += size + headers
@@ -73,11 +73,11 @@
 	for _, one := range flt.runs {
 		one.number++
 		digest := yuccaid.Digest(fmt.Sprintf("%064d", one.number))
-		flt.apply(one, one.peers.Accepted(flt.now, one.number, digest))
+		flt.apply(one, one.peers.SetConfig(flt.now, one.number, digest))
 	}
 }
 
-func frameSize(tb testing.TB, beat yuccapeer.Beat) float64 {
+func frameSize(tb testing.TB, beat yuccapeer.Message) float64 {
 	kind, body := yuccawire.KindPulse, any(beat.Pulse)
 	if beat.Heartbeat != nil {
 		kind, body = yuccawire.KindHeartbeat, *beat.Heartbeat
--- a/core/yuccapeer/derived_test.go
+++ b/core/yuccapeer/derived_test.go
@@ -26,20 +26,20 @@
 				listing := yuccapeer.Listing{VM: other.VM, Centre: other.Centre, Address: other.Address, Leaving: other.Leaving}
 				switch rapid.IntRange(0, 9).Draw(t, "step") {
 				case 0:
-					view.Lost(now, other.Incarnation)
+					view.HandleDisconnect(now, other.Incarnation)
 				case 1:
-					view.Told(now, []yuccapeer.Listing{listing})
+					view.AddListings(now, []yuccapeer.Listing{listing})
 				case 2:
-					view.Listed(now, []yuccapeer.Listing{listing})
+					view.SetListings(now, []yuccapeer.Listing{listing})
 				case 3:
 					now = now.Add(5 * time.Second)
 				case 4:
 					view.Leave(now)
 				case 5:
-					view.Pulsed(now, other.Incarnation, yuccapeer.Pulse{Sequence: sequence, Version: 1})
+					view.HandlePulse(now, other.Incarnation, yuccapeer.Pulse{Sequence: sequence, Version: 1})
 				default:
-					view.Linked(now, other)
-					view.Heard(now, yuccapeer.Heartbeat{
+					view.HandleConnect(now, other)
+					view.HandleHeartbeat(now, yuccapeer.Heartbeat{
 						Incarnation: other.Incarnation, Centre: other.Centre, Address: other.Address,
 						Leaving: other.Leaving, Sequence: sequence, Version: sequence, Unlisted: true,
 					})
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -179,7 +179,7 @@
 			clear(wanted.tried)
 			return
 		}
-		if now.Sub(wanted.since) < peers.timing.Patience {
+		if now.Sub(wanted.since) < peers.timing.GatewayConnectTimeout {
 			return
 		}
 	}
--- a/core/yuccapeer/example_test.go
+++ b/core/yuccapeer/example_test.go
@@ -16,12 +16,12 @@
 	}
 	peers := yuccapeer.New(first)
 	peers.Tick(now)
-	peers.Listed(now, []yuccapeer.Listing{{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400"}})
+	peers.SetListings(now, []yuccapeer.Listing{{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400"}})
 	fmt.Println("dial", peers.Dial())
 
 	second := yuccaid.NewIncarnation("vm-2", [16]byte{2})
-	peers.Linked(now, yuccapeer.Member{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400", Incarnation: second})
-	change := peers.Heard(now, yuccapeer.Heartbeat{
+	peers.HandleConnect(now, yuccapeer.Member{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400", Incarnation: second})
+	change := peers.HandleHeartbeat(now, yuccapeer.Heartbeat{
 		Incarnation: second,
 		Centre:      "padova",
 		Address:     "10.0.0.2:7400",
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -49,7 +49,7 @@
 type Pulse struct {
 	Sequence uint64
 	Version  uint64
-	Ask      bool
+	RequestHeartbeat      bool
 }
 
 // pulseFields is the length of a pulse's array.
@@ -62,7 +62,7 @@
 		enc.EncodeArrayLen(pulseFields),
 		enc.EncodeUint(pulse.Sequence),
 		enc.EncodeUint(pulse.Version),
-		enc.EncodeBool(pulse.Ask),
+		enc.EncodeBool(pulse.RequestHeartbeat),
 	)
 }
 
@@ -75,7 +75,7 @@
 	if length != pulseFields {
 		return fmt.Errorf("pulse of %d fields instead of %d: upgrade the older daemon", length, pulseFields)
 	}
-	return dec.DecodeMulti(&pulse.Sequence, &pulse.Version, &pulse.Ask)
+	return dec.DecodeMulti(&pulse.Sequence, &pulse.Version, &pulse.RequestHeartbeat)
 }
 
 // member returns what the heartbeat says of its sender.
--- a/core/yuccapeer/option.go
+++ b/core/yuccapeer/option.go
@@ -13,21 +13,21 @@
 	// lost or late. Shorter takes a short stall for a death and moves its pools
 	// for nothing; longer leaves a dead leader's queue standing.
 	ExpireAfter time.Duration
-	// LostGrace replaces ExpireAfter once the peer's last connection broke: time
+	// DisconnectGrace replaces ExpireAfter once the peer's last connection broke: time
 	// to dial again, so that one cut connection moves no pool.
-	LostGrace time.Duration
+	DisconnectGrace time.Duration
 	// PauseLimit is the longest gap between two ticks, and the longest jump of the
 	// wall clock ahead of the monotonic one, that isn't taken for a pause.
 	PauseLimit time.Duration
 	// SettleFor is how long a daemon listens after a start or a pause before it
 	// names leaders: everybody alive has sent a heartbeat by then.
 	SettleFor time.Duration
-	// Remember is how long an incarnation that left stays known, so that its late
+	// ForgetAfter is how long an incarnation that left stays known, so that its late
 	// heartbeats, or the process itself waking up from a pause, don't bring it back.
-	Remember time.Duration
-	// Patience is how long a VM of another data centre may leave a wish for a
+	ForgetAfter time.Duration
+	// GatewayConnectTimeout is how long a VM of another data centre may leave a wish for a
 	// connection unmet before the next one is wished for instead.
-	Patience time.Duration
+	GatewayConnectTimeout time.Duration
 }
 
 // DefaultTiming returns the intervals that the cost test measures.
@@ -35,11 +35,11 @@
 	return Timing{
 		HeartbeatEvery: 1500 * time.Millisecond,
 		ExpireAfter:    5 * time.Second,
-		LostGrace:      time.Second,
+		DisconnectGrace:      time.Second,
 		PauseLimit:     2 * time.Second,
 		SettleFor:      3 * time.Second,
-		Remember:       time.Hour,
-		Patience:       5 * time.Second,
+		ForgetAfter:       time.Hour,
+		GatewayConnectTimeout:       5 * time.Second,
 	}
 }
 
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -39,7 +39,7 @@
 // peer is the present incarnation on one VM.
 type peer struct {
 	member   Member
-	source   Source
+	source   PeerConfig
 	sequence uint64
 	version  uint64
 	// known says that the peer is in the view: a whole heartbeat has come, and
@@ -88,15 +88,15 @@
 	return beat
 }
 
-// Accepted notes the configuration that this daemon has accepted and returns the
+// SetConfig notes the configuration that this daemon has accepted and returns the
 // heartbeats that tell the others.
-func (peers *Peers) Accepted(now time.Time, number yuccaid.ConfigNumber, digest yuccaid.Digest) Change {
+func (peers *Peers) SetConfig(now time.Time, number yuccaid.ConfigNumber, digest yuccaid.Digest) Change {
 	if peers.self.Number == number && peers.self.Digest == digest {
 		return Change{}
 	}
 	peers.self.Number = number
 	peers.self.Digest = digest
-	return Change{Beats: peers.announce(now), Behind: peers.Behind()}
+	return Change{Messages: peers.announce(now), NewerConfig: peers.NewerConfig()}
 }
 
 // Leave notes that this daemon is leaving and returns the heartbeats that tell the
@@ -107,38 +107,38 @@
 	}
 	peers.self.Leaving = true
 	peers.changed()
-	return Change{Beats: peers.announce(now)}
+	return Change{Messages: peers.announce(now)}
 }
 
-// Linked notes that a connection to the member is up and returns the heartbeat that
+// HandleConnect notes that a connection to the member is up and returns the heartbeat that
 // greets it. The member joins the view with its own first heartbeat. One that names
 // this daemon's own VM is its predecessor, or its successor, and counts for nothing.
-func (peers *Peers) Linked(_ time.Time, member Member) Change {
+func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
 	_, gone := peers.gone[member.Incarnation]
 	if gone || member.VM == peers.self.Incarnation.VM {
 		return Change{}
 	}
 	peers.linked[member.Incarnation] = member
-	return Change{Beats: []Beat{peers.whole(member.Incarnation)}}
+	return Change{Messages: []Message{peers.whole(member.Incarnation)}}
 }
 
-// Lost notes that the last connection to an incarnation is gone. The member stays in
+// HandleDisconnect notes that the last connection to an incarnation is gone. The member stays in
 // the view for LostGrace, for a broken connection alone is no death.
-func (peers *Peers) Lost(now time.Time, inc yuccaid.Incarnation) {
+func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
 	delete(peers.linked, inc)
 	delete(peers.rostered, inc)
 	other := peers.peers[inc.VM]
 	if other == nil || other.member.Incarnation != inc {
 		return
 	}
-	if grace := now.Add(peers.timing.LostGrace); grace.Before(other.expires) {
+	if grace := now.Add(peers.timing.DisconnectGrace); grace.Before(other.expires) {
 		other.expires = grace
 	}
 }
 
-// Heard takes a whole heartbeat. One that came on no connection of its sender's counts
+// HandleHeartbeat takes a whole heartbeat. One that came on no connection of its sender's counts
 // for nothing: Linked comes before it and Lost after.
-func (peers *Peers) Heard(now time.Time, beat Heartbeat) Change {
+func (peers *Peers) HandleHeartbeat(now time.Time, beat Heartbeat) Change {
 	var change Change
 	other := peers.admit(now, beat.Incarnation, beat.Sequence, &change)
 	if other == nil {
@@ -152,32 +152,32 @@
 		// A daemon that isn't a gateway lets go of a seed elsewhere once it has met it, often
 		// before a roster has come back. Forgotten, the seed would be dialled anew at once, by
 		// every daemon of the fleet.
-		peers.Told(now, []Listing{listingOf(beat.member())})
+		peers.AddListings(now, []Listing{listingOf(beat.member())})
 	}
 	if beat.Unlisted && !peers.rostered[beat.Incarnation] && peers.owesRoster(&beat) {
 		peers.rostered[beat.Incarnation] = true
-		change.Rosters = append(change.Rosters, beat.Incarnation)
+		change.RosterRecipients = append(change.RosterRecipients, beat.Incarnation)
 	}
-	change.Behind = peers.Behind()
+	change.NewerConfig = peers.NewerConfig()
 	if beat.Number == peers.self.Number && beat.Digest != peers.self.Digest {
 		change.Diverged = append(change.Diverged, other.source)
 	}
 	return change
 }
 
-// Pulsed takes a pulse that came from an incarnation. If the version it names was
+// HandlePulse takes a pulse that came from an incarnation. If the version it names was
 // never heard whole, the change holds a pulse that asks for it.
-func (peers *Peers) Pulsed(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
+func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
 	other := peers.admit(now, from, pulse.Sequence, &change)
-	if pulse.Ask && peers.isLinked(from) {
-		change.Beats = append(change.Beats, peers.whole(from))
+	if pulse.RequestHeartbeat && peers.isLinked(from) {
+		change.Messages = append(change.Messages, peers.whole(from))
 	}
 	if other == nil {
 		return change
 	}
 	if !other.known || other.version != pulse.Version {
-		change.Beats = append(change.Beats, peers.pulse(from, true))
+		change.Messages = append(change.Messages, peers.pulse(from, true))
 	}
 	return change
 }
@@ -203,16 +203,16 @@
 	peers.forget(now)
 	if now.Sub(peers.beaten) >= peers.timing.HeartbeatEvery {
 		peers.reconsider(now)
-		change.Beats = append(change.Beats, peers.pulses(now)...)
+		change.Messages = append(change.Messages, peers.pulses(now)...)
 	}
-	change.Behind = peers.Behind()
+	change.NewerConfig = peers.NewerConfig()
 	return change
 }
 
-// Elapsed compares how far the monotonic and the wall clock have gone since the last
+// CheckClocks compares how far the monotonic and the wall clock have gone since the last
 // call. A VM that was suspended has a wall clock that ran ahead, while the monotonic
 // clock, and every gap that Tick can see, may have stood still.
-func (peers *Peers) Elapsed(now time.Time, monotonic, wall time.Duration) Change {
+func (peers *Peers) CheckClocks(now time.Time, monotonic, wall time.Duration) Change {
 	if ahead := wall - monotonic; ahead > peers.timing.PauseLimit {
 		return peers.wake(now, ahead)
 	}
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -61,7 +61,7 @@
 		if !one.peers.Settled() {
 			return fmt.Sprintf("%s names no leaders", one.VM)
 		}
-		if found := one.peers.Behind().Number; top > one.number && found != top {
+		if found := one.peers.NewerConfig().Number; top > one.number && found != top {
 			return fmt.Sprintf("%s has %d and takes %d for the highest, not %d", one.VM, one.number, found, top)
 		}
 	}
@@ -121,7 +121,7 @@
 				if !one.paused {
 					one.number++
 					digest := yuccaid.Digest(fmt.Sprint(one.number))
-					wld.apply(one, one.peers.Accepted(wld.now, one.number, digest))
+					wld.apply(one, one.peers.SetConfig(wld.now, one.number, digest))
 				}
 			}),
 			"": func(t *rapid.T) {
@@ -155,7 +155,7 @@
 			}
 		}
 		// Long enough for a gateway to try every VM of another data centre.
-		wld.advance(2 * int((count+3)*yuccapeer.DefaultTiming().Patience/time.Second))
+		wld.advance(2 * int((count+3)*yuccapeer.DefaultTiming().GatewayConnectTimeout/time.Second))
 		alive := wld.alive()
 		for _, one := range alive {
 			for _, other := range alive {
@@ -198,9 +198,9 @@
 	DescribeTable("expires before anything else after a pause",
 		func(wake func() yuccapeer.Change) {
 			change := wake()
-			Expect(change.Woken).To(BeTrue())
-			Expect(change.Slept).To(BeNumerically(">=", time.Minute))
-			Expect(change.Left).To(HaveLen(2))
+			Expect(change.Resumed).To(BeTrue())
+			Expect(change.PausedFor).To(BeNumerically(">=", time.Minute))
+			Expect(change.Removed).To(HaveLen(2))
 			Expect(first.peers.Live(first.Centre)).To(Equal([]yuccapeer.Member{first.Member}))
 			_, settled := first.peers.Leader("drafts")
 			Expect(settled).To(BeFalse())
@@ -209,27 +209,27 @@
 			return first.peers.Tick(wld.now.Add(time.Minute))
 		}),
 		Entry("that only the wall clock shows", func() yuccapeer.Change {
-			return first.peers.Elapsed(wld.now, 100*time.Millisecond, time.Minute+100*time.Millisecond)
+			return first.peers.CheckClocks(wld.now, 100*time.Millisecond, time.Minute+100*time.Millisecond)
 		}),
 	)
 
 	It("doesn't expire when the wall clock is set back or runs a little ahead", func() {
 		for _, wall := range []time.Duration{-time.Hour, 0, 2 * time.Second} {
-			Expect(first.peers.Elapsed(wld.now, time.Second, wall)).To(BeZero())
+			Expect(first.peers.CheckClocks(wld.now, time.Second, wall)).To(BeZero())
 		}
 	})
 
 	It("keeps a member whose connection broke for long enough to dial again", func() {
-		first.peers.Lost(wld.now, second.Incarnation)
-		Expect(first.peers.Tick(wld.now.Add(900 * time.Millisecond)).Left).To(BeEmpty())
-		Expect(first.peers.Tick(wld.now.Add(1100 * time.Millisecond)).Left).To(ConsistOf(second.Member))
+		first.peers.HandleDisconnect(wld.now, second.Incarnation)
+		Expect(first.peers.Tick(wld.now.Add(900 * time.Millisecond)).Removed).To(BeEmpty())
+		Expect(first.peers.Tick(wld.now.Add(1100 * time.Millisecond)).Removed).To(ConsistOf(second.Member))
 	})
 
 	It("takes nothing that came on no connection of its sender", func() {
-		first.peers.Lost(wld.now, second.Incarnation)
+		first.peers.HandleDisconnect(wld.now, second.Incarnation)
 		wld.now = wld.now.Add(time.Second)
-		Expect(first.peers.Pulsed(wld.now, second.Incarnation, yuccapeer.Pulse{Sequence: 1e6, Version: 1})).To(BeZero())
-		Expect(first.peers.Tick(wld.now).Left).To(ConsistOf(second.Member))
+		Expect(first.peers.HandlePulse(wld.now, second.Incarnation, yuccapeer.Pulse{Sequence: 1e6, Version: 1})).To(BeZero())
+		Expect(first.peers.Tick(wld.now).Removed).To(ConsistOf(second.Member))
 	})
 
 	It("has leaving members lead only when nobody else is left", func() {
@@ -249,15 +249,15 @@
 	})
 
 	It("names peers with another content under our number", func() {
-		wld.apply(first, first.peers.Accepted(wld.now, 1, "a"))
+		wld.apply(first, first.peers.SetConfig(wld.now, 1, "a"))
 		beat := second.peers.Heartbeat()
 		beat.Sequence, beat.Version, beat.Number, beat.Digest = 1e6, 1e6, 1, "b"
-		Expect(first.peers.Heard(wld.now, beat).Diverged).To(HaveLen(1))
+		Expect(first.peers.HandleHeartbeat(wld.now, beat).Diverged).To(HaveLen(1))
 	})
 
 	It("hears from the platform that its own VM is leaving", func() {
 		wld.listings[0].Leaving = true
-		first.peers.Listed(wld.now, wld.listings)
+		first.peers.SetListings(wld.now, wld.listings)
 		Expect(first.peers.ListedLeaving()).To(BeTrue())
 		Expect(second.peers.ListedLeaving()).To(BeFalse())
 	})
@@ -271,9 +271,9 @@
 		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address))
 		fresh.Tick(wld.now)
 		Expect(fresh.Dial()).To(Equal([]string{second.Address}))
-		second.peers.Linked(wld.now, self)
-		Expect(second.peers.Heard(wld.now, fresh.Heartbeat()).Rosters).To(ConsistOf(self.Incarnation))
-		fresh.Told(wld.now, second.peers.Roster())
+		second.peers.HandleConnect(wld.now, self)
+		Expect(second.peers.HandleHeartbeat(wld.now, fresh.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
+		fresh.AddListings(wld.now, second.peers.Roster())
 		Expect(fresh.Dial()).To(HaveLen(3))
 		fresh.Tick(wld.now.Add(2 * time.Hour))
 		Expect(fresh.Dial()).To(Equal([]string{second.Address}))
@@ -290,10 +290,10 @@
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
 		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, far.Address, "10.2.0.1:7400", self.Address))
 		fresh.Tick(wld.now)
-		fresh.Linked(wld.now, second.Member)
-		fresh.Heard(wld.now, second.peers.Heartbeat())
+		fresh.HandleConnect(wld.now, second.Member)
+		fresh.HandleHeartbeat(wld.now, second.peers.Heartbeat())
 		Expect(fresh.Dial()).To(Equal([]string{second.Address, far.Address, "10.2.0.1:7400"}))
-		fresh.Told(wld.now, []yuccapeer.Listing{{VM: far.VM, Centre: far.Centre, Address: far.Address}})
+		fresh.AddListings(wld.now, []yuccapeer.Listing{{VM: far.VM, Centre: far.Centre, Address: far.Address}})
 		Expect(fresh.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
 	})
 
@@ -310,11 +310,11 @@
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
 		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, far.Address))
 		fresh.Tick(wld.now)
-		fresh.Linked(wld.now, second.Member)
-		fresh.Heard(wld.now, second.peers.Heartbeat())
-		fresh.Linked(wld.now, far)
-		fresh.Heard(wld.now, there.Heartbeat())
-		fresh.Lost(wld.now, far.Incarnation)
+		fresh.HandleConnect(wld.now, second.Member)
+		fresh.HandleHeartbeat(wld.now, second.peers.Heartbeat())
+		fresh.HandleConnect(wld.now, far)
+		fresh.HandleHeartbeat(wld.now, there.Heartbeat())
+		fresh.HandleDisconnect(wld.now, far.Incarnation)
 		later := wld.now.Add(5 * time.Second)
 		fresh.Tick(later)
 		Expect(fresh.Live("milano")).To(BeEmpty(), "it isn't heard any more")
@@ -330,19 +330,19 @@
 		unlisted := second.peers.Heartbeat()
 		unlisted.Unlisted = true
 		unlisted.Sequence += 10
-		Expect(first.peers.Heard(wld.now, unlisted).Rosters).To(HaveLen(1))
+		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
 		unlisted.Sequence++
 		unlisted.Version++
-		Expect(first.peers.Heard(wld.now, unlisted).Rosters).To(BeEmpty())
-		first.peers.Lost(wld.now, unlisted.Incarnation)
-		first.peers.Linked(wld.now, second.Member)
+		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(BeEmpty())
+		first.peers.HandleDisconnect(wld.now, unlisted.Incarnation)
+		first.peers.HandleConnect(wld.now, second.Member)
 		unlisted.Sequence++
-		Expect(first.peers.Heard(wld.now, unlisted).Rosters).To(HaveLen(1))
+		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
 	})
 
 	It("finds daemons of other data centres on the list", func() {
 		wld.listings = append(wld.listings, yuccapeer.Listing{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"})
-		first.peers.Listed(wld.now, wld.listings)
+		first.peers.SetListings(wld.now, wld.listings)
 		found, ok := first.peers.Find("far")
 		Expect(ok).To(BeTrue())
 		Expect(found.Address).To(Equal("10.1.0.1:7400"))
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -70,18 +70,18 @@
 
 func (crd *crowd) link(i, j int) {
 	crd.linked[[2]int{i, j}], crd.linked[[2]int{j, i}] = true, true
-	crd.send(i, crd.peers[i].Linked(crd.now, crd.members[j]))
-	crd.send(j, crd.peers[j].Linked(crd.now, crd.members[i]))
+	crd.send(i, crd.peers[i].HandleConnect(crd.now, crd.members[j]))
+	crd.send(j, crd.peers[j].HandleConnect(crd.now, crd.members[i]))
 }
 
 func (crd *crowd) send(from int, change yuccapeer.Change) {
-	for _, beat := range change.Beats {
+	for _, beat := range change.Messages {
 		if beat.Heartbeat != nil {
 			way := [2]int{from, crd.of(beat.To)}
 			crd.ways[way] = append(crd.ways[way], *beat.Heartbeat)
 		}
 	}
-	for _, to := range change.Rosters {
+	for _, to := range change.RosterRecipients {
 		crd.rosters++
 		way := [2]int{from, crd.of(to)}
 		crd.ways[way] = append(crd.ways[way], crd.peers[from].Roster())
@@ -103,9 +103,9 @@
 	crd.ways[way] = crd.ways[way][1:]
 	switch message := message.(type) {
 	case yuccapeer.Heartbeat:
-		crd.send(to, crd.peers[to].Heard(crd.now, message))
+		crd.send(to, crd.peers[to].HandleHeartbeat(crd.now, message))
 	case []yuccapeer.Listing:
-		crd.peers[to].Told(crd.now, message)
+		crd.peers[to].AddListings(crd.now, message)
 	}
 }
 
--- a/core/yuccapeer/share.go
+++ b/core/yuccapeer/share.go
@@ -2,7 +2,7 @@
 
 import "yuccacleat/core/yuccaid"
 
-// Share is the part of a data centre's targets that this daemon's side of a cut uses.
+// TargetShare is the part of a data centre's targets that this daemon's side of a cut uses.
 //
 // A cut inside a data centre leaves a leader on each side, and each would fill every
 // target to the brim: engines would hold twice the work that keeps their own queues
@@ -11,15 +11,15 @@
 // that rendezvous hashing over the candidates gives to daemons it sees. Candidates come
 // from the platform's lagging list, so after many deaths at once the survivors use a
 // part until the list catches up.
-type Share struct {
+type TargetShare struct {
 	whole      bool
 	live       map[yuccaid.VM]bool
 	candidates []Member
 }
 
-// Share returns the part that holds in the present view.
-func (peers *Peers) Share() Share {
-	share := Share{live: make(map[yuccaid.VM]bool)}
+// TargetShare returns the part that holds in the present view.
+func (peers *Peers) TargetShare() TargetShare {
+	share := TargetShare{live: make(map[yuccaid.VM]bool)}
 	for _, listing := range peers.Candidates(peers.self.Centre) {
 		if !listing.Leaving {
 			share.candidates = append(share.candidates, listing.member())
@@ -33,21 +33,21 @@
 }
 
 // Whole reports whether all targets are in the share.
-func (share Share) Whole() bool {
+func (share TargetShare) Whole() bool {
 	return share.whole
 }
 
-// Has reports whether a target is in the share.
-func (share Share) Has(tgt yuccaid.Target) bool {
+// Contains reports whether a target is in the share.
+func (share TargetShare) Contains(tgt yuccaid.Target) bool {
 	return share.whole || share.live[highest(share.candidates, string(tgt)).VM]
 }
 
-// Of returns which of a pool's targets are used. A side whose part is empty uses all:
+// Select returns which of a pool's targets are used. A side whose part is empty uses all:
 // serving late behind the other side's work is better than not serving.
-func (share Share) Of(targets []yuccaid.Target) []yuccaid.Target {
+func (share TargetShare) Select(targets []yuccaid.Target) []yuccaid.Target {
 	var part []yuccaid.Target
 	for _, tgt := range targets {
-		if share.Has(tgt) {
+		if share.Contains(tgt) {
 			part = append(part, tgt)
 		}
 	}
--- a/core/yuccapeer/share_test.go
+++ b/core/yuccapeer/share_test.go
@@ -26,10 +26,10 @@
 				all = append(all, yuccapeer.New(yuccapeer.Member{VM: inc.VM, Centre: "odessa-1", Address: address, Incarnation: inc}))
 			}
 			for i, peers := range all {
-				peers.Listed(now, listings)
+				peers.SetListings(now, listings)
 				for j, other := range all {
 					if i != j && side(i) == side(j) {
-						peers.Heard(now, other.Heartbeat())
+						peers.HandleHeartbeat(now, other.Heartbeat())
 					}
 				}
 			}
@@ -37,7 +37,7 @@
 				target := yuccaid.Target(fmt.Sprintf("engine-%d", t))
 				users := make(map[int]bool)
 				for i, peers := range all {
-					if share := peers.Share(); !share.Whole() && share.Has(target) {
+					if share := peers.TargetShare(); !share.Whole() && share.Contains(target) {
 						users[side(i)] = true
 					}
 				}
--- a/core/yuccapeer/status.go
+++ b/core/yuccapeer/status.go
@@ -26,7 +26,7 @@
 
 // Status returns the view in numbers, in the order of the data centres' names.
 func (peers *Peers) Status() Status {
-	status := Status{Settled: peers.Settled(), Behind: peers.Behind() != Source{}}
+	status := Status{Settled: peers.Settled(), Behind: peers.NewerConfig() != PeerConfig{}}
 	for _, listing := range peers.Roster() {
 		status.centre(listing.Centre).Candidates++
 	}
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -44,13 +44,13 @@
 	after := beat.member()
 	other.member = after
 	other.version = beat.Version
-	other.source = Source{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
+	other.source = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
 	other.known = true
 	if known && before == after {
 		return
 	}
 	if known {
-		change.Left = append(change.Left, before)
+		change.Removed = append(change.Removed, before)
 	}
 	change.Joined = append(change.Joined, after)
 	peers.changed()
@@ -68,7 +68,7 @@
 		return false
 	}
 	if !stays {
-		peers.gone[inc] = now.Add(peers.timing.Remember)
+		peers.gone[inc] = now.Add(peers.timing.ForgetAfter)
 		delete(peers.linked, inc)
 	}
 	delete(peers.peers, inc.VM)
@@ -79,7 +79,7 @@
 // drop takes a peer out of the view until it is heard whole again.
 func (peers *Peers) drop(other *peer, change *Change) {
 	if other.known {
-		change.Left = append(change.Left, other.member)
+		change.Removed = append(change.Removed, other.member)
 		other.known = false
 		peers.changed()
 	}
@@ -94,25 +94,25 @@
 			peers.drop(other, change)
 		}
 	}
-	slices.SortFunc(change.Left, compareMembers)
+	slices.SortFunc(change.Removed, compareMembers)
 }
 
 // wake expires the whole view after a pause.
 func (peers *Peers) wake(now time.Time, slept time.Duration) Change {
-	change := Change{Woken: true, Slept: slept}
+	change := Change{Resumed: true, PausedFor: slept}
 	for _, other := range peers.peers {
 		peers.drop(other, &change)
 	}
-	slices.SortFunc(change.Left, compareMembers)
+	slices.SortFunc(change.Removed, compareMembers)
 	peers.settled = now.Add(peers.timing.SettleFor)
-	change.Beats = peers.pulses(now)
+	change.Messages = peers.pulses(now)
 	return change
 }
 
 // forget bounds the memory of who was here: VMs are replaced all the time.
 func (peers *Peers) forget(now time.Time) {
 	for vm, other := range peers.peers {
-		if now.Sub(other.expires) > peers.timing.Remember {
+		if now.Sub(other.expires) > peers.timing.ForgetAfter {
 			delete(peers.peers, vm)
 		}
 	}
@@ -129,10 +129,10 @@
 	}
 }
 
-// Behind returns the peer with the highest configuration above our own, the first by
+// NewerConfig returns the peer with the highest configuration above our own, the first by
 // name among equals so that the choice is the same each time.
-func (peers *Peers) Behind() Source {
-	best := Source{Number: peers.self.Number}
+func (peers *Peers) NewerConfig() PeerConfig {
+	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.peers {
 		source := other.source
 		higher := source.Number > best.Number
@@ -143,7 +143,7 @@
 		}
 	}
 	if best.Peer.IsZero() {
-		return Source{}
+		return PeerConfig{}
 	}
 	return best
 }
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -27,7 +27,7 @@
 	listings []yuccapeer.Listing
 	unrest   time.Time
 	nonces   uint64
-	sent     func(from, to *run, beat yuccapeer.Beat)
+	sent     func(from, to *run, beat yuccapeer.Message)
 	broken   string
 	// ended are the incarnations whose VM runs another now.
 	ended map[yuccaid.Incarnation]bool
@@ -61,13 +61,13 @@
 	due      time.Time
 	from, to *run
 	over     *bond
-	beat     yuccapeer.Beat
+	beat     yuccapeer.Message
 }
 
 // newWorld starts count daemons in each of the data centres.
 func newWorld(seed uint64, step time.Duration, centres, count int) *world {
 	wld := &world{now: time.Unix(1e6, 0), step: step, rng: rand.New(rand.NewPCG(seed, 0))}
-	wld.sent = func(_, _ *run, _ yuccapeer.Beat) {}
+	wld.sent = func(_, _ *run, _ yuccapeer.Message) {}
 	wld.ended = make(map[yuccaid.Incarnation]bool)
 	for i := range centres * count {
 		wld.listings = append(wld.listings, yuccapeer.Listing{
@@ -98,7 +98,7 @@
 		gone:    make(map[yuccaid.Incarnation]bool),
 		leaving: make(map[yuccaid.Incarnation]bool),
 	}
-	one.peers.Listed(wld.now, wld.listings)
+	one.peers.SetListings(wld.now, wld.listings)
 	wld.runs = append(wld.runs, one)
 	return one
 }
@@ -115,7 +115,7 @@
 	i := slices.IndexFunc(wld.listings, func(one yuccapeer.Listing) bool { return one.VM == old.VM })
 	wld.listings[i] = listing
 	for _, one := range wld.runs {
-		one.peers.Listed(wld.now, wld.listings)
+		one.peers.SetListings(wld.now, wld.listings)
 	}
 	wld.start(listing).side = old.side
 }
@@ -164,12 +164,12 @@
 		one.latest[joined.VM] = inc
 		one.leaving[inc] = joined.Leaving
 	}
-	for _, beat := range change.Beats {
+	for _, beat := range change.Messages {
 		wld.send(one, beat)
 	}
 }
 
-func (wld *world) send(from *run, beat yuccapeer.Beat) {
+func (wld *world) send(from *run, beat yuccapeer.Message) {
 	over := from.bonds[beat.To]
 	if over == nil {
 		return
@@ -214,10 +214,10 @@
 	}
 	one.heard[from] = wld.now
 	if fly.beat.Heartbeat != nil {
-		wld.apply(one, one.peers.Heard(wld.now, *fly.beat.Heartbeat))
+		wld.apply(one, one.peers.HandleHeartbeat(wld.now, *fly.beat.Heartbeat))
 		return
 	}
-	wld.apply(one, one.peers.Pulsed(wld.now, from, fly.beat.Pulse))
+	wld.apply(one, one.peers.HandlePulse(wld.now, from, fly.beat.Pulse))
 }
 
 func (wld *world) reach(a, b *run) bool { return a.side == b.side && !a.dead && !b.dead }
@@ -246,8 +246,8 @@
 func (wld *world) bond(a, b *run) {
 	between := &bond{ends: [2]*run{a, b}, heard: wld.now}
 	a.bonds[b.Incarnation], b.bonds[a.Incarnation] = between, between
-	wld.apply(a, a.peers.Linked(wld.now, b.Member))
-	wld.apply(b, b.peers.Linked(wld.now, a.Member))
+	wld.apply(a, a.peers.HandleConnect(wld.now, b.Member))
+	wld.apply(b, b.peers.HandleConnect(wld.now, a.Member))
 }
 
 // breakSilent ends connections whose other end died, or that brought nothing for long.
@@ -262,7 +262,7 @@
 			delete(one.bonds, inc)
 			one.inbox = append(one.inbox, func() {
 				if one.bonds[inc] == nil {
-					one.peers.Lost(wld.now, inc)
+					one.peers.HandleDisconnect(wld.now, inc)
 				}
 			})
 		}
--- a/io/yuccadaemon/away.go
+++ b/io/yuccadaemon/away.go
@@ -75,7 +75,7 @@
 	if !found {
 		return false
 	}
-	member, found := d.peers.Guess(place.Centre, r.claim.Pool)
+	member, found := d.peers.LikelyLeader(place.Centre, r.claim.Pool)
 	if !found {
 		return false
 	}
--- a/io/yuccadaemon/config.go
+++ b/io/yuccadaemon/config.go
@@ -70,7 +70,7 @@
 	}
 	d.state.Store(after)
 	d.metrics.configChanged.Store(now.UnixNano())
-	d.onChange(now, d.peers.Accepted(now, after.Number, after.Digest()))
+	d.onChange(now, d.peers.SetConfig(now, after.Number, after.Digest()))
 	d.refreshLeads(now)
 }
 
@@ -94,7 +94,7 @@
 }
 
 // pull asks a peer with a higher number for what this daemon lacks.
-func (d *Daemon) pull(now time.Time, source yuccapeer.Source) {
+func (d *Daemon) pull(now time.Time, source yuccapeer.PeerConfig) {
 	if now.Sub(d.pulled) < pullEvery {
 		return
 	}
--- a/io/yuccadaemon/daemon.go
+++ b/io/yuccadaemon/daemon.go
@@ -187,7 +187,7 @@
 // tick runs on the control goroutine every tickEvery, and first after a pause.
 func (d *Daemon) tick(now time.Time) {
 	d.onChange(now, d.peers.Tick(now))
-	d.onChange(now, d.peers.Elapsed(now, now.Sub(d.looked), wallSince(now, d.looked)))
+	d.onChange(now, d.peers.CheckClocks(now, now.Sub(d.looked), wallSince(now, d.looked)))
 	d.looked = now
 	d.settle(now)
 	d.tickLeader(now)
--- a/io/yuccadaemon/dispatch.go
+++ b/io/yuccadaemon/dispatch.go
@@ -135,7 +135,7 @@
 	}
 	if grant.Number > state.Number {
 		// The leader knows of notes that this daemon lacks, so catch up first.
-		d.pull(now, yuccapeer.Source{Peer: grant.Leader, Number: grant.Number})
+		d.pull(now, yuccapeer.PeerConfig{Peer: grant.Leader, Number: grant.Number})
 		return target, false
 	}
 	return target, grant.Expires > 0 && now.Before(r.deadline)
--- a/io/yuccadaemon/leader.go
+++ b/io/yuccadaemon/leader.go
@@ -88,7 +88,7 @@
 		Accounts:   make(map[yuccaid.Account]yuccapool.AccountView, len(state.Accounts)),
 	}
 	names := d.targetsOf(state, pool)
-	used := d.peers.Share().Of(names)
+	used := d.peers.TargetShare().Select(names)
 	for _, name := range names {
 		target := state.Targets[name]
 		view.Targets = append(view.Targets, yuccapool.Target{
--- a/io/yuccadaemon/member.go
+++ b/io/yuccadaemon/member.go
@@ -16,13 +16,13 @@
 // onUp greets a peer and repeats what it may have missed while no connection was up.
 func (d *Daemon) onUp(member yuccapeer.Member) {
 	d.control.Post(func(now time.Time) {
-		d.onChange(now, d.peers.Linked(now, member))
+		d.onChange(now, d.peers.HandleConnect(now, member))
 		d.resync(now, member.Incarnation)
 	})
 }
 
 func (d *Daemon) onDown(member yuccapeer.Member) {
-	d.control.Post(func(now time.Time) { d.peers.Lost(now, member.Incarnation) })
+	d.control.Post(func(now time.Time) { d.peers.HandleDisconnect(now, member.Incarnation) })
 }
 
 // roster tells a peer that can't read the platform's list where daemons are.
@@ -31,7 +31,7 @@
 }
 
 func (d *Daemon) onRoster(now time.Time, message roster) {
-	d.peers.Told(now, message.Listings)
+	d.peers.AddListings(now, message.Listings)
 	d.hub.Connect(d.peers.Dial())
 }
 
@@ -39,7 +39,7 @@
 	if beat.Incarnation != from {
 		return
 	}
-	d.onChange(now, d.peers.Heard(now, beat))
+	d.onChange(now, d.peers.HandleHeartbeat(now, beat))
 	standing, entries := d.chain.Hear(now, from.String(), beat.Number, beat.Digest)
 	d.auditChain(entries, "peer "+from.String())
 	if standing == yuccastate.StandingSame {
@@ -48,29 +48,29 @@
 }
 
 func (d *Daemon) onPulse(now time.Time, from yuccaid.Incarnation, pulse yuccapeer.Pulse) {
-	d.onChange(now, d.peers.Pulsed(now, from, pulse))
+	d.onChange(now, d.peers.HandlePulse(now, from, pulse))
 }
 
 // onChange follows the view: connections, leadership, and what departed peers held.
 func (d *Daemon) onChange(now time.Time, change yuccapeer.Change) {
-	if change.Woken {
-		d.woken(now, change.Slept)
+	if change.Resumed {
+		d.woken(now, change.PausedFor)
 	}
-	for _, beat := range change.Beats {
+	for _, beat := range change.Messages {
 		d.sendBeat(beat)
 	}
-	for _, peer := range change.Rosters {
+	for _, peer := range change.RosterRecipients {
 		_ = d.send(peer, yuccawire.KindRoster, roster{Listings: d.peers.Roster()})
 	}
-	if !change.Behind.Peer.IsZero() {
-		d.pull(now, change.Behind)
+	if !change.NewerConfig.Peer.IsZero() {
+		d.pull(now, change.NewerConfig)
 	}
-	for _, left := range change.Left {
+	for _, left := range change.Removed {
 		if !joins(change, left.Incarnation) {
 			d.ownerGone(now, left.Incarnation)
 		}
 	}
-	if len(change.Joined) == 0 && len(change.Left) == 0 && !change.Woken {
+	if len(change.Joined) == 0 && len(change.Removed) == 0 && !change.Resumed {
 		return
 	}
 	d.hub.Connect(d.peers.Dial())
@@ -140,7 +140,7 @@
 	_ = d.send(leader.Incarnation, yuccawire.KindHold, yuccawire.Hold{Offer: d.wireOffer(ask), Target: r.target, Answered: r.answered})
 }
 
-func (d *Daemon) sendBeat(beat yuccapeer.Beat) {
+func (d *Daemon) sendBeat(beat yuccapeer.Message) {
 	if beat.Heartbeat != nil {
 		_ = d.send(beat.To, yuccawire.KindHeartbeat, *beat.Heartbeat)
 		return
@@ -159,10 +159,10 @@
 			})
 		}
 	}
-	whole := d.peers.Share().Whole()
-	d.peers.Listed(now, listings)
+	whole := d.peers.TargetShare().Whole()
+	d.peers.SetListings(now, listings)
 	d.markLeaving(now, entries)
-	if d.peers.Share().Whole() != whole {
+	if d.peers.TargetShare().Whole() != whole {
 		d.refreshLeads(now)
 	}
 	d.hub.Connect(d.peers.Dial())
--- a/io/yuccadaemon/status.go
+++ b/io/yuccadaemon/status.go
@@ -43,7 +43,7 @@
 
 func (d *Daemon) fill(now time.Time, status *Status) {
 	status.Peers = d.peers.Live(d.self.Centre)
-	status.Minority = !d.peers.Share().Whole()
+	status.Minority = !d.peers.TargetShare().Whole()
 	status.Undelivered = d.undelivered()
 	for pool, led := range d.leads {
 		status.Leads[pool] = led.leader.Status(now)
--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -35,7 +35,7 @@
 	gate.tableText = raw
 	gate.log.belief("configuration", "number", table.Number(), "before", before, "source", source)
 	gate.ledger.Configure(now, table.Config().Accounts)
-	gate.onChange(now, gate.peers.Accepted(now, table.Number(), ""))
+	gate.onChange(now, gate.peers.SetConfig(now, table.Number(), ""))
 }
 
 func (gate *Gate) number() yuccaid.ConfigNumber {
@@ -46,7 +46,7 @@
 }
 
 // pullTable asks a peer with a higher number for its configuration.
-func (gate *Gate) pullTable(now time.Time, source yuccapeer.Source) {
+func (gate *Gate) pullTable(now time.Time, source yuccapeer.PeerConfig) {
 	if now.Sub(gate.pulled) < pullEvery {
 		return
 	}
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -17,11 +17,11 @@
 	timing := yuccapeer.DefaultTiming()
 	timing.HeartbeatEvery = 400 * time.Millisecond
 	timing.ExpireAfter = 1500 * time.Millisecond
-	timing.LostGrace = 300 * time.Millisecond
+	timing.DisconnectGrace = 300 * time.Millisecond
 	timing.PauseLimit = 700 * time.Millisecond
 	timing.SettleFor = 450 * time.Millisecond
-	timing.Remember = time.Minute
-	timing.Patience = 2 * time.Second
+	timing.ForgetAfter = time.Minute
+	timing.GatewayConnectTimeout = 2 * time.Second
 	return timing
 }
 
@@ -58,7 +58,7 @@
 func (gate *Gate) onUp(member yuccapeer.Member) {
 	gate.control.Post(func(now time.Time) {
 		gate.log.belief("peer reached", "peer", member.VM, "centre", member.Centre)
-		gate.onChange(now, gate.peers.Linked(now, member))
+		gate.onChange(now, gate.peers.HandleConnect(now, member))
 		gate.send(member.Incarnation, yuccawire.KindUse, yuccawire.Use{
 			Totals: true, Spent: gate.ledger.LifetimeUsage(), Mine: gate.ledger.DaemonTotals(now), All: gate.ledger.Totals(now), Home: gate.ledger.CentreTotals(now),
 			Knows: !gate.ledger.WithoutHistory(now),
@@ -70,7 +70,7 @@
 func (gate *Gate) onDown(member yuccapeer.Member) {
 	gate.control.Post(func(now time.Time) {
 		gate.log.belief("peer lost", "peer", member.VM, "centre", member.Centre)
-		gate.peers.Lost(now, member.Incarnation)
+		gate.peers.HandleDisconnect(now, member.Incarnation)
 		delete(gate.fresh, member.Incarnation)
 	})
 }
@@ -90,7 +90,7 @@
 // tickPeers looks at heartbeats and pauses.
 func (gate *Gate) tickPeers(now time.Time) {
 	gate.onChange(now, gate.peers.Tick(now))
-	gate.onChange(now, gate.peers.Elapsed(now, now.Sub(gate.looked), wallSince(now, gate.looked)))
+	gate.onChange(now, gate.peers.CheckClocks(now, now.Sub(gate.looked), wallSince(now, gate.looked)))
 	gate.looked = now
 	if settled := gate.peers.Settled(); settled != gate.settled {
 		gate.settled = settled
@@ -110,32 +110,32 @@
 
 // onChange follows the view of the other daemons.
 func (gate *Gate) onChange(now time.Time, change yuccapeer.Change) {
-	if change.Woken {
-		gate.log.belief("woken from a pause", "pauseMillis", change.Slept.Milliseconds())
+	if change.Resumed {
+		gate.log.belief("woken from a pause", "pauseMillis", change.PausedFor.Milliseconds())
 		clear(gate.fresh)
 		clear(gate.centres)
 	}
-	for _, beat := range change.Beats {
+	for _, beat := range change.Messages {
 		gate.sendBeat(beat)
 	}
-	for _, peer := range change.Rosters {
+	for _, peer := range change.RosterRecipients {
 		gate.send(peer, yuccawire.KindRoster, roster{Listings: gate.peers.Roster()})
 	}
-	if !change.Behind.Peer.IsZero() {
-		gate.pullTable(now, change.Behind)
+	if !change.NewerConfig.Peer.IsZero() {
+		gate.pullTable(now, change.NewerConfig)
 	}
-	for _, left := range change.Left {
+	for _, left := range change.Removed {
 		gate.log.belief("peer gone", "peer", left.VM, "centre", left.Centre)
 		gate.ownerGone(now, left.Incarnation)
 	}
-	if len(change.Joined) == 0 && len(change.Left) == 0 && !change.Woken {
+	if len(change.Joined) == 0 && len(change.Removed) == 0 && !change.Resumed {
 		return
 	}
 	gate.hub.Connect(gate.peers.Dial())
 	gate.followLeaders(now)
 }
 
-func (gate *Gate) sendBeat(beat yuccapeer.Beat) {
+func (gate *Gate) sendBeat(beat yuccapeer.Message) {
 	if beat.Heartbeat != nil {
 		gate.send(beat.To, yuccawire.KindHeartbeat, *beat.Heartbeat)
 		return
@@ -161,7 +161,7 @@
 }
 
 func (gate *Gate) onRoster(_ time.Time, message roster) {
-	gate.peers.Told(time.Now(), message.Listings)
+	gate.peers.AddListings(time.Now(), message.Listings)
 	gate.hub.Connect(gate.peers.Dial())
 }
 
@@ -186,11 +186,11 @@
 	case yuccawire.KindHeartbeat:
 		return decoded(frame, func(beat yuccapeer.Heartbeat) {
 			if beat.Incarnation == from {
-				gate.onChange(now, gate.peers.Heard(now, beat))
+				gate.onChange(now, gate.peers.HandleHeartbeat(now, beat))
 			}
 		})
 	case yuccawire.KindPulse:
-		return decoded(frame, func(pulse yuccapeer.Pulse) { gate.onChange(now, gate.peers.Pulsed(now, from, pulse)) })
+		return decoded(frame, func(pulse yuccapeer.Pulse) { gate.onChange(now, gate.peers.HandlePulse(now, from, pulse)) })
 	case yuccawire.KindRoster:
 		return decoded(frame, func(message roster) { gate.onRoster(now, message) })
 	case yuccawire.KindTablePull:
--- a/io/yuccawire/frame_test.go
+++ b/io/yuccawire/frame_test.go
@@ -48,7 +48,7 @@
 		}{
 			{yuccawire.KindHello, hello},
 			{yuccawire.KindProof, yuccawire.Proof{Digest: make([]byte, 32)}},
-			{yuccawire.KindPulse, yuccapeer.Pulse{Sequence: 300, Version: 2, Ask: true}},
+			{yuccawire.KindPulse, yuccapeer.Pulse{Sequence: 300, Version: 2, RequestHeartbeat: true}},
 			{yuccawire.KindKeepAlive, nil},
 			{yuccawire.KindBye, nil},
 			{yuccawire.Kind(200), []string{"a", "b"}},
