--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -12,9 +12,9 @@
 // pullEvery keeps a daemon from asking for a configuration again before a peer can answer.
 const pullEvery = 300 * time.Millisecond
 
-// OfferRaw takes the text of a configuration from a source. One that can't be read changes
+// OfferConfiguration takes the text of a configuration from a source. One that can't be read changes
 // nothing.
-func (gate *Gate) OfferRaw(raw []byte, source string) error {
+func (gate *Gate) OfferConfiguration(raw []byte, source string) error {
 	table, err := gate.decode(raw)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 // readTable reads a peer's configuration on the connection's goroutine: one of a megabyte
 // takes long enough to hold up every decision of control.
 func (gate *Gate) readTable(message yuccawire.Table) {
-	if err := gate.OfferRaw(message.Raw, "peer"); err != nil {
+	if err := gate.OfferConfiguration(message.Raw, "peer"); err != nil {
 		gate.log.belief("configuration refused", "source", "peer", "error", err)
 	}
 }
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -26,8 +26,8 @@
 
 // dialect is how the tests' callers and targets speak.
 var dialect = yuccagate.Dialect{
-	Read: func(r *http.Request, route *yuccaroute.Route) (yuccagate.Caller, error) {
-		caller := yuccagate.Caller{ID: r.Header.Get("X-Id"), Key: r.Header.Get("X-Key"), Position: r.Header.Get("Last-Event-Id")}
+	ReadRequest: func(r *http.Request, route *yuccaroute.Route) (yuccagate.RequestInfo, error) {
+		caller := yuccagate.RequestInfo{ID: r.Header.Get("X-Id"), Key: r.Header.Get("X-Key"), LastEventID: r.Header.Get("Last-Event-Id")}
 		if caller.ID == "" {
 			return caller, errors.New("no id")
 		}
@@ -39,18 +39,18 @@
 		}
 		return caller, nil
 	},
-	Write: func(header http.Header, onward yuccagate.Onward) {
+	RewriteHeader: func(header http.Header, onward yuccagate.ForwardInfo) {
 		header.Del("X-Key")
 		header.Set("X-Target", string(onward.Target))
 		header.Set("X-Account", string(onward.Account))
 		header.Set("X-Remaining", strconv.FormatInt(onward.Remaining.Milliseconds(), 10))
-		if onward.Position != "" {
-			header.Set("Last-Event-Id", onward.Position)
+		if onward.LastEventID != "" {
+			header.Set("Last-Event-Id", onward.LastEventID)
 		}
 	},
-	Own: func(header http.Header, id string) bool { return header.Get("X-Id") == id },
-	Word: func(status int, header http.Header) yuccagate.Word {
-		return yuccagate.Word{NotRun: header.Get("X-Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
+	MatchesRequest: func(header http.Header, id string) bool { return header.Get("X-Id") == id },
+	ReadReport: func(status int, header http.Header) yuccagate.TargetReport {
+		return yuccagate.TargetReport{NotRun: header.Get("X-Not-Run") != "", Misdirected: status == http.StatusMisdirectedRequest}
 	},
 }
 
@@ -189,7 +189,7 @@
 	}
 	return yuccagate.Settings{
 		VM: yuccaid.VM(vm), Centre: centre, Regions: regions,
-		Address: peers.Addr().String(), Seeds: seeds, Key: yuccaid.Key("tests only"), First: true,
+		Address: peers.Addr().String(), Seeds: seeds, Key: yuccaid.Key("tests only"), FirstStart: true,
 		Bounds: yuccagate.Bounds{Grace: 5 * time.Second, ResendRatio: 0.2, ResendAllowance: 50, ResendWindow: 10 * time.Second},
 	}
 }
@@ -234,7 +234,7 @@
 
 // know tells a gateway its configuration and its targets, with so many places each.
 func (gt *gate) know(number yuccaid.ConfigNumber, config yuccaroute.Config, slots int, engines ...*engine) {
-	Expect(gt.OfferRaw(encode(number, config), "test")).To(Succeed())
+	Expect(gt.OfferConfiguration(encode(number, config), "test")).To(Succeed())
 	var entries []yuccaroster.Entry
 	for _, eng := range engines {
 		entries = append(entries, yuccaroster.Entry{
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -144,7 +144,7 @@
 	self := yuccapeer.Member{VM: settings.VM, Centre: settings.Centre, Address: settings.Address, Incarnation: gate.inc}
 	gate.peers = yuccapeer.New(self, yuccapeer.WithSeeds(settings.Seeds...), yuccapeer.WithTiming(peerTiming()))
 	gate.looked = gate.began
-	if !settings.First {
+	if !settings.FirstStart {
 		gate.ledger.MarkWithoutHistory(gate.began)
 	}
 	ready := make(chan struct{})
--- a/io/yuccagate/gate_test.go
+++ b/io/yuccagate/gate_test.go
@@ -121,11 +121,11 @@
 		Expect(call{path: "/ticket/"}.do(gt).status).To(Equal(http.StatusOK))
 		next := config()
 		next.Accounts = next.Accounts[1:]
-		Expect(gt.OfferRaw(encode(2, next), "test")).To(Succeed())
+		Expect(gt.OfferConfiguration(encode(2, next), "test")).To(Succeed())
 		Eventually(func() int { return call{path: "/ticket/"}.do(gt).status }).Should(Equal(http.StatusUnauthorized))
-		Expect(gt.OfferRaw(encode(1, config()), "test")).To(Succeed())
+		Expect(gt.OfferConfiguration(encode(1, config()), "test")).To(Succeed())
 		Consistently(func() int { return call{path: "/ticket/"}.do(gt).status }, 100*time.Millisecond).Should(Equal(http.StatusUnauthorized))
-		Expect(gt.OfferRaw([]byte("{"), "test")).NotTo(Succeed())
+		Expect(gt.OfferConfiguration([]byte("{"), "test")).NotTo(Succeed())
 	})
 })
 
--- a/io/yuccagate/listener.go
+++ b/io/yuccagate/listener.go
@@ -88,8 +88,8 @@
 	return slices.Collect(maps.Keys(lis.conns))
 }
 
-// State notes what the server does with a connection.
-func (lis *Listener) State(raw net.Conn, state http.ConnState) {
+// ConnState notes what the server does with a connection.
+func (lis *Listener) ConnState(raw net.Conn, state http.ConnState) {
 	if conn, ok := raw.(*callerConn); ok && state == http.StateIdle {
 		conn.idle(time.Now())
 	}
--- a/io/yuccagate/peers_test.go
+++ b/io/yuccagate/peers_test.go
@@ -67,7 +67,7 @@
 	It("pass configurations on", func() {
 		eng := newEngine("a", nil)
 		one, other := two(2, eng)
-		Expect(one.OfferRaw(encode(5, config()), "test")).To(Succeed())
+		Expect(one.OfferConfiguration(encode(5, config()), "test")).To(Succeed())
 		Eventually(func() int { return int(other.Status().Number) }).Should(Equal(5))
 	})
 
@@ -166,7 +166,7 @@
 	DescribeTable("count what each let in before they met",
 		func(centre yuccaid.Centre, vm string) {
 			eng := newEngine("a", nil)
-			forgot := func(set *yuccagate.Settings) { set.First, set.Bounds.QuotaWindow = false, time.Hour }
+			forgot := func(set *yuccagate.Settings) { set.FirstStart, set.Bounds.QuotaWindow = false, time.Hour }
 			// Connections to it are taken from its start on.
 			reserved := listen()
 			early := newGateOf(listen(), "odessa", "odessa-1", forgot, reserved.Addr().String())
--- a/io/yuccagate/problem.go
+++ b/io/yuccagate/problem.go
@@ -15,7 +15,7 @@
 const (
 	KindMalformed Kind = "malformed"
 	KindNoRoute   Kind = "noRoute"
-	KindKey       Kind = "unknownKey"
+	KindUnknownKey       Kind = "unknownKey"
 	KindTooLarge  Kind = "tooLarge"
 	KindLargeHead Kind = "largeHead"
 	KindSlowBody  Kind = "slowBody"
@@ -39,7 +39,7 @@
 var natures = map[Kind]nature{
 	KindMalformed: {http.StatusBadRequest, "send a well-formed request"},
 	KindNoRoute:   {http.StatusNotFound, "use a host and path that the configuration routes"},
-	KindKey:       {http.StatusUnauthorized, "send a key that the configuration holds"},
+	KindUnknownKey:       {http.StatusUnauthorized, "send a key that the configuration holds"},
 	KindTooLarge:  {http.StatusRequestEntityTooLarge, "send a shorter body"},
 	KindLargeHead: {http.StatusRequestHeaderFieldsTooLarge, "send a shorter head"},
 	KindSlowBody:  {http.StatusRequestTimeout, "send the body sooner"},
@@ -58,8 +58,8 @@
 type Problem struct {
 	Kind   Kind
 	Detail string
-	// Back is when coming back makes sense, zero if it is not said.
-	Back time.Duration
+	// RetryAfter is when coming back makes sense, zero if it is not said.
+	RetryAfter time.Duration
 	// inputs are fields of the log that tell what was decided from.
 	inputs []any
 }
@@ -91,8 +91,8 @@
 func (prob *Problem) write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	if prob.Back > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(prob.Back.Seconds(), 'f', 2, 64))
+	if prob.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(prob.RetryAfter.Seconds(), 'f', 2, 64))
 	}
 	text := prob.Error() + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(text)))
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -37,7 +37,7 @@
 		}
 		return nil
 	}
-	flow := &flow{req: req, position: req.caller.Position}
+	flow := &flow{req: req, position: req.caller.LastEventID}
 	err := flow.relay(ctx, att)
 	switch {
 	case err == nil:
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -38,7 +38,7 @@
 type request struct {
 	gate    *Gate
 	w       http.ResponseWriter
-	caller  Caller
+	caller  RequestInfo
 	table   *yuccaroute.Table
 	route   *yuccaroute.Route
 	account *yuccaroute.Account
@@ -75,7 +75,7 @@
 	}
 	// Who is sent away doesn't keep the daemon from ending.
 	if gate.sendsAway(req.arrived) {
-		req.refuse(&Problem{Kind: KindLeaving, Back: leavingBack})
+		req.refuse(&Problem{Kind: KindLeaving, RetryAfter: leavingBack})
 		return
 	}
 	gate.open.Add(1)
@@ -107,10 +107,10 @@
 func (req *request) refuse(prob *Problem) {
 	req.gate.metrics.problem(req.shownRank(), prob.Kind, prob.Detail)
 	fields := append([]any{
-		"kind", prob.Kind, "status", prob.Status(), "detail", prob.Detail, "backMillis", prob.Back.Milliseconds(),
+		"kind", prob.Kind, "status", prob.Status(), "detail", prob.Detail, "backMillis", prob.RetryAfter.Milliseconds(),
 		"sends", req.sends, "runs", req.runs, "number", req.number(),
 	}, prob.inputs...)
-	if prob.Kind == KindKey || prob.Kind == KindNoRoute {
+	if prob.Kind == KindUnknownKey || prob.Kind == KindNoRoute {
 		// Callers without a right to anything may send as many as they like.
 		req.went("refused", fields...)
 	} else {
@@ -123,7 +123,7 @@
 func (req *request) admit(r *http.Request) *Problem {
 	req.table = req.gate.awaitTable(r.Context(), req.arrived)
 	if req.table == nil {
-		return &Problem{Kind: KindNotReady, Back: notReadyBack}
+		return &Problem{Kind: KindNotReady, RetryAfter: notReadyBack}
 	}
 	if limit := req.table.Config().Limits.Header; limit > 0 && headBytes(r) > limit {
 		return &Problem{Kind: KindLargeHead}
@@ -133,7 +133,7 @@
 		return &Problem{Kind: KindNoRoute}
 	}
 	req.route = route
-	caller, err := req.gate.dialect.Read(r, route)
+	caller, err := req.gate.dialect.ReadRequest(r, route)
 	if err != nil {
 		return &Problem{Kind: KindMalformed, Detail: err.Error()}
 	}
@@ -145,7 +145,7 @@
 	req.until = req.arrived.Add(req.patience())
 	req.writeUntil(req.until.Add(lastWords))
 	if !req.hold(yuccaspace.RequestOverhead) {
-		return &Problem{Kind: KindBusy, Detail: detailRoom, Back: roomBack}
+		return &Problem{Kind: KindBusy, Detail: detailRoom, RetryAfter: roomBack}
 	}
 	return req.read(r)
 }
@@ -168,7 +168,7 @@
 	}
 	account, known := req.table.AccountByKey(req.caller.Key)
 	if !known {
-		return &Problem{Kind: KindKey}
+		return &Problem{Kind: KindUnknownKey}
 	}
 	req.account = account
 	return nil
@@ -205,7 +205,7 @@
 	}
 	raw, err := readAll(body, r.ContentLength, req.hold)
 	if errors.Is(err, errNoRoom) {
-		return &Problem{Kind: KindBusy, Detail: detailRoom, Back: roomBack}
+		return &Problem{Kind: KindBusy, Detail: detailRoom, RetryAfter: roomBack}
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return &Problem{Kind: KindSlowBody}
@@ -265,8 +265,8 @@
 		heard = req.broke
 		ask.SoftDeadline = req.broke.Add(req.route.MaxGap)
 	}
-	if req.caller.Patience > 0 && heard.Add(req.caller.Patience).Before(ask.Deadline) {
-		ask.Deadline = heard.Add(req.caller.Patience)
+	if req.caller.EventTimeout > 0 && heard.Add(req.caller.EventTimeout).Before(ask.Deadline) {
+		ask.Deadline = heard.Add(req.caller.EventTimeout)
 	}
 	return ask
 }
@@ -306,10 +306,10 @@
 // onward is what the target is told of the request.
 func (req *request) onward(now time.Time, target yuccaid.Target, position string) http.Header {
 	header := req.header.Clone()
-	onward := Onward{Target: target, Remaining: req.until.Sub(now), Position: position}
+	onward := ForwardInfo{Target: target, Remaining: req.until.Sub(now), LastEventID: position}
 	if req.account != nil {
 		onward.Account = req.account.Name
 	}
-	req.gate.dialect.Write(header, onward)
+	req.gate.dialect.RewriteHeader(header, onward)
 	return header
 }
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -81,7 +81,7 @@
 		dial(gt, head("/lookup/", "r1", 0))
 		Eventually(gt.busy).Should(Equal(1))
 		Eventually(gt.busy, 6*time.Second).Should(BeZero())
-		Eventually(func() int64 { return gt.Status().Open }, 6*time.Second).Should(BeZero())
+		Eventually(func() int64 { return gt.Status().OpenRequests }, 6*time.Second).Should(BeZero())
 	})
 
 	// Callers announce long prompts, send most of them and then no more. Were all of that
@@ -96,7 +96,7 @@
 		each := yuccaspace.RequestOverhead + sent + 1
 		for turn := range 5 {
 			dial(gt, head("/lookup/", fmt.Sprint("letter", turn), 1<<20)+part)
-			Eventually(func() yuccaid.Bytes { return gt.Status().Held }).Should(Equal(yuccaid.Bytes(turn+1) * each))
+			Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(Equal(yuccaid.Bytes(turn+1) * each))
 		}
 		Expect(statusOn(dial(gt, head("/lookup/", "late", sent)+part))).To(Equal(http.StatusServiceUnavailable))
 		Expect(statusOn(dial(gt, head("/ticket/", "urgent", 64<<10)+part[:64<<10]))).To(Equal(http.StatusOK))
@@ -114,9 +114,9 @@
 			Expect(call{path: "/lookup/", id: fmt.Sprint("r", turn), body: body}.do(gt).status).To(Equal(http.StatusOK))
 		}
 		conn := dial(gt, head("/lookup/", "gone", 1<<20)+"begun")
-		Eventually(func() yuccaid.Bytes { return gt.Status().Held }).ShouldNot(BeZero())
+		Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).ShouldNot(BeZero())
 		conn.Close()
-		Eventually(func() yuccaid.Bytes { return gt.Status().Held }).Should(BeZero())
+		Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(BeZero())
 	})
 
 	// A machine has descriptors for sixteen callers. All have been served and keep their
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -24,7 +24,7 @@
 	tkt    *ticket
 	sent   time.Time
 	answer *yuccahop.Answer
-	word   Word
+	word   TargetReport
 	watch  *silence
 }
 
@@ -53,7 +53,7 @@
 			return prob
 		}
 		failure.drop()
-		att, outcome := req.send(ctx, tkt, place, req.caller.Position)
+		att, outcome := req.send(ctx, tkt, place, req.caller.LastEventID)
 		failure = nil
 		switch {
 		case outcome == yuccagrant.Served && att.answer.Status < http.StatusInternalServerError:
@@ -131,14 +131,14 @@
 	if errors.Is(cause, errTimeout) {
 		detail = "its time is up"
 	}
-	return &Problem{Kind: KindLate, Detail: detail, Back: cutBack}
+	return &Problem{Kind: KindLate, Detail: detail, RetryAfter: cutBack}
 }
 
 // failed says what becomes of a request whose last sending failed.
 func (req *request) failed(ctx context.Context, outcome yuccagrant.Outcome) *Problem {
 	switch {
 	case req.runs == 0:
-		return &Problem{Kind: KindRejected, Detail: outcome.String(), Back: cutBack}
+		return &Problem{Kind: KindRejected, Detail: outcome.String(), RetryAfter: cutBack}
 	case errors.Is(context.Cause(ctx), errTimeout):
 		return &Problem{Kind: KindTimeout}
 	default:
@@ -155,7 +155,7 @@
 	case yuccagrant.ReasonQueueFull:
 		kind = KindBusy
 	}
-	return &Problem{Kind: kind, Detail: string(refusal.Reason), Back: refusal.RetryAfter, inputs: []any{
+	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, inputs: []any{
 		"leader", place.inputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
 		"revision", place.inputs.revision, "newsAgeMillis", place.inputs.age.Milliseconds(),
 	}}
@@ -168,7 +168,7 @@
 	req.tried = append(req.tried, place.target)
 	out := req.out
 	out.Header = req.onward(att.sent, place.target, position)
-	own := func(header http.Header) bool { return req.gate.dialect.Own(header, req.caller.ID) }
+	own := func(header http.Header) bool { return req.gate.dialect.MatchesRequest(header, req.caller.ID) }
 	ctx, att.watch = req.watchSilence(ctx, place.inputs.expect)
 	req.gate.metrics.sent(req.shownRank(), place.alone, att.sent.Sub(req.arrived))
 	req.logSent(att, place)
@@ -189,7 +189,7 @@
 	}
 	req.arrivals++
 	att.answer = answer
-	att.word = req.gate.dialect.Word(answer.Status, answer.Header)
+	att.word = req.gate.dialect.ReadReport(answer.Status, answer.Header)
 	switch {
 	case att.word.Misdirected:
 		return att, yuccagrant.Misdirected
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -39,7 +39,7 @@
 		Handler:           gate,
 		ReadHeaderTimeout: headAfter,
 		MaxHeaderBytes:    largestHead,
-		ConnState:         srv.listener.State,
+		ConnState:         srv.listener.ConnState,
 	}
 	go func() {
 		if err := srv.http.Serve(srv.listener); !errors.Is(err, http.ErrServerClosed) {
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -21,9 +21,9 @@
 	// Key is what daemons of one fleet prove to each other.
 	Key    yuccaid.Key
 	Bounds Bounds
-	// First says that the whole fleet starts for the first time, so that nothing was let in
+	// FirstStart says that the whole fleet starts for the first time, so that nothing was let in
 	// before.
-	First bool
+	FirstStart bool
 	// Machine is what the process may use.
 	Machine yuccaspace.ProcessLimits
 }
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -17,15 +17,15 @@
 	Ready   bool           `json:"ready"`
 	Leaving bool           `json:"leaving"`
 	Number  yuccaid.ConfigNumber `json:"number"`
-	// Rests says that another daemon reads the platform for this one, and PlatformMillis how
+	// SkipsPlatformReads says that another daemon reads the platform for this one, and PlatformMillis how
 	// old the last word from it is, or -1.
-	Rests          bool         `json:"rests"`
-	PlatformMillis int64        `json:"platformMillis"`
+	SkipsPlatformReads          bool         `json:"rests"`
+	PlatformAgeMillis int64        `json:"platformMillis"`
 	Peers          []PeerStatus `json:"peers"`
-	QuotaPart      float64      `json:"quotaPart"`
-	Open           int64        `json:"open"`
-	// Held is the memory, in bytes, that is lent to open requests.
-	Held    yuccaid.Bytes  `json:"heldBytes"`
+	QuotaShare      float64      `json:"quotaPart"`
+	OpenRequests           int64        `json:"open"`
+	// HeldBytes is the memory, in bytes, that is lent to open requests.
+	HeldBytes    yuccaid.Bytes  `json:"heldBytes"`
 	Pools   []PoolStatus   `json:"pools"`
 	Targets []TargetStatus `json:"targets"`
 	// Accounts lists the accounts with a quota.
@@ -74,11 +74,11 @@
 func (gate *Gate) status(now time.Time) Status {
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
-		Number: gate.number(), Rests: gate.rests.Load(), PlatformMillis: -1,
-		QuotaPart: gate.ledger.QuotaShare(), Open: gate.open.Load(), Held: gate.room.taken(),
+		Number: gate.number(), SkipsPlatformReads: gate.rests.Load(), PlatformAgeMillis: -1,
+		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.open.Load(), HeldBytes: gate.room.taken(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
-		status.PlatformMillis = age.Milliseconds()
+		status.PlatformAgeMillis = age.Milliseconds()
 	}
 	for _, member := range gate.hub.Linked() {
 		status.Peers = append(status.Peers, PeerStatus{VM: member.VM, Centre: member.Centre, Leaving: member.Leaving})
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -50,8 +50,8 @@
 	})
 }
 
-// HeardOf notes that the platform has answered and up to which revision it was heard.
-func (gate *Gate) HeardOf(at yuccaroster.Revision) {
+// RecordPlatformRevision notes that the platform has answered and up to which revision it was heard.
+func (gate *Gate) RecordPlatformRevision(at yuccaroster.Revision) {
 	gate.control.Post(func(now time.Time) {
 		gate.platformHeard = now
 		gate.platformAt = max(gate.platformAt, at)
@@ -73,9 +73,9 @@
 	return age
 }
 
-// MayRest reports whether this daemon need not read the platform, because another one of
+// MaySkipPlatformReads reports whether this daemon need not read the platform, because another one of
 // its data centre does and tells it.
-func (gate *Gate) MayRest() bool { return gate.rests.Load() }
+func (gate *Gate) MaySkipPlatformReads() bool { return gate.rests.Load() }
 
 // reads reports whether this daemon reads the platform for its data centre.
 func (gate *Gate) reads(_ time.Time) bool {
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -40,7 +40,7 @@
 	if answer.Verdict != yuccaquota.Admitted {
 		gate.metrics.quota(answer.Verdict)
 		req.told("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.UsedByDaemon, "asked", answer.Demand, "rush", answer.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
-		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), Back: answer.RetryAfter}
+		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), RetryAfter: answer.RetryAfter}
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 	switch {
 	case gate.settled || len(gate.settings.Seeds) == 0:
 		return partOf(visible, total)
-	case !gate.settings.First && !gate.ledger.WithoutHistory(now):
+	case !gate.settings.FirstStart && !gate.ledger.WithoutHistory(now):
 		return 1
 	}
 	return firstPart
