--- a/cmd/yuccacleat/note.go
+++ b/cmd/yuccacleat/note.go
@@ -51,7 +51,7 @@
 // summary is what `note check --json` prints.
 type summary struct {
 	Number yuccaid.ConfigNumber `json:"number"`
-	Digest yuccaid.Digest `json:"digest"`
+	Digest yuccaid.Digest       `json:"digest"`
 }
 
 func noteDiffCommand() *cobra.Command {
--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -29,8 +29,8 @@
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
 	// SoftDeadline is until when the first event is on time, and Until is when the caller leaves.
-	SoftDeadline   time.Time
-	Deadline time.Time
+	SoftDeadline time.Time
+	Deadline     time.Time
 	// MaxGap is the longest pause between two events that counts as on time.
 	MaxGap time.Duration
 	// FailedTargets are the targets that failed this request before.
@@ -53,7 +53,7 @@
 	// ExpectedFirst is when the first event was expected after the sending, and Busy how many runs
 	// the target had before, for the log.
 	ExpectedFirst time.Duration
-	Busy   int
+	Busy          int
 }
 
 // Reason says why a request is refused.
@@ -71,14 +71,14 @@
 
 // Refusal is the final answer to an ask; Back is when coming back makes sense.
 type Refusal struct {
-	ID     ID
-	Reason Reason
-	RetryAfter   time.Duration
+	ID         ID
+	Reason     Reason
+	RetryAfter time.Duration
 	// QueueLength and Free are how many waited before the request and how many places were free,
 	// and Wait how long it would have waited, for the log.
-	QueueLength int
-	FreeSlots    int
-	EstimatedWait    time.Duration
+	QueueLength   int
+	FreeSlots     int
+	EstimatedWait time.Duration
 }
 
 // Decisions is what one event led to.
@@ -128,9 +128,9 @@
 	TimeToFirst time.Duration
 	// Events counts the events, Span is the time from the first to the last, and Pause the
 	// longest between two.
-	Events int
-	Span   time.Duration
-	LongestGap  time.Duration
+	Events     int
+	Span       time.Duration
+	LongestGap time.Duration
 	// Load is the target's own word on its load, if it gave one.
 	Load ReportedLoad
 }
@@ -144,9 +144,9 @@
 
 // Running is a run that an owner tells a new leader of.
 type Running struct {
-	Request    Request
-	Target yuccaid.Target
-	Sent   time.Time
+	Request Request
+	Target  yuccaid.Target
+	Sent    time.Time
 	// Started says that the first event has come.
 	Started bool
 }
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -159,11 +159,11 @@
 
 // TargetStatus is one target as the leader sees it, for operators.
 type TargetStatus struct {
-	Target  yuccaid.Target `json:"target"`
-	Busy    int            `json:"busy"`
-	Slots   int            `json:"slots"`
-	Pace    float64        `json:"pace"`
-	LateFraction    float64        `json:"late"`
+	Target       yuccaid.Target `json:"target"`
+	Busy         int            `json:"busy"`
+	Slots        int            `json:"slots"`
+	Pace         float64        `json:"pace"`
+	LateFraction float64        `json:"late"`
 	FailureRate  float64        `json:"failed"`
-	BackingOff bool           `json:"resting"`
+	BackingOff   bool           `json:"resting"`
 }
--- a/core/yuccapeer/change.go
+++ b/core/yuccapeer/change.go
@@ -13,7 +13,7 @@
 	Joined, Removed []Member
 	// Resumed says that this process was paused for about Slept: the view, and all
 	// that rests on it, expired before anything else was done.
-	Resumed bool
+	Resumed   bool
 	PausedFor time.Duration
 	// NewerConfig is the peer with the highest configuration number above our own.
 	NewerConfig PeerConfig
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -30,14 +30,14 @@
 
 // Heartbeat is all that a daemon tells the others about itself.
 type Heartbeat struct {
-	Incarnation yuccaid.Incarnation `msgpack:"incarnation"`
-	Centre      yuccaid.Centre      `msgpack:"centre"`
-	Address     string              `msgpack:"address"`
-	Number      yuccaid.ConfigNumber      `msgpack:"number"`
-	Digest      yuccaid.Digest      `msgpack:"digest"`
-	Leaving     bool                `msgpack:"leaving"`
-	Sequence    uint64              `msgpack:"sequence"`
-	Version     uint64              `msgpack:"version"`
+	Incarnation yuccaid.Incarnation  `msgpack:"incarnation"`
+	Centre      yuccaid.Centre       `msgpack:"centre"`
+	Address     string               `msgpack:"address"`
+	Number      yuccaid.ConfigNumber `msgpack:"number"`
+	Digest      yuccaid.Digest       `msgpack:"digest"`
+	Leaving     bool                 `msgpack:"leaving"`
+	Sequence    uint64               `msgpack:"sequence"`
+	Version     uint64               `msgpack:"version"`
 	// Unlisted says that the sender has no list from the platform yet, and Knows how many
 	// daemons of its data centre it has heard of meanwhile, itself included.
 	Unlisted bool `msgpack:"unlisted"`
@@ -47,9 +47,9 @@
 // Pulse is a heartbeat that says nothing has changed since the whole one of that
 // version; Ask wants the receiver's whole one back.
 type Pulse struct {
-	Sequence uint64
-	Version  uint64
-	RequestHeartbeat      bool
+	Sequence         uint64
+	Version          uint64
+	RequestHeartbeat bool
 }
 
 // pulseFields is the length of a pulse's array.
--- a/core/yuccapeer/option.go
+++ b/core/yuccapeer/option.go
@@ -33,13 +33,13 @@
 // DefaultTiming returns the intervals that the cost test measures.
 func DefaultTiming() Timing {
 	return Timing{
-		HeartbeatEvery: 1500 * time.Millisecond,
-		ExpireAfter:    5 * time.Second,
-		DisconnectGrace:      time.Second,
-		PauseLimit:     2 * time.Second,
-		SettleFor:      3 * time.Second,
-		ForgetAfter:       time.Hour,
-		GatewayConnectTimeout:       5 * time.Second,
+		HeartbeatEvery:        1500 * time.Millisecond,
+		ExpireAfter:           5 * time.Second,
+		DisconnectGrace:       time.Second,
+		PauseLimit:            2 * time.Second,
+		SettleFor:             3 * time.Second,
+		ForgetAfter:           time.Hour,
+		GatewayConnectTimeout: 5 * time.Second,
 	}
 }
 
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -15,12 +15,12 @@
 // Expires counts from when the leader sent it. A grant that is used later would run
 // on a slot which the leader may have given to somebody else.
 type Grant struct {
-	ID      yuccaid.RequestID `msgpack:"id"`
-	Owner   yuccaid.Incarnation `msgpack:"owner"`
-	Target  yuccaid.Target      `msgpack:"target"`
-	Expires time.Duration       `msgpack:"expires"`
-	Number  yuccaid.ConfigNumber      `msgpack:"number"`
-	Leader  yuccaid.Incarnation `msgpack:"leader"`
+	ID      yuccaid.RequestID    `msgpack:"id"`
+	Owner   yuccaid.Incarnation  `msgpack:"owner"`
+	Target  yuccaid.Target       `msgpack:"target"`
+	Expires time.Duration        `msgpack:"expires"`
+	Number  yuccaid.ConfigNumber `msgpack:"number"`
+	Leader  yuccaid.Incarnation  `msgpack:"leader"`
 }
 
 // Refusal is the final answer to an ask that gets no grant.
@@ -28,7 +28,7 @@
 // Back is the time after which coming back makes sense; zero says that waiting won't
 // help, since the deadline couldn't be met by an idle pool either.
 type Refusal struct {
-	ID     yuccaid.RequestID `msgpack:"id"`
+	ID     yuccaid.RequestID   `msgpack:"id"`
 	Owner  yuccaid.Incarnation `msgpack:"owner"`
 	Reason yuccaqueue.Reason   `msgpack:"reason"`
 	Back   time.Duration       `msgpack:"back"`
@@ -36,7 +36,7 @@
 
 // Cancel tells an owner to stop a running request.
 type Cancel struct {
-	ID     yuccaid.RequestID `msgpack:"id"`
+	ID     yuccaid.RequestID   `msgpack:"id"`
 	Owner  yuccaid.Incarnation `msgpack:"owner"`
 	Target yuccaid.Target      `msgpack:"target"`
 	Reason yuccaqueue.Reason   `msgpack:"reason"`
@@ -68,8 +68,8 @@
 // some on the way; the more often, the sooner a straggler is found.
 type Progress struct {
 	ID         yuccaid.RequestID `msgpack:"id"`
-	FirstToken bool                `msgpack:"firstToken"`
-	Answered   yuccaid.Tokens      `msgpack:"answered"`
+	FirstToken bool              `msgpack:"firstToken"`
+	Answered   yuccaid.Tokens    `msgpack:"answered"`
 }
 
 // Finished gives back a grant: the run has ended, or never began.
@@ -79,11 +79,11 @@
 // (Refused), which says Leaving when it takes no more work at all.
 type Finished struct {
 	ID      yuccaid.RequestID `msgpack:"id"`
-	Target  yuccaid.Target      `msgpack:"target"`
-	Ran     bool                `msgpack:"ran"`
-	Partial bool                `msgpack:"partial"`
-	Refused bool                `msgpack:"refused"`
-	Leaving bool                `msgpack:"leaving"`
+	Target  yuccaid.Target    `msgpack:"target"`
+	Ran     bool              `msgpack:"ran"`
+	Partial bool              `msgpack:"partial"`
+	Refused bool              `msgpack:"refused"`
+	Leaving bool              `msgpack:"leaving"`
 	// Failed says that the target could not be reached or broke off.
 	Failed  bool           `msgpack:"failed"`
 	Prompt  yuccaid.Tokens `msgpack:"prompt"`
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -17,23 +17,23 @@
 
 // TargetStatus is what the leader believes of one target.
 type TargetStatus struct {
-	Target  yuccaid.Target `msgpack:"target" json:"target"`
-	Running int            `msgpack:"running" json:"running"`
-	Slots   int            `msgpack:"slots" json:"slots"`
-	Backlog time.Duration  `msgpack:"backlog" json:"backlog"`
-	Prefill yuccaid.TokenRate   `msgpack:"prefill" json:"prefill"`
-	Decode  yuccaid.TokenRate   `msgpack:"decode" json:"decode"`
-	Health  string         `msgpack:"health" json:"health"`
-	Leaving bool           `msgpack:"leaving" json:"leaving"`
+	Target  yuccaid.Target    `msgpack:"target" json:"target"`
+	Running int               `msgpack:"running" json:"running"`
+	Slots   int               `msgpack:"slots" json:"slots"`
+	Backlog time.Duration     `msgpack:"backlog" json:"backlog"`
+	Prefill yuccaid.TokenRate `msgpack:"prefill" json:"prefill"`
+	Decode  yuccaid.TokenRate `msgpack:"decode" json:"decode"`
+	Health  string            `msgpack:"health" json:"health"`
+	Leaving bool              `msgpack:"leaving" json:"leaving"`
 }
 
 // Status is the leader's state for operators and metrics.
 type Status struct {
-	Pool      yuccaid.Pool   `msgpack:"pool" json:"pool"`
+	Pool      yuccaid.Pool         `msgpack:"pool" json:"pool"`
 	Number    yuccaid.ConfigNumber `msgpack:"number" json:"number"`
-	Gathering bool           `msgpack:"gathering" json:"gathering"`
-	Tiers     []TierStatus   `msgpack:"tiers" json:"tiers"`
-	Targets   []TargetStatus `msgpack:"targets" json:"targets"`
+	Gathering bool                 `msgpack:"gathering" json:"gathering"`
+	Tiers     []TierStatus         `msgpack:"tiers" json:"tiers"`
+	Targets   []TargetStatus       `msgpack:"targets" json:"targets"`
 }
 
 // Status returns what the leader believes.
--- a/core/yuccaqueue/ask.go
+++ b/core/yuccaqueue/ask.go
@@ -19,7 +19,7 @@
 // compared. Prompt and Answer are the owner's estimates. Prefixes[i] is the hash of
 // the first (i+1)*BlockTokens tokens of the prompt.
 type Ask struct {
-	ID         yuccaid.RequestID `msgpack:"id"`
+	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
 	Account    yuccaid.Account     `msgpack:"account"`
 	Tier       yuccaid.Tier        `msgpack:"tier"`
--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -48,7 +48,7 @@
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
-	Allowance    float64
+	Allowance float64
 }
 
 // Ledger counts what accounts are let in for. It isn't safe for concurrent use.
@@ -222,8 +222,8 @@
 	UsedByDaemon int64
 	// Demand is what the account asked for since all was forgotten, and Rush what an account
 	// within its quota may have; both are zero where its use is remembered.
-	Demand int64
-	DemandLimit  int64
+	Demand      int64
+	DemandLimit int64
 	// OverQuota says that the account is beyond its quota, and was let in because that is tolerated.
 	OverQuota bool
 }
--- a/core/yuccaroute/config.go
+++ b/core/yuccaroute/config.go
@@ -66,8 +66,8 @@
 	Keys []string
 	// HasRank says that Rank goes before the rank of the route.
 	HasRank bool
-	Rank   int
-	Quota  Quota
+	Rank    int
+	Quota   Quota
 }
 
 // Quota limits an account over all daemons; a zero Rate sets no limit.
@@ -99,8 +99,8 @@
 
 // Limits bounds what callers may send and how long they may take; a zero field sets none.
 type Limits struct {
-	Header      yuccaid.Bytes
-	Body        yuccaid.Bytes
+	Header        yuccaid.Bytes
+	Body          yuccaid.Bytes
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
 }
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -16,7 +16,7 @@
 	// keptNotes and keptBytes bound the texts kept for peers that were cut off for a
 	// while; one that lacks more fetches a snapshot.
 	keptNotes yuccaid.ConfigNumber = 64
-	keptBytes yuccaid.Bytes  = 4 * NoteLimit
+	keptBytes yuccaid.Bytes        = 4 * NoteLimit
 	// keptProofs bounds by how many notes a changed key is still recognised.
 	keptProofs yuccaid.ConfigNumber = 4096
 	// reportedLimit bounds what is remembered in order not to repeat audit entries.
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -25,13 +25,13 @@
 
 // snapshot is a whole configuration, or the records that one part of it holds.
 type snapshot struct {
-	Form    int            `json:"form"`
+	Form    int                  `json:"form"`
 	Number  yuccaid.ConfigNumber `json:"number"`
-	Digest  yuccaid.Digest `json:"digest"`
-	Index   int            `json:"index"`
-	Count   int            `json:"count"`
-	Policy  Policy         `json:"policy"`
-	Records []record       `json:"records"`
+	Digest  yuccaid.Digest       `json:"digest"`
+	Index   int                  `json:"index"`
+	Count   int                  `json:"count"`
+	Policy  Policy               `json:"policy"`
+	Records []record             `json:"records"`
 }
 
 // EncodeState writes a configuration for a peer, always to the same bytes.
--- a/core/yuccastate/entry.go
+++ b/core/yuccastate/entry.go
@@ -23,12 +23,12 @@
 // Entry is one line of the audit trail: who did what, and the digests before and
 // after, which are equal where nothing changed.
 type Entry struct {
-	At     time.Time      `json:"at"`
-	Kind   EntryKind      `json:"kind"`
-	By     string         `json:"by"`
+	At     time.Time            `json:"at"`
+	Kind   EntryKind            `json:"kind"`
+	By     string               `json:"by"`
 	Number yuccaid.ConfigNumber `json:"number"`
-	Before yuccaid.Digest `json:"before"`
-	After  yuccaid.Digest `json:"after"`
-	Reason string         `json:"reason,omitempty"`
-	Detail string         `json:"detail,omitempty"`
+	Before yuccaid.Digest       `json:"before"`
+	After  yuccaid.Digest       `json:"after"`
+	Reason string               `json:"reason,omitempty"`
+	Detail string               `json:"detail,omitempty"`
 }
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -18,11 +18,11 @@
 // configuration that it was written against. A changed object is given whole.
 type Note struct {
 	Number    yuccaid.ConfigNumber `json:"number"`
-	Base      yuccaid.Digest `json:"base"`
-	By        string         `json:"by"`
-	Added     Objects        `json:"added,omitzero"`
-	Changed   Objects        `json:"changed,omitzero"`
-	Withdrawn Names          `json:"withdrawn,omitzero"`
+	Base      yuccaid.Digest       `json:"base"`
+	By        string               `json:"by"`
+	Added     Objects              `json:"added,omitzero"`
+	Changed   Objects              `json:"changed,omitzero"`
+	Withdrawn Names                `json:"withdrawn,omitzero"`
 
 	lines yuccayaml.Lines
 }
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -72,22 +72,22 @@
 
 // Target is one back end; its own wish, field by field, goes before its pool's.
 type Target struct {
-	Pool        yuccaid.Pool   `json:"pool,omitempty"`
-	Centre      yuccaid.Centre `json:"centre,omitempty"`
-	VM          yuccaid.VM     `json:"vm,omitempty"`
-	Address     string         `json:"address,omitempty"`
-	Slots       int            `json:"slots,omitempty"`
-	Prefill     yuccaid.TokenRate   `json:"prefill,omitempty"`
-	Decode      yuccaid.TokenRate   `json:"decode,omitempty"`
-	Cache       yuccaid.Tokens `json:"cache,omitempty"`
-	ChecksFence bool           `json:"checksFence,omitempty"`
-	Wish        Wish           `json:"wish,omitzero"`
+	Pool        yuccaid.Pool      `json:"pool,omitempty"`
+	Centre      yuccaid.Centre    `json:"centre,omitempty"`
+	VM          yuccaid.VM        `json:"vm,omitempty"`
+	Address     string            `json:"address,omitempty"`
+	Slots       int               `json:"slots,omitempty"`
+	Prefill     yuccaid.TokenRate `json:"prefill,omitempty"`
+	Decode      yuccaid.TokenRate `json:"decode,omitempty"`
+	Cache       yuccaid.Tokens    `json:"cache,omitempty"`
+	ChecksFence bool              `json:"checksFence,omitempty"`
+	Wish        Wish              `json:"wish,omitzero"`
 }
 
 // Limits bounds what a client account may use; a field of 0 sets no bound.
 type Limits struct {
-	RequestsPerSecond float64      `json:"requestsPerSecond,omitempty"`
-	Running           int          `json:"running,omitempty"`
+	RequestsPerSecond float64           `json:"requestsPerSecond,omitempty"`
+	Running           int               `json:"running,omitempty"`
 	TokensPerSecond   yuccaid.TokenRate `json:"tokensPerSecond,omitempty"`
 }
 
--- a/io/yuccadaemon/audit.go
+++ b/io/yuccadaemon/audit.go
@@ -26,14 +26,14 @@
 
 // AuditEntry is one change: who made it, of what, under which configuration.
 type AuditEntry struct {
-	At     time.Time      `json:"at"`
-	Kind   AuditKind      `json:"kind"`
-	Who    string         `json:"who,omitempty"`
-	What   string         `json:"what,omitempty"`
+	At     time.Time            `json:"at"`
+	Kind   AuditKind            `json:"kind"`
+	Who    string               `json:"who,omitempty"`
+	What   string               `json:"what,omitempty"`
 	Number yuccaid.ConfigNumber `json:"number"`
-	Before yuccaid.Digest `json:"before,omitempty"`
-	After  yuccaid.Digest `json:"after,omitempty"`
-	Detail string         `json:"detail,omitempty"`
+	Before yuccaid.Digest       `json:"before,omitempty"`
+	After  yuccaid.Digest       `json:"after,omitempty"`
+	Detail string               `json:"detail,omitempty"`
 }
 
 // audit is a bounded ring of changes that operators can read; each is logged as well.
--- a/io/yuccadaemon/status.go
+++ b/io/yuccadaemon/status.go
@@ -15,7 +15,7 @@
 	Incarnation string                            `json:"incarnation"`
 	Ready       bool                              `json:"ready"`
 	Leaving     bool                              `json:"leaving"`
-	Number      yuccaid.ConfigNumber                    `json:"number"`
+	Number      yuccaid.ConfigNumber              `json:"number"`
 	Digest      yuccaid.Digest                    `json:"digest"`
 	Peers       []yuccapeer.Member                `json:"peers"`
 	Leads       map[yuccaid.Pool]yuccapool.Status `json:"leads"`
--- a/io/yuccagate/dialect.go
+++ b/io/yuccagate/dialect.go
@@ -29,8 +29,8 @@
 	Key string
 	// Remaining is how long the caller waits for the end, and Patience how long for the
 	// first event or for another one; zero if it doesn't say.
-	Remaining time.Duration
-	EventTimeout  time.Duration
+	Remaining    time.Duration
+	EventTimeout time.Duration
 	// Prompt and Answer are the tokens to read and to generate, zero if unknown. Charged is
 	// what counts against the account's quota.
 	Prompt  yuccaid.Tokens
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -20,9 +20,9 @@
 func askOf(now time.Time, owner yuccaid.Incarnation, message yuccawire.Ask) yuccagrant.Request {
 	return yuccagrant.Request{
 		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Class: yuccagrant.Class(message.Class), Tier: message.Tier, Rank: message.Rank, OverQuota: message.Over, Prompt: message.Prompt, Answer: message.Answer,
-		SoftDeadline:   now.Add(time.Duration(message.AimMillis) * time.Millisecond),
-		Deadline: now.Add(time.Duration(message.UntilMillis) * time.Millisecond),
-		MaxGap:   time.Duration(message.GapMillis) * time.Millisecond, FailedTargets: message.Tried,
+		SoftDeadline: now.Add(time.Duration(message.AimMillis) * time.Millisecond),
+		Deadline:     now.Add(time.Duration(message.UntilMillis) * time.Millisecond),
+		MaxGap:       time.Duration(message.GapMillis) * time.Millisecond, FailedTargets: message.Tried,
 	}
 }
 
--- a/io/yuccagate/problem.go
+++ b/io/yuccagate/problem.go
@@ -13,21 +13,21 @@
 // The kinds of problems. Those up to KindLeaving promise that the request has not run and
 // will not run.
 const (
-	KindMalformed Kind = "malformed"
-	KindNoRoute   Kind = "noRoute"
-	KindUnknownKey       Kind = "unknownKey"
-	KindTooLarge  Kind = "tooLarge"
-	KindLargeHead Kind = "largeHead"
-	KindSlowBody  Kind = "slowBody"
-	KindQuota     Kind = "quota"
-	KindNotReady  Kind = "notReady"
-	KindBusy      Kind = "busy"
-	KindLate      Kind = "late"
-	KindNoTarget  Kind = "noTarget"
-	KindRejected  Kind = "rejected"
-	KindLeaving   Kind = "leaving"
-	KindLost      Kind = "lost"
-	KindTimeout   Kind = "timeout"
+	KindMalformed  Kind = "malformed"
+	KindNoRoute    Kind = "noRoute"
+	KindUnknownKey Kind = "unknownKey"
+	KindTooLarge   Kind = "tooLarge"
+	KindLargeHead  Kind = "largeHead"
+	KindSlowBody   Kind = "slowBody"
+	KindQuota      Kind = "quota"
+	KindNotReady   Kind = "notReady"
+	KindBusy       Kind = "busy"
+	KindLate       Kind = "late"
+	KindNoTarget   Kind = "noTarget"
+	KindRejected   Kind = "rejected"
+	KindLeaving    Kind = "leaving"
+	KindLost       Kind = "lost"
+	KindTimeout    Kind = "timeout"
 )
 
 // nature is what a kind means to a caller.
@@ -37,21 +37,21 @@
 }
 
 var natures = map[Kind]nature{
-	KindMalformed: {http.StatusBadRequest, "send a well-formed request"},
-	KindNoRoute:   {http.StatusNotFound, "use a host and path that the configuration routes"},
-	KindUnknownKey:       {http.StatusUnauthorized, "send a key that the configuration holds"},
-	KindTooLarge:  {http.StatusRequestEntityTooLarge, "send a shorter body"},
-	KindLargeHead: {http.StatusRequestHeaderFieldsTooLarge, "send a shorter head"},
-	KindSlowBody:  {http.StatusRequestTimeout, "send the body sooner"},
-	KindQuota:     {http.StatusTooManyRequests, "come back when the account's quota has room"},
-	KindNotReady:  {http.StatusServiceUnavailable, "come back when this daemon knows its configuration"},
-	KindBusy:      {http.StatusServiceUnavailable, "come back when this daemon holds less"},
-	KindLate:      {http.StatusServiceUnavailable, "come back when the targets are less busy"},
-	KindNoTarget:  {http.StatusServiceUnavailable, "come back when the pool has targets"},
-	KindRejected:  {http.StatusServiceUnavailable, "come back when the targets are less busy"},
-	KindLeaving:   {http.StatusServiceUnavailable, "come back at another daemon"},
-	KindLost:      {http.StatusBadGateway, "it may have run: repeat it only if that does no harm"},
-	KindTimeout:   {http.StatusGatewayTimeout, "it may have run: repeat it only if that does no harm"},
+	KindMalformed:  {http.StatusBadRequest, "send a well-formed request"},
+	KindNoRoute:    {http.StatusNotFound, "use a host and path that the configuration routes"},
+	KindUnknownKey: {http.StatusUnauthorized, "send a key that the configuration holds"},
+	KindTooLarge:   {http.StatusRequestEntityTooLarge, "send a shorter body"},
+	KindLargeHead:  {http.StatusRequestHeaderFieldsTooLarge, "send a shorter head"},
+	KindSlowBody:   {http.StatusRequestTimeout, "send the body sooner"},
+	KindQuota:      {http.StatusTooManyRequests, "come back when the account's quota has room"},
+	KindNotReady:   {http.StatusServiceUnavailable, "come back when this daemon knows its configuration"},
+	KindBusy:       {http.StatusServiceUnavailable, "come back when this daemon holds less"},
+	KindLate:       {http.StatusServiceUnavailable, "come back when the targets are less busy"},
+	KindNoTarget:   {http.StatusServiceUnavailable, "come back when the pool has targets"},
+	KindRejected:   {http.StatusServiceUnavailable, "come back when the targets are less busy"},
+	KindLeaving:    {http.StatusServiceUnavailable, "come back at another daemon"},
+	KindLost:       {http.StatusBadGateway, "it may have run: repeat it only if that does no harm"},
+	KindTimeout:    {http.StatusGatewayTimeout, "it may have run: repeat it only if that does no harm"},
 }
 
 // Problem is an answer of the gateway's own.
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -11,23 +11,23 @@
 
 // Status is what one gateway believes, for operators and tests.
 type Status struct {
-	VM      yuccaid.VM     `json:"vm"`
-	Centre  yuccaid.Centre `json:"centre"`
-	Address string         `json:"address"`
-	Ready   bool           `json:"ready"`
-	Leaving bool           `json:"leaving"`
+	VM      yuccaid.VM           `json:"vm"`
+	Centre  yuccaid.Centre       `json:"centre"`
+	Address string               `json:"address"`
+	Ready   bool                 `json:"ready"`
+	Leaving bool                 `json:"leaving"`
 	Number  yuccaid.ConfigNumber `json:"number"`
 	// SkipsPlatformReads says that another daemon reads the platform for this one, and PlatformMillis how
 	// old the last word from it is, or -1.
-	SkipsPlatformReads          bool         `json:"rests"`
-	PlatformAgeMillis int64        `json:"platformMillis"`
-	Peers          []PeerStatus `json:"peers"`
-	QuotaShare      float64      `json:"quotaPart"`
-	OpenRequests           int64        `json:"open"`
+	SkipsPlatformReads bool         `json:"rests"`
+	PlatformAgeMillis  int64        `json:"platformMillis"`
+	Peers              []PeerStatus `json:"peers"`
+	QuotaShare         float64      `json:"quotaPart"`
+	OpenRequests       int64        `json:"open"`
 	// HeldBytes is the memory, in bytes, that is lent to open requests.
-	HeldBytes    yuccaid.Bytes  `json:"heldBytes"`
-	Pools   []PoolStatus   `json:"pools"`
-	Targets []TargetStatus `json:"targets"`
+	HeldBytes yuccaid.Bytes  `json:"heldBytes"`
+	Pools     []PoolStatus   `json:"pools"`
+	Targets   []TargetStatus `json:"targets"`
 	// Accounts lists the accounts with a quota.
 	Accounts []AccountStatus `json:"accounts"`
 }
@@ -41,9 +41,9 @@
 
 // PoolStatus is what is decided for one pool here.
 type PoolStatus struct {
-	Pool    yuccaid.Pool        `json:"pool"`
-	Leader  yuccaid.VM          `json:"leader"`
-	Waiting int                 `json:"waiting"`
+	Pool    yuccaid.Pool              `json:"pool"`
+	Leader  yuccaid.VM                `json:"leader"`
+	Waiting int                       `json:"waiting"`
 	Targets []yuccagrant.TargetStatus `json:"targets"`
 }
 
--- a/io/yuccastand/engine.go
+++ b/io/yuccastand/engine.go
@@ -15,11 +15,11 @@
 
 // Defaults of an engine: a mid-size model on one accelerator.
 const (
-	DefaultPrefill yuccaid.TokenRate   = 4000
-	DefaultDecode  yuccaid.TokenRate   = 50
-	DefaultSlots                  = 8
-	DefaultCache   yuccaid.Tokens = 200_000
-	DefaultBlock   yuccaid.Tokens = yuccaqueue.BlockTokens
+	DefaultPrefill yuccaid.TokenRate = 4000
+	DefaultDecode  yuccaid.TokenRate = 50
+	DefaultSlots                     = 8
+	DefaultCache   yuccaid.Tokens    = 200_000
+	DefaultBlock   yuccaid.Tokens    = yuccaqueue.BlockTokens
 )
 
 // EngineOption changes an engine before it starts.
--- a/io/yuccastand/run.go
+++ b/io/yuccastand/run.go
@@ -12,15 +12,15 @@
 // Started and Finished are milliseconds since the stand-in started; Finished is 0
 // while the run goes on.
 type Run struct {
-	ID         string         `json:"id"`
-	Operation  string         `json:"operation"`
-	Order      int            `json:"order"`
-	Started    int64          `json:"started"`
-	Finished   int64          `json:"finished"`
-	Cancelled  bool           `json:"cancelled"`
+	ID         string               `json:"id"`
+	Operation  string               `json:"operation"`
+	Order      int                  `json:"order"`
+	Started    int64                `json:"started"`
+	Finished   int64                `json:"finished"`
+	Cancelled  bool                 `json:"cancelled"`
 	Fence      yuccaid.ConfigNumber `json:"fence"`
-	Pieces     int            `json:"pieces"`
-	AnswerHash string         `json:"answerHash"`
+	Pieces     int                  `json:"pieces"`
+	AnswerHash string               `json:"answerHash"`
 	// Prefilled counts prompt tokens that were computed, Wasted those of a run that
 	// was cancelled.
 	Prefilled yuccaid.Tokens `json:"prefilled"`
--- a/io/yuccatarget/message.go
+++ b/io/yuccatarget/message.go
@@ -60,10 +60,10 @@
 
 // Refusal is the body of a target's refusal.
 type Refusal struct {
-	ID         string         `json:"id,omitempty"`
-	Kind       RefusalKind    `json:"kind"`
-	Ran        string         `json:"ran"`
-	BackMillis int64          `json:"backMillis,omitempty"`
+	ID         string               `json:"id,omitempty"`
+	Kind       RefusalKind          `json:"kind"`
+	Ran        string               `json:"ran"`
+	BackMillis int64                `json:"backMillis,omitempty"`
 	Fence      yuccaid.ConfigNumber `json:"fence,omitempty"`
 }
 
@@ -119,11 +119,11 @@
 // Order tells a target to load or unload a model or an adapter, or to change version or
 // role.
 type Order struct {
-	Kind    OrderKind      `json:"kind"`
-	Model   yuccaid.Model  `json:"model,omitempty"`
-	Version string         `json:"version,omitempty"`
-	Adapter yuccaid.Model  `json:"adapter,omitempty"`
-	Role    string         `json:"role,omitempty"`
+	Kind    OrderKind            `json:"kind"`
+	Model   yuccaid.Model        `json:"model,omitempty"`
+	Version string               `json:"version,omitempty"`
+	Adapter yuccaid.Model        `json:"adapter,omitempty"`
+	Role    string               `json:"role,omitempty"`
 	Fence   yuccaid.ConfigNumber `json:"fence"`
 	// ExpiresMillis is what remains of the order's life when it is sent; the client
 	// sets it from Expires.
@@ -133,12 +133,12 @@
 
 // State is what a target has loaded and the highest fencing number it has seen.
 type State struct {
-	Model    yuccaid.Model   `json:"model,omitempty"`
-	Version  string          `json:"version,omitempty"`
-	Adapters []yuccaid.Model `json:"adapters,omitempty"`
-	Role     string          `json:"role,omitempty"`
-	Fence    yuccaid.ConfigNumber  `json:"fence"`
-	Leaving  bool            `json:"leaving"`
+	Model    yuccaid.Model        `json:"model,omitempty"`
+	Version  string               `json:"version,omitempty"`
+	Adapters []yuccaid.Model      `json:"adapters,omitempty"`
+	Role     string               `json:"role,omitempty"`
+	Fence    yuccaid.ConfigNumber `json:"fence"`
+	Leaving  bool                 `json:"leaving"`
 	// Loading says that an order was taken and is not in effect yet.
 	Loading bool `json:"loading"`
 }
--- a/io/yuccaweb/line.go
+++ b/io/yuccaweb/line.go
@@ -14,8 +14,8 @@
 // Line is one piece of an answer.
 type Line struct {
 	ID       yuccaid.RequestID `json:"id"`
-	Position int                 `json:"position"`
-	Data     string              `json:"data"`
+	Position int               `json:"position"`
+	Data     string            `json:"data"`
 }
 
 // End is the last line of an answer, and what asking for an outcome returns.
@@ -24,12 +24,12 @@
 // of all pieces' data.
 type End struct {
 	ID      yuccaid.RequestID `json:"id"`
-	End     bool                `json:"end"`
-	Run     yuccaonce.Run       `json:"run"`
-	Reason  yuccaonce.Reason    `json:"reason,omitempty"`
-	Partial bool                `json:"partial,omitempty"`
-	Pieces  int                 `json:"pieces"`
-	Hash    string              `json:"hash,omitempty"`
+	End     bool              `json:"end"`
+	Run     yuccaonce.Run     `json:"run"`
+	Reason  yuccaonce.Reason  `json:"reason,omitempty"`
+	Partial bool              `json:"partial,omitempty"`
+	Pieces  int               `json:"pieces"`
+	Hash    string            `json:"hash,omitempty"`
 	// RetryAfterMillis is when a new request makes sense; zero says nothing.
 	RetryAfterMillis int64 `json:"retryAfterMillis,omitempty"`
 }
