--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -64,17 +64,17 @@
 // reclass gives every waiting request the terms that follow from the configuration.
 func (lead *Leader) reclass(now time.Time, dec *Decisions) {
 	var items []*yuccaqueue.Item
-	lead.queue.All(func(item *yuccaqueue.Item) { items = append(items, item) })
+	lead.queue.ForEach(func(item *yuccaqueue.Item) { items = append(items, item) })
 	for _, item := range items {
-		acc := lead.account(item.Ask.Account)
+		acc := lead.account(item.Request.Account)
 		if !lead.gathering(now) && !lead.reaches[acc.reach].Any() {
 			lead.queue.Remove(item)
-			lead.refuse(dec, &item.Ask, yuccaqueue.ReasonNoTarget, 0)
+			lead.refuse(dec, &item.Request, yuccaqueue.ReasonNoTarget, 0)
 			continue
 		}
-		shape := lead.shape(&item.Ask, item.Deadline)
-		lead.queue.Reclass(item, lead.terms(now, acc, &shape))
+		shape := lead.shape(&item.Request, item.Deadline)
+		lead.queue.UpdateParams(item, lead.terms(now, acc, &shape))
 	}
-	lead.queue.Prune()
-	lead.queue.Wake(func(yuccaqueue.Reach) bool { return true })
+	lead.queue.PruneClasses()
+	lead.queue.Unpark(func(yuccaqueue.TargetSet) bool { return true })
 }
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -81,22 +81,22 @@
 // terms works out how a request waits: its deadline orders it, and it is due for a
 // look when the slowest target could no longer take it, the first moment at which
 // room may have to be made.
-func (lead *Leader) terms(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Terms {
+func (lead *Leader) terms(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
 	reach := lead.reaches[acc.reach]
 	work, long := lead.fleet.Work(reach, shape)
-	return yuccaqueue.Terms{
-		Reach:  yuccaqueue.Reach(acc.reach),
-		Long:   long,
-		Key:    shape.Deadline,
-		Latest: shape.Deadline.Add(-lead.fleet.Quickest(reach, shape)),
-		Due:    shape.Deadline.Add(-lead.fleet.Slowest(reach, shape) - evictLead),
-		Work:   work,
+	return yuccaqueue.Params{
+		TargetSet:   yuccaqueue.TargetSet(acc.reach),
+		Long:        long,
+		Key:         shape.Deadline,
+		LatestStart: shape.Deadline.Add(-lead.fleet.Quickest(reach, shape)),
+		CheckAt:     shape.Deadline.Add(-lead.fleet.Slowest(reach, shape) - evictLead),
+		Work:        work,
 	}
 }
 
 // push queues an ask. When the queue is full of its own tier and higher ones, a run of
 // a lower tier is cancelled before the ask is refused.
-func (lead *Leader) push(now time.Time, ask Ask, terms yuccaqueue.Terms, dec *Decisions) {
+func (lead *Leader) push(now time.Time, ask Ask, terms yuccaqueue.Params, dec *Decisions) {
 	displaced, reason := lead.queue.Push(now, ask, terms)
 	if reason == yuccaqueue.ReasonOverload && lead.relieve(now, &ask, dec) {
 		displaced, reason = lead.queue.Push(now, ask, terms)
@@ -118,11 +118,11 @@
 	if lead.gathering(now) {
 		return false
 	}
-	item := lead.queue.First(ask.Rank)
-	if item == nil || !lead.evict(now, &item.Ask, item.Deadline, dec) {
+	item := lead.queue.FirstAtOrAbove(ask.Rank)
+	if item == nil || !lead.evict(now, &item.Request, item.Deadline, dec) {
 		return false
 	}
-	lead.queue.Take(item)
+	lead.queue.RemoveServed(item)
 	return true
 }
 
@@ -137,27 +137,27 @@
 	if lead.gathering(now) {
 		return
 	}
-	try := func(item *yuccaqueue.Item) yuccaqueue.Answer { return lead.try(now, item, dec) }
+	try := func(item *yuccaqueue.Item) yuccaqueue.ServeResult { return lead.try(now, item, dec) }
 	lead.queue.Serve(try)
-	for item := lead.queue.Due(now); item != nil; item = lead.queue.Due(now) {
+	for item := lead.queue.NextToCheck(now); item != nil; item = lead.queue.NextToCheck(now) {
 		lead.due(now, item, dec)
 		lead.queue.Serve(try)
 	}
 }
 
-func (lead *Leader) try(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.Answer {
-	shape := lead.shape(&item.Ask, item.Deadline)
-	shape.Long = item.Terms.Long
-	reach := lead.reaches[item.Terms.Reach]
+func (lead *Leader) try(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.ServeResult {
+	shape := lead.shape(&item.Request, item.Deadline)
+	shape.Long = item.Params.Long
+	reach := lead.reaches[item.Params.TargetSet]
 	choice, verdict := lead.fleet.Choose(now, reach, &shape)
 	switch verdict {
 	case yuccaplace.NoRoom:
-		return yuccaqueue.NoRoom
+		return yuccaqueue.NoFreeSlot
 	case yuccaplace.Unsuited, yuccaplace.Better:
-		return yuccaqueue.NotHere
+		return yuccaqueue.Unsuitable
 	default:
-		lead.grant(lead.start(now, item.Ask, choice, item.Deadline), dec)
-		return yuccaqueue.Taken
+		lead.grant(lead.start(now, item.Request, choice, item.Deadline), dec)
+		return yuccaqueue.Placed
 	}
 }
 
@@ -168,15 +168,15 @@
 // request is refused at once instead of being served late, which would take the
 // target from requests that can still be met.
 func (lead *Leader) due(now time.Time, item *yuccaqueue.Item, dec *Decisions) {
-	if !now.After(item.Terms.Latest) && lead.rescue(now, item, dec) {
+	if !now.After(item.Params.LatestStart) && lead.rescue(now, item, dec) {
 		return
 	}
-	if item.Terms.Due.After(now) {
+	if item.Params.CheckAt.After(now) {
 		return
 	}
-	if !now.Before(item.Terms.Latest) {
+	if !now.Before(item.Params.LatestStart) {
 		lead.queue.Remove(item)
-		lead.refuse(dec, &item.Ask, yuccaqueue.ReasonDeadline, lead.back(now, &item.Ask))
+		lead.refuse(dec, &item.Request, yuccaqueue.ReasonDeadline, lead.back(now, &item.Request))
 		return
 	}
 	lead.queue.Defer(item, lead.again(now, item))
@@ -186,14 +186,14 @@
 // its own account's limit may go as soon as another of the account has ended.
 func (lead *Leader) again(now time.Time, item *yuccaqueue.Item) time.Time {
 	soon := now.Add(evictLead)
-	if lead.account(item.Ask.Account).full() && soon.Before(item.Terms.Latest) {
+	if lead.account(item.Request.Account).full() && soon.Before(item.Params.LatestStart) {
 		return soon
 	}
-	return item.Terms.Latest
+	return item.Params.LatestStart
 }
 
 func (lead *Leader) rescue(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
-	if lead.queue.Above(item.Ask.Rank) == 0 && lead.squeeze(now, item, dec) {
+	if lead.queue.CountAbove(item.Request.Rank) == 0 && lead.squeeze(now, item, dec) {
 		return true
 	}
 	return lead.evictLate(now, item, dec)
@@ -202,7 +202,7 @@
 // evictLate cancels for a waiting request, but not before the last moment that helps:
 // until then a run may end by itself.
 func (lead *Leader) evictLate(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
-	eviction, found := lead.eviction(now, &item.Ask, item.Deadline)
+	eviction, found := lead.eviction(now, &item.Request, item.Deadline)
 	if !found {
 		return false
 	}
@@ -210,22 +210,22 @@
 		lead.queue.Defer(item, now.Add(eviction.Slack-evictLead))
 		return false
 	}
-	lead.queue.Take(item)
-	return lead.carryOut(now, &item.Ask, item.Deadline, eviction, dec)
+	lead.queue.RemoveServed(item)
+	return lead.carryOut(now, &item.Request, item.Deadline, eviction, dec)
 }
 
 func (lead *Leader) squeeze(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
-	if lead.account(item.Ask.Account).full() {
+	if lead.account(item.Request.Account).full() {
 		return false
 	}
-	shape := lead.shape(&item.Ask, item.Deadline)
+	shape := lead.shape(&item.Request, item.Deadline)
 	shape.Urgent = true
-	choice, verdict := lead.fleet.Choose(now, lead.reaches[item.Terms.Reach], &shape)
+	choice, verdict := lead.fleet.Choose(now, lead.reaches[item.Params.TargetSet], &shape)
 	if verdict != yuccaplace.Found {
 		return false
 	}
-	lead.queue.Take(item)
-	lead.grant(lead.start(now, item.Ask, choice, item.Deadline), dec)
+	lead.queue.RemoveServed(item)
+	lead.grant(lead.start(now, item.Request, choice, item.Deadline), dec)
 	return true
 }
 
@@ -286,7 +286,7 @@
 
 func (lead *Leader) displace(now time.Time, displaced []yuccaqueue.Displaced, dec *Decisions) {
 	for _, gone := range displaced {
-		lead.refuse(dec, &gone.Ask, gone.Reason, lead.back(now, &gone.Ask))
+		lead.refuse(dec, &gone.Request, gone.Reason, lead.back(now, &gone.Request))
 	}
 }
 
@@ -305,7 +305,7 @@
 // stands before it now, spread so that the refused don't all return together.
 func (lead *Leader) back(now time.Time, ask *Ask) time.Duration {
 	reach := lead.reach(ask.Account)
-	ahead := lead.queue.Ahead(now, ask.Rank, now.Add(ask.Remaining))
+	ahead := lead.queue.WorkAhead(now, ask.Rank, now.Add(ask.Remaining))
 	drain := max(ahead/time.Duration(max(reach.Usable(), 1)), shortestBack)
 	return drain + time.Duration(lead.rng.Float64()*backSpread*float64(drain))
 }
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -152,8 +152,8 @@
 func (lead *Leader) OwnerGone(now time.Time, inc yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	var gone []*yuccaqueue.Item
-	lead.queue.All(func(item *yuccaqueue.Item) {
-		if item.Ask.Owner == inc {
+	lead.queue.ForEach(func(item *yuccaqueue.Item) {
+		if item.Request.Owner == inc {
 			gone = append(gone, item)
 		}
 	})
@@ -216,14 +216,14 @@
 	lead.fleet.Tick(now)
 	lead.refresh()
 	lead.sweep(now)
-	lead.queue.Wake(func(yuccaqueue.Reach) bool { return true })
+	lead.queue.Unpark(func(yuccaqueue.TargetSet) bool { return true })
 	lead.serve(now, &dec)
 	return dec
 }
 
 // Next returns when a waiting request has to be looked at again.
 func (lead *Leader) Next(now time.Time) (time.Time, bool) {
-	due, found := lead.queue.NextDue()
+	due, found := lead.queue.NextCheck()
 	if found && lead.gathering(now) && due.Before(lead.until) {
 		return lead.until, true
 	}
@@ -284,7 +284,7 @@
 	if !found {
 		return
 	}
-	lead.queue.Wake(func(at yuccaqueue.Reach) bool { return lead.reaches[at].Has(node) })
+	lead.queue.Unpark(func(at yuccaqueue.TargetSet) bool { return lead.reaches[at].Has(node) })
 }
 
 func (lead *Leader) refresh() {
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -8,7 +8,7 @@
 )
 
 // Ask is a request that waits for a grant.
-type Ask = yuccaqueue.Ask
+type Ask = yuccaqueue.Request
 
 // Grant allows an owner to dispatch one request to one target.
 //
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -39,7 +39,7 @@
 // Status returns what the leader believes.
 func (lead *Leader) Status(now time.Time) Status {
 	status := Status{Pool: lead.pool, Number: lead.view.Number, Gathering: lead.gathering(now)}
-	for _, tr := range lead.queue.Tiers() {
+	for _, tr := range lead.queue.TierLoads() {
 		status.Tiers = append(status.Tiers, TierStatus{
 			Tier: tr.Tier, Rank: tr.Rank, Waiting: tr.Requests, Queued: tr.Tokens, Running: lead.runningAt(tr.Rank),
 		})
--- a/core/yuccaqueue/account.go
+++ b/core/yuccaqueue/account.go
@@ -10,12 +10,12 @@
 
 func (ld *load) add(item *Item) {
 	ld.requests++
-	ld.tokens += item.Ask.Tokens()
+	ld.tokens += item.Request.Tokens()
 }
 
 func (ld *load) drop(item *Item) {
 	ld.requests--
-	ld.tokens -= item.Ask.Tokens()
+	ld.tokens -= item.Request.Tokens()
 }
 
 // account is a client account's part of the queue, over all tiers.
--- a/core/yuccaqueue/ask.go
+++ b/core/yuccaqueue/ask.go
@@ -13,12 +13,12 @@
 // ask for a prompt of 30,000 tokens near one kilobyte on the wire.
 const BlockTokens yuccaid.Tokens = 256
 
-// Ask is what a pool's leader knows of a waiting request.
+// Request is what a pool's leader knows of a waiting request.
 //
 // Remaining is the time left until the deadline: clocks of different VMs are never
 // compared. Prompt and Answer are the owner's estimates. Prefixes[i] is the hash of
 // the first (i+1)*BlockTokens tokens of the prompt.
-type Ask struct {
+type Request struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
 	Account    yuccaid.Account     `msgpack:"account"`
@@ -35,6 +35,6 @@
 }
 
 // Tokens returns the ask's length, prompt and answer together.
-func (ask *Ask) Tokens() yuccaid.Tokens {
+func (ask *Request) Tokens() yuccaid.Tokens {
 	return ask.Prompt + ask.Answer
 }
--- a/core/yuccaqueue/bounds.go
+++ b/core/yuccaqueue/bounds.go
@@ -8,12 +8,12 @@
 // A bound in tokens may be overrun by the last request that was let in, so that a
 // long prompt is never refused merely because many short ones wait.
 type Bounds struct {
-	Requests        int
-	Tokens          yuccaid.Tokens
-	AccountRequests int
-	AccountTokens   yuccaid.Tokens
-	LowerRequests   int
-	LowerTokens     yuccaid.Tokens
+	Requests          int
+	Tokens            yuccaid.Tokens
+	AccountRequests   int
+	AccountTokens     yuccaid.Tokens
+	LowerTierRequests int
+	LowerTierTokens   yuccaid.Tokens
 }
 
 // DefaultBounds returns the bounds of a queue that was given none.
@@ -28,7 +28,7 @@
 	}
 	bounds := Bounds{Requests: requests, Tokens: tokens}
 	bounds.AccountRequests, bounds.AccountTokens = part(accountShare)
-	bounds.LowerRequests, bounds.LowerTokens = part(lowerShare)
+	bounds.LowerTierRequests, bounds.LowerTierTokens = part(lowerShare)
 	return bounds
 }
 
@@ -41,5 +41,5 @@
 }
 
 func (bounds *Bounds) lowerFull(ld load) bool {
-	return ld.requests >= bounds.LowerRequests || ld.tokens >= bounds.LowerTokens
+	return ld.requests >= bounds.LowerTierRequests || ld.tokens >= bounds.LowerTierTokens
 }
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -13,7 +13,7 @@
 
 func newFlow(sh *share, cls *class) *flow {
 	return &flow{share: sh, class: cls, items: heap[*Item]{
-		less:  func(a, b *Item) bool { return a.Terms.Key.Before(b.Terms.Key) },
+		less:  func(a, b *Item) bool { return a.Params.Key.Before(b.Params.Key) },
 		place: func(item *Item) *int { return &item.inFlow },
 	}}
 }
@@ -26,7 +26,7 @@
 // the window and the order is by deadline, which loses no request that could be met.
 // Under load a large account can't push out a small one by deadlines alone.
 type class struct {
-	reach    Reach
+	reach    TargetSet
 	long     bool
 	window   float64
 	floor    float64
@@ -38,9 +38,9 @@
 	late     heap[*flow]
 }
 
-func newClass(reach Reach, long bool, window float64) *class {
+func newClass(reach TargetSet, long bool, window float64) *class {
 	byVirtual := func(a, b *flow) bool { return a.share.virtual < b.share.virtual }
-	byKey := func(a, b *flow) bool { return a.items.top().Terms.Key.Before(b.items.top().Terms.Key) }
+	byKey := func(a, b *flow) bool { return a.items.top().Params.Key.Before(b.items.top().Params.Key) }
 	return &class{
 		reach:    reach,
 		long:     long,
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Reach numbers a set of targets; the caller decides what stands behind it.
+// TargetSet numbers a set of targets; the caller decides what stands behind it.
 //
 // Requests of one reach and length class can use the same room, so when one of them
 // finds none, none of them has to be asked again.
-type Reach uint32
+type TargetSet uint32
 
-// Terms is what the caller worked out for an ask before it queues it.
-type Terms struct {
-	Reach Reach
+// Params is what the caller worked out for an ask before it queues it.
+type Params struct {
+	TargetSet TargetSet
 	// Long marks a prompt that occupies a target long enough to harm short requests.
 	Long bool
 	// Key orders requests within an account, the earliest first.
 	Key time.Time
-	// Due is when the caller wants to look at the request if it still waits.
-	Due time.Time
-	// Latest is when no target could meet the deadline any more.
-	Latest time.Time
+	// CheckAt is when the caller wants to look at the request if it still waits.
+	CheckAt time.Time
+	// LatestStart is when no target could meet the deadline any more.
+	LatestStart time.Time
 	// Work is the time that the request is expected to take of one target.
 	Work time.Duration
 }
 
 // Item is one waiting request.
 type Item struct {
-	Ask      Ask
-	Terms    Terms
+	Request  Request
+	Params   Params
 	Arrived  time.Time
 	Deadline time.Time
 
--- a/core/yuccaqueue/push.go
+++ b/core/yuccaqueue/push.go
@@ -21,7 +21,7 @@
 // caller loses least. An account at its own bound displaces its own only. The
 // displaced have left the queue and are the caller's to refuse. An arrival is refused
 // for load only when nothing of a lower tier waits.
-func (q *Queue) Push(now time.Time, ask Ask, terms Terms) ([]Displaced, Reason) {
+func (q *Queue) Push(now time.Time, ask Request, terms Params) ([]Displaced, Reason) {
 	acc := q.account(ask.Account)
 	tr := q.tier(ask.Tier, ask.Rank)
 	var displaced []Displaced
@@ -47,7 +47,7 @@
 // Restore queues again a request that was taken and can't be served after all. Its
 // place in the queue was granted to it, so no bound is asked: the bound on tokens may
 // be overrun by the last arrival, and the request would be refused for that.
-func (q *Queue) Restore(now time.Time, ask Ask, terms Terms) {
+func (q *Queue) Restore(now time.Time, ask Request, terms Params) {
 	q.add(now, q.account(ask.Account), q.tier(ask.Tier, ask.Rank), ask, terms)
 }
 
@@ -103,8 +103,8 @@
 	return lowest.chain.newest
 }
 
-func (q *Queue) add(now time.Time, acc *account, tr *tier, ask Ask, terms Terms) {
-	item := &Item{Ask: ask, Terms: terms, Arrived: now, Deadline: now.Add(ask.Remaining)}
+func (q *Queue) add(now time.Time, acc *account, tr *tier, ask Request, terms Params) {
+	item := &Item{Request: ask, Params: terms, Arrived: now, Deadline: now.Add(ask.Remaining)}
 	sh := q.share(acc, tr)
 	cls := tr.classOf(&terms, q.window)
 	if !sh.waiting() {
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -7,17 +7,17 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Answer is what the caller of Serve says of the request it was shown.
-type Answer int
+// ServeResult is what the caller of Serve says of the request it was shown.
+type ServeResult int
 
 // The answers to Serve.
 const (
-	// Taken says that the request got its target and leaves the queue.
-	Taken Answer = iota
-	// NoRoom says that no request of this reach and length finds room now.
-	NoRoom
-	// NotHere says that the room there is now doesn't suit this request.
-	NotHere
+	// Placed says that the request got its target and leaves the queue.
+	Placed ServeResult = iota
+	// NoFreeSlot says that no request of this reach and length finds room now.
+	NoFreeSlot
+	// Unsuitable says that the room there is now doesn't suit this request.
+	Unsuitable
 )
 
 // Option changes a queue at its construction.
@@ -71,7 +71,7 @@
 		items:     map[yuccaid.RequestID]*Item{},
 		accounts:  map[yuccaid.Account]*account{},
 		due: heap[*Item]{
-			less:  func(a, b *Item) bool { return a.Terms.Due.Before(b.Terms.Due) },
+			less:  func(a, b *Item) bool { return a.Params.CheckAt.Before(b.Params.CheckAt) },
 			place: func(item *Item) *int { return &item.inDue },
 		},
 	}
@@ -112,7 +112,7 @@
 
 // Remove takes a waiting request out.
 func (q *Queue) Remove(item *Item) {
-	if q.items[item.Ask.ID] != item {
+	if q.items[item.Request.ID] != item {
 		return
 	}
 	fl := item.flow
@@ -123,7 +123,7 @@
 		fl.items.drop(item)
 		fl.class.seat(fl)
 	}
-	delete(q.items, item.Ask.ID)
+	delete(q.items, item.Request.ID)
 	q.due.drop(item)
 	tr.chain.drop(item)
 	fl.share.chain.drop(item)
@@ -133,11 +133,11 @@
 	q.load.drop(item)
 }
 
-// Take removes a request that was given a target outside Serve and counts its work as
+// RemoveServed removes a request that was given a target outside Serve and counts its work as
 // its account's.
-func (q *Queue) Take(item *Item) {
+func (q *Queue) RemoveServed(item *Item) {
 	q.Remove(item)
-	item.flow.share.charge(item.Terms.Work.Seconds())
+	item.flow.share.charge(item.Params.Work.Seconds())
 }
 
 // Serve shows the waiting requests in the order of service, the highest tier first,
@@ -147,7 +147,7 @@
 // full pool costs no scan of the targets. Room can come up by the mere passing of
 // time, though, so before a tier is served, the classes above it that were set aside
 // in an earlier turn are asked once more: else a lower tier could take their place.
-func (q *Queue) Serve(try func(*Item) Answer) {
+func (q *Queue) Serve(try func(*Item) ServeResult) {
 	q.turn++
 	for at := 0; at < len(q.tiers); at++ {
 		fl := q.tiers[at].next()
@@ -164,14 +164,14 @@
 	}
 }
 
-func (q *Queue) serveOne(fl *flow, try func(*Item) Answer) {
+func (q *Queue) serveOne(fl *flow, try func(*Item) ServeResult) {
 	item := fl.items.top()
 	switch try(item) {
-	case Taken:
-		q.Take(item)
-	case NoRoom:
+	case Placed:
+		q.RemoveServed(item)
+	case NoFreeSlot:
 		fl.class.park(q.turn)
-	case NotHere:
+	case Unsuitable:
 		fl.class.hold(q.turn, item)
 	}
 }
@@ -194,8 +194,8 @@
 	return woken
 }
 
-// Wake lets the classes of the matching reaches be served again.
-func (q *Queue) Wake(match func(Reach) bool) {
+// Unpark lets the classes of the matching reaches be served again.
+func (q *Queue) Unpark(match func(TargetSet) bool) {
 	for _, tr := range q.tiers {
 		for _, cls := range tr.classes {
 			if cls.aside() && match(cls.reach) {
@@ -205,31 +205,31 @@
 	}
 }
 
-// Due returns the request whose time to be looked at has come first, or nil.
-func (q *Queue) Due(now time.Time) *Item {
-	if q.due.len() == 0 || q.due.top().Terms.Due.After(now) {
+// NextToCheck returns the request whose time to be looked at has come first, or nil.
+func (q *Queue) NextToCheck(now time.Time) *Item {
+	if q.due.len() == 0 || q.due.top().Params.CheckAt.After(now) {
 		return nil
 	}
 	return q.due.top()
 }
 
-// NextDue returns when Due has something to return.
-func (q *Queue) NextDue() (time.Time, bool) {
+// NextCheck returns when Due has something to return.
+func (q *Queue) NextCheck() (time.Time, bool) {
 	if q.due.len() == 0 {
 		return time.Time{}, false
 	}
-	return q.due.top().Terms.Due, true
+	return q.due.top().Params.CheckAt, true
 }
 
 // Defer sets when a request is to be looked at again.
 func (q *Queue) Defer(item *Item, due time.Time) {
-	item.Terms.Due = due
+	item.Params.CheckAt = due
 	q.due.fix(item)
 }
 
-// Ahead sums the work that would be served before a request of the rank and deadline
+// WorkAhead sums the work that would be served before a request of the rank and deadline
 // that arrives now: all of the higher tiers and the earlier deadlines of its own.
-func (q *Queue) Ahead(now time.Time, rank int, deadline time.Time) time.Duration {
+func (q *Queue) WorkAhead(now time.Time, rank int, deadline time.Time) time.Duration {
 	var sum time.Duration
 	for _, tr := range q.tiers {
 		if tr.rank < rank {
@@ -251,8 +251,8 @@
 	Work     time.Duration
 }
 
-// Tiers returns what waits, the highest tier first.
-func (q *Queue) Tiers() []TierLoad {
+// TierLoads returns what waits, the highest tier first.
+func (q *Queue) TierLoads() []TierLoad {
 	list := make([]TierLoad, 0, len(q.tiers))
 	for _, tr := range q.tiers {
 		list = append(list, TierLoad{
@@ -262,16 +262,16 @@
 	return list
 }
 
-// All calls visit for each waiting request; it is for a change of configuration and
+// ForEach calls visit for each waiting request; it is for a change of configuration and
 // for tests, not for the steady state.
-func (q *Queue) All(visit func(*Item)) {
+func (q *Queue) ForEach(visit func(*Item)) {
 	for _, item := range q.items {
 		visit(item)
 	}
 }
 
-// Reclass gives a waiting request other terms, as after a change of configuration.
-func (q *Queue) Reclass(item *Item, terms Terms) {
+// UpdateParams gives a waiting request other terms, as after a change of configuration.
+func (q *Queue) UpdateParams(item *Item, terms Params) {
 	sh := item.flow.share
 	if item.held {
 		item.flow.class.release(item)
@@ -280,7 +280,7 @@
 		item.flow.class.seat(item.flow)
 	}
 	sh.tier.work.drop(item)
-	item.Terms = terms
+	item.Params = terms
 	sh.tier.work.add(item)
 	item.flow = sh.flowIn(sh.tier.classOf(&terms, q.window))
 	item.flow.items.push(item)
@@ -288,8 +288,8 @@
 	q.due.fix(item)
 }
 
-// Prune forgets classes that nothing waits in, after reaches were renumbered.
-func (q *Queue) Prune() {
+// PruneClasses forgets classes that nothing waits in, after reaches were renumbered.
+func (q *Queue) PruneClasses() {
 	empty := func(cls *class) bool { return cls.all.len() == 0 && len(cls.held) == 0 }
 	for _, acc := range q.accounts {
 		for _, sh := range acc.shares {
@@ -345,9 +345,9 @@
 	return sh
 }
 
-// First returns the request that is served first at the rank or above, whether there
+// FirstAtOrAbove returns the request that is served first at the rank or above, whether there
 // is room for it or not, or nil.
-func (q *Queue) First(rank int) *Item {
+func (q *Queue) FirstAtOrAbove(rank int) *Item {
 	for _, tr := range q.tiers {
 		if tr.rank > rank {
 			return nil
@@ -359,8 +359,8 @@
 	return nil
 }
 
-// Above returns how many requests of higher tiers wait.
-func (q *Queue) Above(rank int) int {
+// CountAbove returns how many requests of higher tiers wait.
+func (q *Queue) CountAbove(rank int) int {
 	sum := 0
 	for _, tr := range q.tiers {
 		if tr.rank < rank {
--- a/core/yuccaqueue/queue_test.go
+++ b/core/yuccaqueue/queue_test.go
@@ -22,20 +22,20 @@
 
 // push queues a request of one second's work with a deadline.
 func push(q *yuccaqueue.Queue, id string, acc yuccaid.Account, rank int, deadline time.Duration) ([]yuccaqueue.Displaced, yuccaqueue.Reason) {
-	ask := yuccaqueue.Ask{ID: yuccaid.RequestID(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
+	ask := yuccaqueue.Request{ID: yuccaid.RequestID(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
 	at := epoch.Add(deadline)
-	return q.Push(epoch, ask, yuccaqueue.Terms{Key: at, Latest: at, Due: at, Work: time.Second})
+	return q.Push(epoch, ask, yuccaqueue.Params{Key: at, LatestStart: at, CheckAt: at, Work: time.Second})
 }
 
 // serve returns the ids in the order of service, up to n of them.
 func serve(q *yuccaqueue.Queue, n int) []string {
 	var order []string
-	q.Serve(func(item *yuccaqueue.Item) yuccaqueue.Answer {
+	q.Serve(func(item *yuccaqueue.Item) yuccaqueue.ServeResult {
 		if len(order) == n {
-			return yuccaqueue.NoRoom
+			return yuccaqueue.NoFreeSlot
 		}
-		order = append(order, string(item.Ask.ID))
-		return yuccaqueue.Taken
+		order = append(order, string(item.Request.ID))
+		return yuccaqueue.Placed
 	})
 	return order
 }
@@ -71,7 +71,7 @@
 	// letter goes instead of the newest, somebody loses more than has to be.
 	It("gives a higher tier the place of the lowest tier's newest", func() {
 		bounds := yuccaqueue.BoundsFor(4, 1000)
-		bounds.AccountRequests, bounds.LowerRequests = 4, 4
+		bounds.AccountRequests, bounds.LowerTierRequests = 4, 4
 		q := yuccaqueue.New(yuccaqueue.WithBounds(bounds))
 		for _, id := range []string{"a", "b", "c"} {
 			push(q, id, "office", 2, time.Minute)
@@ -80,7 +80,7 @@
 		gone, reason := push(q, "note", "hotline", 0, time.Minute)
 		Expect(reason).To(BeEmpty())
 		Expect(gone).To(HaveLen(1))
-		Expect(gone[0].Ask.ID).To(BeEquivalentTo("c"))
+		Expect(gone[0].Request.ID).To(BeEquivalentTo("c"))
 		Expect(gone[0].Reason).To(Equal(yuccaqueue.ReasonDisplaced))
 		_, reason = push(q, "d", "office", 2, time.Minute)
 		Expect(reason).To(Equal(yuccaqueue.ReasonOverload))
@@ -106,7 +106,7 @@
 		push(q, "soon", "office", 1, 10*time.Second)
 		push(q, "late", "office", 1, time.Minute)
 		push(q, "letter", "office", 2, time.Second)
-		Expect(q.Ahead(epoch, 1, epoch.Add(30*time.Second))).To(Equal(2 * time.Second))
+		Expect(q.WorkAhead(epoch, 1, epoch.Add(30*time.Second))).To(Equal(2 * time.Second))
 	})
 })
 
@@ -129,10 +129,10 @@
 				id := fmt.Sprint(next)
 				gone, reason := push(q, id, rapid.SampledFrom(accounts).Draw(rt, "account"), rank, time.Duration(seconds)*time.Second)
 				for _, item := range gone {
-					if model[string(item.Ask.ID)] <= rank {
-						rt.Fatalf("rank %d displaced %s of rank %d", rank, item.Ask.ID, item.Ask.Rank)
+					if model[string(item.Request.ID)] <= rank {
+						rt.Fatalf("rank %d displaced %s of rank %d", rank, item.Request.ID, item.Request.Rank)
 					}
-					delete(model, string(item.Ask.ID))
+					delete(model, string(item.Request.ID))
 				}
 				if reason == "" {
 					model[id] = rank
@@ -146,29 +146,29 @@
 			"serve": func(rt *rapid.T) {
 				answers := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 10).Draw(rt, "answers")
 				turn, last := 0, 0
-				q.Serve(func(item *yuccaqueue.Item) yuccaqueue.Answer {
-					if blocked[item.Ask.Account] || model[string(item.Ask.ID)] != item.Ask.Rank {
-						rt.Fatalf("served %s of account %s, which isn't to be served", item.Ask.ID, item.Ask.Account)
+				q.Serve(func(item *yuccaqueue.Item) yuccaqueue.ServeResult {
+					if blocked[item.Request.Account] || model[string(item.Request.ID)] != item.Request.Rank {
+						rt.Fatalf("served %s of account %s, which isn't to be served", item.Request.ID, item.Request.Account)
 					}
-					if item.Ask.Rank < last {
-						rt.Fatalf("rank %d came after rank %d", item.Ask.Rank, last)
+					if item.Request.Rank < last {
+						rt.Fatalf("rank %d came after rank %d", item.Request.Rank, last)
 					}
-					last = item.Ask.Rank
-					answer := yuccaqueue.NoRoom
+					last = item.Request.Rank
+					answer := yuccaqueue.NoFreeSlot
 					if turn < len(answers) {
-						answer = yuccaqueue.Answer(answers[turn])
+						answer = yuccaqueue.ServeResult(answers[turn])
 					}
 					turn++
-					if answer == yuccaqueue.Taken {
-						delete(model, string(item.Ask.ID))
+					if answer == yuccaqueue.Placed {
+						delete(model, string(item.Request.ID))
 					}
 					return answer
 				})
 			},
 			"remove": func(*rapid.T) {
-				if item := q.Due(epoch.Add(1000 * time.Second)); item != nil {
+				if item := q.NextToCheck(epoch.Add(1000 * time.Second)); item != nil {
 					q.Remove(item)
-					delete(model, string(item.Ask.ID))
+					delete(model, string(item.Request.ID))
 				}
 			},
 			"": func(rt *rapid.T) {
@@ -180,7 +180,7 @@
 		for _, acc := range accounts {
 			q.SetBlocked(acc, false)
 		}
-		q.Wake(func(yuccaqueue.Reach) bool { return true })
+		q.Unpark(func(yuccaqueue.TargetSet) bool { return true })
 		if served := len(serve(q, 1000)); served != len(model) {
 			rt.Fatalf("%d came out, want %d", served, len(model))
 		}
--- a/core/yuccaqueue/tier.go
+++ b/core/yuccaqueue/tier.go
@@ -19,13 +19,13 @@
 	floor float64
 }
 
-func (tr *tier) classOf(terms *Terms, window float64) *class {
+func (tr *tier) classOf(terms *Params, window float64) *class {
 	for _, cls := range tr.classes {
-		if cls.reach == terms.Reach && cls.long == terms.Long {
+		if cls.reach == terms.TargetSet && cls.long == terms.Long {
 			return cls
 		}
 	}
-	cls := newClass(terms.Reach, terms.Long, window)
+	cls := newClass(terms.TargetSet, terms.Long, window)
 	tr.classes = append(tr.classes, cls)
 	return cls
 }
@@ -51,7 +51,7 @@
 		if fl == nil || fl.share.virtual > least+cls.window {
 			continue
 		}
-		if best == nil || fl.items.top().Terms.Key.Before(best.items.top().Terms.Key) {
+		if best == nil || fl.items.top().Params.Key.Before(best.items.top().Params.Key) {
 			best = fl
 		}
 	}
@@ -77,13 +77,13 @@
 }
 
 func (hist *histogram) add(item *Item) {
-	*hist.slot(item) += item.Terms.Work
-	hist.total += item.Terms.Work
+	*hist.slot(item) += item.Params.Work
+	hist.total += item.Params.Work
 }
 
 func (hist *histogram) drop(item *Item) {
-	*hist.slot(item) -= item.Terms.Work
-	hist.total -= item.Terms.Work
+	*hist.slot(item) -= item.Params.Work
+	hist.total -= item.Params.Work
 }
 
 // before sums the work with deadlines from now until the given time.
@@ -111,7 +111,7 @@
 		if cls.eligible.len() == 0 {
 			continue
 		}
-		if item := cls.eligible.top().items.top(); best == nil || item.Terms.Key.Before(best.Terms.Key) {
+		if item := cls.eligible.top().items.top(); best == nil || item.Params.Key.Before(best.Params.Key) {
 			best = item
 		}
 	}
--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -88,7 +88,7 @@
 // The harm it prevents is an urgent request refused beside idle engines. Its limits:
 // at most some tries, a bound on the price, no offer where the way alone takes the
 // time that remains, and none where the same tier was refused until the time named.
-func (plan *Planner) Next(now time.Time, state *yuccastate.State, ask yuccaqueue.Ask, tried []yuccaid.Centre) (Candidate, bool) {
+func (plan *Planner) Next(now time.Time, state *yuccastate.State, ask yuccaqueue.Request, tried []yuccaid.Centre) (Candidate, bool) {
 	if len(tried) >= plan.tries {
 		return Candidate{}, false
 	}
@@ -109,12 +109,12 @@
 }
 
 // MarkRefused notes that a data centre had no room for a tier, and until when.
-func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, ask yuccaqueue.Ask, back time.Duration) {
+func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, ask yuccaqueue.Request, back time.Duration) {
 	plan.forget(now)
 	plan.refused[place{centre, ask.Pool, ask.Rank}] = now.Add(back)
 }
 
-func (plan *Planner) worth(now time.Time, ask yuccaqueue.Ask, candidate Candidate) bool {
+func (plan *Planner) worth(now time.Time, ask yuccaqueue.Request, candidate Candidate) bool {
 	if candidate.Price > plan.price || candidate.Remaining(ask.Remaining) <= 0 {
 		return false
 	}
@@ -132,7 +132,7 @@
 }
 
 // centresOf returns the data centres with a target that the request may use.
-func centresOf(state *yuccastate.State, ask yuccaqueue.Ask) []yuccaid.Centre {
+func centresOf(state *yuccastate.State, ask yuccaqueue.Request) []yuccaid.Centre {
 	var centres []yuccaid.Centre
 	for name, target := range state.Targets {
 		if target.Pool == ask.Pool && !slices.Contains(centres, target.Centre) && state.Allowed(ask.Account, name) {
@@ -144,7 +144,7 @@
 
 // reach says how far a data centre is and what the request's traffic costs. The
 // answer is paid for where it leaves, the prompt where the owner is.
-func reach(state *yuccastate.State, ask yuccaqueue.Ask, centre yuccaid.Centre) Candidate {
+func reach(state *yuccastate.State, ask yuccaqueue.Request, centre yuccaid.Centre) Candidate {
 	home, there := state.Centres[ask.Centre].Region, state.Centres[centre].Region
 	if home == there {
 		return Candidate{Centre: centre, Delay: nearDelay}
--- a/core/yuccashift/shift_test.go
+++ b/core/yuccashift/shift_test.go
@@ -42,7 +42,7 @@
 }
 
 var _ = Describe("shifting to another data centre", func() {
-	ask := yuccaqueue.Ask{Account: "all", Pool: "draft", Centre: "a1", Remaining: 5 * time.Second, Prompt: 1000, Answer: 200}
+	ask := yuccaqueue.Request{Account: "all", Pool: "draft", Centre: "a1", Remaining: 5 * time.Second, Prompt: 1000, Answer: 200}
 	some := ask
 	some.Account = "some"
 	hurried := ask
@@ -51,7 +51,7 @@
 	huge.Prompt = 100_000_000
 
 	DescribeTable("goes to the cheapest place that can still help",
-		func(ask yuccaqueue.Ask, tried []yuccaid.Centre, expected string) {
+		func(ask yuccaqueue.Request, tried []yuccaid.Centre, expected string) {
 			found, ok := yuccashift.New().Next(now, world(), ask, tried)
 			Expect(ok).To(Equal(expected != ""))
 			Expect(string(found.Centre)).To(Equal(expected))
--- a/core/yuccatrial/request.go
+++ b/core/yuccatrial/request.go
@@ -48,8 +48,8 @@
 	tried    int // other data centres that were asked
 }
 
-func (req *Request) ask(now time.Time) yuccaqueue.Ask {
-	return yuccaqueue.Ask{
+func (req *Request) ask(now time.Time) yuccaqueue.Request {
+	return yuccaqueue.Request{
 		ID: req.ID, Owner: req.home.daemons[req.Daemon], Account: req.Account, Tier: req.Tier, Rank: req.Rank,
 		Pool: req.home.Name, Operation: req.Operation, Idempotent: req.Idempotent, Remaining: req.Deadline.Sub(now),
 		Prompt: req.Prompt, Answer: req.Estimate, Prefixes: req.Prefixes, Centre: req.home.Centre,
--- a/io/yuccadaemon/away.go
+++ b/io/yuccadaemon/away.go
@@ -99,7 +99,7 @@
 }
 
 // visit offers a request elsewhere and passes messages both ways until it is over.
-func (d *Daemon) visit(ctx context.Context, r *run, aw *away, address string, offer yuccaqueue.Ask) {
+func (d *Daemon) visit(ctx context.Context, r *run, aw *away, address string, offer yuccaqueue.Request) {
 	for range awayHops {
 		next, err := d.converse(ctx, r, aw, address, offer)
 		if err != nil || next == "" {
@@ -111,7 +111,7 @@
 }
 
 // converse returns the address of the leader that the daemon there names instead.
-func (d *Daemon) converse(ctx context.Context, r *run, aw *away, address string, offer yuccaqueue.Ask) (string, error) {
+func (d *Daemon) converse(ctx context.Context, r *run, aw *away, address string, offer yuccaqueue.Request) (string, error) {
 	dialling, stop := context.WithTimeout(ctx, forwardDial)
 	defer stop()
 	conn, err := d.hub.Dial(dialling, address)
--- a/io/yuccadaemon/guest.go
+++ b/io/yuccadaemon/guest.go
@@ -47,7 +47,7 @@
 }
 
 // admitGuest offers the request to the pool's leader here, or names the leader.
-func (d *Daemon) admitGuest(ask yuccaqueue.Ask, visitor *guest) (leader string, leads bool) {
+func (d *Daemon) admitGuest(ask yuccaqueue.Request, visitor *guest) (leader string, leads bool) {
 	d.control.Call(func(now time.Time) {
 		if _, leads = d.leads[ask.Pool]; !leads {
 			member, _ := d.peers.Leader(ask.Pool)
@@ -63,7 +63,7 @@
 // guestLeft takes back what waits. A run that was granted stays counted until the
 // target's own reports or the longest run end it: nobody here knows whether the owner
 // still runs it.
-func (d *Daemon) guestLeft(now time.Time, ask yuccaqueue.Ask, visitor *guest) {
+func (d *Daemon) guestLeft(now time.Time, ask yuccaqueue.Request, visitor *guest) {
 	if d.guests[ask.ID] != visitor {
 		return
 	}
--- a/io/yuccadaemon/leader.go
+++ b/io/yuccadaemon/leader.go
@@ -150,7 +150,7 @@
 	}
 }
 
-func (d *Daemon) onOffer(now time.Time, from yuccaid.Incarnation, ask yuccaqueue.Ask) {
+func (d *Daemon) onOffer(now time.Time, from yuccaid.Incarnation, ask yuccaqueue.Request) {
 	led, leads := d.leads[ask.Pool]
 	if !leads {
 		if from != d.self.Incarnation {
--- a/io/yuccadaemon/owner.go
+++ b/io/yuccadaemon/owner.go
@@ -29,7 +29,7 @@
 	id       yuccaid.RequestID
 	request  Request
 	claim    yuccaonce.Claim
-	ask      yuccaqueue.Ask
+	ask      yuccaqueue.Request
 	answer   *Answer
 	accepted time.Time
 	deadline time.Time
@@ -139,7 +139,7 @@
 }
 
 // admit joins a second submit to the first, or starts the request.
-func (d *Daemon) admit(now time.Time, id yuccaid.RequestID, req Request, claim yuccaonce.Claim, ask yuccaqueue.Ask) (*Answer, error) {
+func (d *Daemon) admit(now time.Time, id yuccaid.RequestID, req Request, claim yuccaonce.Claim, ask yuccaqueue.Request) (*Answer, error) {
 	step, err := d.owner.Submit(now, id, claim)
 	if err != nil {
 		return nil, problemOf(err)
--- a/io/yuccadaemon/placing.go
+++ b/io/yuccadaemon/placing.go
@@ -24,7 +24,7 @@
 	return request.Sign(d.key)
 }
 
-func (d *Daemon) wireOffer(ask yuccaqueue.Ask) yuccawire.Offer {
+func (d *Daemon) wireOffer(ask yuccaqueue.Request) yuccawire.Offer {
 	return yuccawire.Offer{
 		Ref: d.ref(ask.ID), Account: ask.Account, Pool: ask.Pool, Rank: ask.Rank, Idempotent: ask.Idempotent,
 		RemainingMillis: ask.Remaining.Milliseconds(), Prompt: ask.Prompt, Answer: ask.Answer, Prefixes: ask.Prefixes,
@@ -32,8 +32,8 @@
 }
 
 // ask restores an offer; the tier's name comes from this daemon's configuration.
-func (d *Daemon) ask(owner yuccaid.Incarnation, offer yuccawire.Offer) yuccaqueue.Ask {
-	ask := yuccaqueue.Ask{
+func (d *Daemon) ask(owner yuccaid.Incarnation, offer yuccawire.Offer) yuccaqueue.Request {
+	ask := yuccaqueue.Request{
 		ID: d.unref(owner, offer.Ref), Owner: owner, Account: offer.Account, Pool: offer.Pool, Rank: offer.Rank,
 		Idempotent: offer.Idempotent, Remaining: time.Duration(offer.RemainingMillis) * time.Millisecond,
 		Prompt: offer.Prompt, Answer: offer.Answer, Prefixes: offer.Prefixes, Centre: d.self.Centre,
--- a/io/yuccadaemon/placing_test.go
+++ b/io/yuccadaemon/placing_test.go
@@ -44,7 +44,7 @@
 	})
 
 	It("bring everything that placing needs, in few bytes", func() {
-		ask := yuccaqueue.Ask{
+		ask := yuccaqueue.Request{
 			ID: id, Owner: d.self.Incarnation, Account: "hotline", Tier: "normal", Rank: 1, Pool: "draft", Idempotent: true,
 			Remaining: 90 * time.Second, Prompt: 1500, Answer: 300, Prefixes: []uint64{1 << 60, 1 << 61}, Centre: "odessa-1",
 		}
--- a/io/yuccadaemon/request.go
+++ b/io/yuccadaemon/request.go
@@ -84,12 +84,12 @@
 }
 
 // ask is the metadata that the pool's leader orders by; the prompt stays here.
-func (req Request) ask(state *yuccastate.State, claim yuccaonce.Claim) yuccaqueue.Ask {
+func (req Request) ask(state *yuccastate.State, claim yuccaonce.Claim) yuccaqueue.Request {
 	answer := req.AnswerTokens
 	if answer == 0 {
 		answer = defaultAnswer
 	}
-	return yuccaqueue.Ask{
+	return yuccaqueue.Request{
 		Account:    claim.Account,
 		Tier:       claim.Tier,
 		Rank:       state.Tiers[claim.Tier].Rank,
@@ -120,7 +120,7 @@
 }
 
 // body is what goes to the target.
-func (req Request) body(ask yuccaqueue.Ask) ([]byte, error) {
+func (req Request) body(ask yuccaqueue.Request) ([]byte, error) {
 	return json.Marshal(targetBody{
 		Prompt:       req.Prompt,
 		PromptTokens: ask.Prompt,
--- a/io/yuccadaemon/room_test.go
+++ b/io/yuccadaemon/room_test.go
@@ -39,7 +39,7 @@
 			now = now.Add(time.Millisecond)
 			req := Request{Pool: "draft", Tier: tier, DeadlineMillis: 1000, Prompt: strings.Repeat("x", 100)}
 			claim := yuccaonce.Claim{Account: "hotline", Pool: "draft", Tier: tier, Body: req.digest()}
-			return d.admit(now, id, req, claim, yuccaqueue.Ask{Account: "hotline", Tier: tier, Rank: rank, Pool: "draft"})
+			return d.admit(now, id, req, claim, yuccaqueue.Request{Account: "hotline", Tier: tier, Rank: rank, Pool: "draft"})
 		}
 		var letters []*Answer
 		for range 3 {
