--- a/core/yuccapool/bench_test.go
+++ b/core/yuccapool/bench_test.go
@@ -26,9 +26,9 @@
 }
 
 func newBench(waiting, targets, accounts int) *bench {
-	view := yuccapool.View{Targets: fleet(targets), Accounts: map[yuccaid.Account]yuccapool.AccountView{}}
+	view := yuccapool.PoolConfig{Targets: fleet(targets), Accounts: map[yuccaid.Account]yuccapool.AccountConfig{}}
 	for at := range accounts {
-		view.Accounts[benchAccount(at)] = yuccapool.AccountView{Weight: 1 + at%3}
+		view.Accounts[benchAccount(at)] = yuccapool.AccountConfig{Weight: 1 + at%3}
 	}
 	bounds := yuccaqueue.BoundsFor(10*waiting+1000, 1<<50)
 	bounds.AccountRequests = bounds.Requests
@@ -63,7 +63,7 @@
 		Account: benchAccount(bn.next % bn.accounts), Idempotent: true, Remaining: time.Hour,
 		Prompt: 500, Answer: 100, Prefixes: []uint64{uint64(bn.next % 50)},
 	}
-	bn.take(bn.lead.Offer(bn.now, ask))
+	bn.take(bn.lead.Submit(bn.now, ask))
 }
 
 // first brings every granted run to its first token.
@@ -72,7 +72,7 @@
 		grant := bn.granted[0]
 		bn.granted = append(bn.granted[:0], bn.granted[1:]...)
 		bn.running = append(bn.running, grant)
-		bn.take(bn.lead.Progress(bn.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
+		bn.take(bn.lead.RunProgressed(bn.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
 	}
 }
 
@@ -83,7 +83,7 @@
 	done := bn.running[at]
 	bn.running[at] = bn.running[len(bn.running)-1]
 	bn.running = bn.running[:len(bn.running)-1]
-	bn.take(bn.lead.Finished(bn.now, yuccapool.Finished{
+	bn.take(bn.lead.RunFinished(bn.now, yuccapool.Finished{
 		ID: done.ID, Target: done.Target, Ran: true, Prompt: 500, Cached: 256, Answer: 100,
 		Prefill: 50 * time.Millisecond, Decode: 2 * time.Second,
 	}))
--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -15,10 +15,10 @@
 
 // Configure takes over a configuration. Waiting requests whose account may use no
 // target any more are refused; runs go on where they are.
-func (lead *Leader) Configure(now time.Time, view View) Decisions {
+func (lead *Leader) Configure(now time.Time, view PoolConfig) Decisions {
 	var dec Decisions
 	lead.view = view
-	lead.fleet.Configure(view.Policy, view.Plain, view.Targets)
+	lead.fleet.Configure(view.Policy, view.PlainService, view.Targets)
 	lead.reaches = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
 	lead.configureAccounts(now, view)
 	lead.reclass(now, &dec)
@@ -26,7 +26,7 @@
 	return dec
 }
 
-func (lead *Leader) configureAccounts(now time.Time, view View) {
+func (lead *Leader) configureAccounts(now time.Time, view PoolConfig) {
 	numbers := map[string]int{"": reachAll}
 	for _, acc := range lead.accounts {
 		acc.reach = reachAll
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -9,11 +9,11 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// Offer queues an ask, or refuses it at once.
+// Submit queues an ask, or refuses it at once.
 //
 // An ask that is already known is not counted again: an owner that lost its link
 // offers everything anew.
-func (lead *Leader) Offer(now time.Time, ask Ask) Decisions {
+func (lead *Leader) Submit(now time.Time, ask Ask) Decisions {
 	var dec Decisions
 	if lead.known(&ask, &dec) {
 		return dec
@@ -272,7 +272,7 @@
 	}
 	dec.Cancels = append(dec.Cancels, Cancel{
 		ID: one.ask.ID, Owner: one.ask.Owner, Target: one.Target(),
-		Reason: yuccaqueue.ReasonPreempted, Back: lead.back(now, &one.ask),
+		Reason: yuccaqueue.ReasonPreempted, RetryAfter: lead.back(now, &one.ask),
 	})
 }
 
@@ -292,13 +292,13 @@
 
 func (lead *Leader) grant(one *run, dec *Decisions) {
 	dec.Grants = append(dec.Grants, Grant{
-		ID: one.ask.ID, Owner: one.ask.Owner, Target: one.Target(), Expires: grantLife,
-		Number: lead.view.Number, Leader: lead.self,
+		ID: one.ask.ID, Owner: one.ask.Owner, Target: one.Target(), ValidFor: grantLife,
+		ConfigNumber: lead.view.ConfigNumber, Leader: lead.self,
 	})
 }
 
 func (lead *Leader) refuse(dec *Decisions, ask *Ask, reason yuccaqueue.Reason, back time.Duration) {
-	dec.Refusals = append(dec.Refusals, Refusal{ID: ask.ID, Owner: ask.Owner, Reason: reason, Back: back})
+	dec.Refusals = append(dec.Refusals, Refusal{ID: ask.ID, Owner: ask.Owner, Reason: reason, RetryAfter: back})
 }
 
 // back returns when a refused request of this length would find the work gone that
--- a/core/yuccapool/example_test.go
+++ b/core/yuccapool/example_test.go
@@ -13,12 +13,12 @@
 	self := yuccaid.NewIncarnation("vm-1", [16]byte{1})
 	now := time.Unix(0, 0)
 	lead := yuccapool.New("drafts", self, rand.New(rand.NewPCG(1, 2)))
-	lead.Configure(now, yuccapool.View{
-		Number:   7,
-		Targets:  []yuccapool.Target{{Name: "engine-1", Slots: 8, Prefill: 5000, Decode: 50}},
-		Accounts: map[yuccaid.Account]yuccapool.AccountView{"hotline": {Weight: 1}},
+	lead.Configure(now, yuccapool.PoolConfig{
+		ConfigNumber: 7,
+		Targets:      []yuccapool.Target{{Name: "engine-1", Slots: 8, Prefill: 5000, Decode: 50}},
+		Accounts:     map[yuccaid.Account]yuccapool.AccountConfig{"hotline": {Weight: 1}},
 	})
-	dec := lead.Offer(now, yuccapool.Ask{
+	dec := lead.Submit(now, yuccapool.Ask{
 		ID: "r1", Owner: self, Account: "hotline", Tier: "urgent", Remaining: 10 * time.Second,
 		Prompt: 2000, Answer: 200, Idempotent: true,
 	})
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -38,7 +38,7 @@
 	pool     yuccaid.Pool
 	self     yuccaid.Incarnation
 	rng      *rand.Rand
-	view     View
+	view     PoolConfig
 	until    time.Time
 	preempts bool
 	fleet    *yuccaplace.Fleet
@@ -72,12 +72,12 @@
 	return lead
 }
 
-// BeginGather holds all grants back until the given time, while the daemons tell the
+// HoldGrantsUntil holds all grants back until the given time, while the daemons tell the
 // new leader what they have waiting and running.
 //
 // A leader that grants before it knows what runs would fill every target a second
 // time, and the urgent requests would wait behind the surplus in the engines.
-func (lead *Leader) BeginGather(_, until time.Time) {
+func (lead *Leader) HoldGrantsUntil(_, until time.Time) {
 	lead.until = until
 }
 
@@ -85,16 +85,16 @@
 	return now.Before(lead.until)
 }
 
-// Hold counts a run that an owner reports while the leader gathers.
-func (lead *Leader) Hold(now time.Time, running Running) {
+// AddRunning counts a run that an owner reports while the leader gathers.
+func (lead *Leader) AddRunning(now time.Time, running Running) {
 	node, found := lead.fleet.Node(running.Target)
-	if _, known := lead.runs[running.Ask.ID]; known || !found {
+	if _, known := lead.runs[running.Request.ID]; known || !found {
 		return
 	}
-	if item, waits := lead.queue.Get(running.Ask.ID); waits {
+	if item, waits := lead.queue.Get(running.Request.ID); waits {
 		lead.queue.Remove(item)
 	}
-	one := lead.start(now, running.Ask, yuccaplace.Choice{Node: node}, now.Add(running.Ask.Remaining))
+	one := lead.start(now, running.Request, yuccaplace.Choice{Node: node}, now.Add(running.Request.Remaining))
 	one.used = true
 	if running.Answered > 0 {
 		lead.fleet.First(now, &one.Run)
@@ -102,8 +102,8 @@
 	}
 }
 
-// Progress notes how far a run has come.
-func (lead *Leader) Progress(now time.Time, progress Progress) Decisions {
+// RunProgressed notes how far a run has come.
+func (lead *Leader) RunProgressed(now time.Time, progress Progress) Decisions {
 	var dec Decisions
 	one, found := lead.runs[progress.ID]
 	if !found {
@@ -119,8 +119,8 @@
 	return dec
 }
 
-// Finished frees what a grant held and learns from how the run went.
-func (lead *Leader) Finished(now time.Time, done Finished) Decisions {
+// RunFinished frees what a grant held and learns from how the run went.
+func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
 		lead.fleet.Leave(now, done.Target, true, 0)
@@ -146,10 +146,10 @@
 	return dec
 }
 
-// OwnerGone drops what a lost daemon had waiting. What it had running still occupies
+// DropOwner drops what a lost daemon had waiting. What it had running still occupies
 // its target until the target's report or the longest run says otherwise: the engine
 // doesn't know that nobody waits for the answer.
-func (lead *Leader) OwnerGone(now time.Time, inc yuccaid.Incarnation) Decisions {
+func (lead *Leader) DropOwner(now time.Time, inc yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	var gone []*yuccaqueue.Item
 	lead.queue.ForEach(func(item *yuccaqueue.Item) {
@@ -170,8 +170,8 @@
 	return dec
 }
 
-// Report takes a target's own word on its load.
-func (lead *Leader) Report(now time.Time, report Report) Decisions {
+// ApplyReport takes a target's own word on its load.
+func (lead *Leader) ApplyReport(now time.Time, report LoadReport) Decisions {
 	var dec Decisions
 	lead.fleet.Leave(now, report.Target, report.Leaving, report.Age)
 	lead.release(now, &report)
@@ -185,7 +185,7 @@
 
 // release ends runs of lost owners that the target's report no longer shows. Only
 // runs that began before the report was made are compared with it.
-func (lead *Leader) release(now time.Time, report *Report) {
+func (lead *Leader) release(now time.Time, report *LoadReport) {
 	made := now.Add(-report.Age)
 	var lost []*run
 	counted := 0
@@ -204,9 +204,9 @@
 	}
 }
 
-// CacheEvent takes a target's word on its prefix cache.
-func (lead *Leader) CacheEvent(_ time.Time, event CacheEvent) {
-	lead.fleet.CacheEvent(event.Target, event.Stored, event.Evicted, event.Gap)
+// ApplyCacheEvent takes a target's word on its prefix cache.
+func (lead *Leader) ApplyCacheEvent(_ time.Time, event CacheEvent) {
+	lead.fleet.CacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
 }
 
 // Tick decides what the passing of time has changed. Call it at least every 100
@@ -221,8 +221,8 @@
 	return dec
 }
 
-// Next returns when a waiting request has to be looked at again.
-func (lead *Leader) Next(now time.Time) (time.Time, bool) {
+// NextCheck returns when a waiting request has to be looked at again.
+func (lead *Leader) NextCheck(now time.Time) (time.Time, bool) {
 	due, found := lead.queue.NextCheck()
 	if found && lead.gathering(now) && due.Before(lead.until) {
 		return lead.until, true
@@ -254,7 +254,7 @@
 		ID:          ask.ID,
 		Operation:   ask.Operation,
 		Rank:        ask.Rank,
-		Cancellable: ask.Idempotent && !lead.view.Plain,
+		Cancellable: ask.Idempotent && !lead.view.PlainService,
 		Prompt:      ask.Prompt,
 		Cached:      choice.Cached,
 		Answer:      ask.Answer,
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -40,7 +40,7 @@
 
 func shortOnes(req *request) bool { return req.Prompt < 1000 }
 
-func plainFleet(n int) yuccapool.View { return yuccapool.View{Targets: fleet(n)} }
+func plainFleet(n int) yuccapool.PoolConfig { return yuccapool.PoolConfig{Targets: fleet(n)} }
 
 var _ = Describe("callers under load", func() {
 	// A storm brings four times the usual triage notes for twenty seconds while letters
@@ -163,7 +163,7 @@
 	It("never cancels what may not run again, nor a plain service's call", func() {
 		for _, plain := range []bool{false, true} {
 			view := plainFleet(1)
-			view.Plain = plain
+			view.PlainService = plain
 			view.Targets[0].Slots = 1
 			w := newWorld(view)
 			ask := letter()
@@ -200,12 +200,12 @@
 	// target a second time, and urgent requests wait inside the engines.
 	It("grants nothing while it gathers, and counts what it is told", func() {
 		w := newWorld(plainFleet(1))
-		w.lead.BeginGather(w.now, w.now.Add(time.Second))
+		w.lead.HoldGrantsUntil(w.now, w.now.Add(time.Second))
 		for at := range 8 {
 			ask := letter()
 			ask.Idempotent = false
 			ask.ID = yuccaid.RequestID([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[at])
-			w.lead.Hold(w.now, yuccapool.Running{Ask: ask, Target: "engine-0", Answered: 10})
+			w.lead.AddRunning(w.now, yuccapool.Running{Request: ask, Target: "engine-0", Answered: 10})
 		}
 		ask := lookup()
 		ask.Remaining = 5 * time.Second
@@ -213,7 +213,7 @@
 		Expect(req.fate).To(Equal(waits))
 		w.run(1500 * time.Millisecond)
 		Expect(req.fate).To(Equal(waits))
-		w.apply(w.lead.Finished(w.now, yuccapool.Finished{ID: "c", Target: "engine-0", Ran: true}))
+		w.apply(w.lead.RunFinished(w.now, yuccapool.Finished{ID: "c", Target: "engine-0", Ran: true}))
 		Expect(req.fate).To(Equal(runs))
 	})
 
@@ -222,14 +222,14 @@
 		func(tell func(*world)) {
 			w := newWorld(plainFleet(1))
 			tell(w)
-			w.lead.Report(w.now, yuccapool.Report{Target: "engine-0", Age: time.Second})
+			w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Age: time.Second})
 			Expect(w.offer(lookup()).fate).To(Equal(refused))
 		},
 		Entry("told by its report", func(w *world) {
-			w.lead.Report(w.now, yuccapool.Report{Target: "engine-0", Leaving: true})
+			w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Leaving: true})
 		}),
 		Entry("told by its answer", func(w *world) {
-			w.lead.Finished(w.now, yuccapool.Finished{ID: "x", Target: "engine-0", Refused: true, Leaving: true})
+			w.lead.RunFinished(w.now, yuccapool.Finished{ID: "x", Target: "engine-0", Refused: true, Leaving: true})
 		}),
 		Entry("told by the configuration", func(w *world) {
 			view := plainFleet(1)
@@ -248,12 +248,12 @@
 			w := newWorld(view)
 			w.offer(letter())
 			w.run(time.Second)
-			w.lead.OwnerGone(w.now, self)
+			w.lead.DropOwner(w.now, self)
 			other := letter()
 			other.ID, other.Owner = "other", yuccaid.NewIncarnation("vm-2", [16]byte{2})
-			Expect(w.lead.Offer(w.now, other).Grants).To(BeEmpty())
+			Expect(w.lead.Submit(w.now, other).Grants).To(BeEmpty())
 			if reported {
-				dec := w.lead.Report(w.now, yuccapool.Report{Target: "engine-0"})
+				dec := w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0"})
 				Expect(dec.Grants).To(HaveLen(1))
 				continue
 			}
@@ -267,22 +267,22 @@
 	It("takes back an unused grant and repeats a lost one", func() {
 		view := plainFleet(1)
 		view.Targets[0].Slots = 1
-		view.Accounts = map[yuccaid.Account]yuccapool.AccountView{"members": {Limits: yuccapool.Limits{RequestsPerSecond: 1}}}
+		view.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{"members": {Limits: yuccapool.Limits{RequestsPerSecond: 1}}}
 		lead := newWorld(view).lead
 		ask := lookup()
 		ask.ID = "one"
-		Expect(lead.Offer(epoch, ask).Grants).To(HaveLen(1))
-		Expect(lead.Offer(epoch, ask).Grants).To(HaveLen(1))
-		Expect(lead.Finished(epoch, yuccapool.Finished{ID: "one", Target: "engine-0"}).Empty()).To(BeTrue())
+		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
+		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
+		Expect(lead.RunFinished(epoch, yuccapool.Finished{ID: "one", Target: "engine-0"}).Empty()).To(BeTrue())
 		ask.ID = "two"
-		Expect(lead.Offer(epoch, ask).Grants).To(HaveLen(1))
+		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
 	})
 
 	// Two leaders fill one target during a partition, and each wonders at its slowness.
 	It("leaves room for what others run on a target, as its report shows", func() {
 		view := plainFleet(1)
 		w := newWorld(view)
-		w.lead.Report(w.now, yuccapool.Report{Target: "engine-0", Running: 8})
+		w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Running: 8})
 		req := w.offer(lookup())
 		Expect(req.fate).To(Equal(waits))
 		Expect(w.lead.Tick(w.now.Add(6 * time.Second)).Refusals).To(HaveLen(1))
@@ -292,7 +292,7 @@
 	// times that; if one long prompt is larger than a second's tokens, it never runs.
 	It("holds an account's limits exactly", func() {
 		view := plainFleet(8)
-		view.Accounts = map[yuccaid.Account]yuccapool.AccountView{
+		view.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{
 			"rated":  {Limits: yuccapool.Limits{RequestsPerSecond: 5}},
 			"few":    {Limits: yuccapool.Limits{Running: 2}},
 			"tokens": {Limits: yuccapool.Limits{TokensPerSecond: 1000}},
@@ -325,12 +325,12 @@
 			now = now.Add(100 * time.Millisecond)
 			ask := triage()
 			ask.ID = yuccaid.RequestID(fmt.Sprint("r", i))
-			for _, grant := range lead.Offer(now, ask).Grants {
+			for _, grant := range lead.Submit(now, ask).Grants {
 				dead := grant.Target == plainFleet(2).Targets[0].Name
 				if dead {
 					failed[grant.Target]++
 				}
-				lead.Finished(now, yuccapool.Finished{ID: grant.ID, Target: grant.Target, Ran: !dead, Failed: dead})
+				lead.RunFinished(now, yuccapool.Finished{ID: grant.ID, Target: grant.Target, Ran: !dead, Failed: dead})
 			}
 		}
 		for _, times := range failed {
@@ -365,12 +365,12 @@
 				now = now.Add(step)
 				for _, done := range ends[now] {
 					served++
-					take(lead.Finished(now, done))
+					take(lead.RunFinished(now, done))
 				}
 				if i%10 == 0 && i < 2000 {
 					ask := lookup()
 					ask.ID, ask.Prompt, ask.Remaining = yuccaid.RequestID(fmt.Sprint("r", i)), prompt, time.Minute
-					take(lead.Offer(now, ask))
+					take(lead.Submit(now, ask))
 				}
 				take(lead.Tick(now))
 			}
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -15,12 +15,12 @@
 // Expires counts from when the leader sent it. A grant that is used later would run
 // on a slot which the leader may have given to somebody else.
 type Grant struct {
-	ID      yuccaid.RequestID    `msgpack:"id"`
-	Owner   yuccaid.Incarnation  `msgpack:"owner"`
-	Target  yuccaid.Target       `msgpack:"target"`
-	Expires time.Duration        `msgpack:"expires"`
-	Number  yuccaid.ConfigNumber `msgpack:"number"`
-	Leader  yuccaid.Incarnation  `msgpack:"leader"`
+	ID           yuccaid.RequestID    `msgpack:"id"`
+	Owner        yuccaid.Incarnation  `msgpack:"owner"`
+	Target       yuccaid.Target       `msgpack:"target"`
+	ValidFor     time.Duration        `msgpack:"expires"`
+	ConfigNumber yuccaid.ConfigNumber `msgpack:"number"`
+	Leader       yuccaid.Incarnation  `msgpack:"leader"`
 }
 
 // Refusal is the final answer to an ask that gets no grant.
@@ -28,19 +28,19 @@
 // Back is the time after which coming back makes sense; zero says that waiting won't
 // help, since the deadline couldn't be met by an idle pool either.
 type Refusal struct {
-	ID     yuccaid.RequestID   `msgpack:"id"`
-	Owner  yuccaid.Incarnation `msgpack:"owner"`
-	Reason yuccaqueue.Reason   `msgpack:"reason"`
-	Back   time.Duration       `msgpack:"back"`
+	ID         yuccaid.RequestID   `msgpack:"id"`
+	Owner      yuccaid.Incarnation `msgpack:"owner"`
+	Reason     yuccaqueue.Reason   `msgpack:"reason"`
+	RetryAfter time.Duration       `msgpack:"back"`
 }
 
 // Cancel tells an owner to stop a running request.
 type Cancel struct {
-	ID     yuccaid.RequestID   `msgpack:"id"`
-	Owner  yuccaid.Incarnation `msgpack:"owner"`
-	Target yuccaid.Target      `msgpack:"target"`
-	Reason yuccaqueue.Reason   `msgpack:"reason"`
-	Back   time.Duration       `msgpack:"back"`
+	ID         yuccaid.RequestID   `msgpack:"id"`
+	Owner      yuccaid.Incarnation `msgpack:"owner"`
+	Target     yuccaid.Target      `msgpack:"target"`
+	Reason     yuccaqueue.Reason   `msgpack:"reason"`
+	RetryAfter time.Duration       `msgpack:"back"`
 }
 
 // Decisions is what one event led to.
@@ -57,7 +57,7 @@
 
 // Running is a run that an owner reports to a new leader.
 type Running struct {
-	Ask      Ask            `msgpack:"ask"`
+	Request  Ask            `msgpack:"ask"`
 	Target   yuccaid.Target `msgpack:"target"`
 	Answered yuccaid.Tokens `msgpack:"answered"`
 }
@@ -93,8 +93,8 @@
 	Decode  time.Duration  `msgpack:"decode"`
 }
 
-// Report is a target's own word on its load, Age ago.
-type Report struct {
+// LoadReport is a target's own word on its load, Age ago.
+type LoadReport struct {
 	Target  yuccaid.Target `msgpack:"target"`
 	Age     time.Duration  `msgpack:"age"`
 	Waiting int            `msgpack:"waiting"`
@@ -105,8 +105,8 @@
 
 // CacheEvent is a target's word on its prefix cache; Gap says that some were lost.
 type CacheEvent struct {
-	Target  yuccaid.Target `msgpack:"target"`
-	Stored  []uint64       `msgpack:"stored"`
-	Evicted []uint64       `msgpack:"evicted"`
-	Gap     bool           `msgpack:"gap"`
+	Target     yuccaid.Target `msgpack:"target"`
+	Stored     []uint64       `msgpack:"stored"`
+	Evicted    []uint64       `msgpack:"evicted"`
+	EventsLost bool           `msgpack:"gap"`
 }
--- a/core/yuccapool/oracle_test.go
+++ b/core/yuccapool/oracle_test.go
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, cancel := range dec.Cancels {
-		if victim := orc.w.byID[cancel.ID]; !victim.Idempotent || orc.w.view.Plain {
+		if victim := orc.w.byID[cancel.ID]; !victim.Idempotent || orc.w.view.PlainService {
 			fault = firstOf(fault, fmt.Sprintf("%s was cancelled though it may not run again", victim.ID))
 		}
 	}
@@ -209,15 +209,15 @@
 
 // oracleView has three unlike targets, one account with fewer targets and one with a
 // limit of running requests.
-func oracleView() yuccapool.View {
-	return yuccapool.View{
-		Number: 1,
+func oracleView() yuccapool.PoolConfig {
+	return yuccapool.PoolConfig{
+		ConfigNumber: 1,
 		Targets: []yuccapool.Target{
 			{Name: "engine-0", Slots: 2, Prefill: 4000, Decode: 40, Cache: 50_000},
 			{Name: "engine-1", Slots: 3, Prefill: 2000, Decode: 30, Cache: 50_000},
 			{Name: "engine-2", Slots: 2, Prefill: 1000, Decode: 20, Cache: 50_000},
 		},
-		Accounts: map[yuccaid.Account]yuccapool.AccountView{
+		Accounts: map[yuccaid.Account]yuccapool.AccountConfig{
 			"large":  {Weight: 3},
 			"small":  {Weight: 1, Targets: []yuccaid.Target{"engine-1", "engine-2"}},
 			"capped": {Weight: 1, Limits: yuccapool.Limits{Running: 2}},
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -29,16 +29,16 @@
 
 // Status is the leader's state for operators and metrics.
 type Status struct {
-	Pool      yuccaid.Pool         `msgpack:"pool" json:"pool"`
-	Number    yuccaid.ConfigNumber `msgpack:"number" json:"number"`
-	Gathering bool                 `msgpack:"gathering" json:"gathering"`
-	Tiers     []TierStatus         `msgpack:"tiers" json:"tiers"`
-	Targets   []TargetStatus       `msgpack:"targets" json:"targets"`
+	Pool         yuccaid.Pool         `msgpack:"pool" json:"pool"`
+	ConfigNumber yuccaid.ConfigNumber `msgpack:"number" json:"number"`
+	Gathering    bool                 `msgpack:"gathering" json:"gathering"`
+	Tiers        []TierStatus         `msgpack:"tiers" json:"tiers"`
+	Targets      []TargetStatus       `msgpack:"targets" json:"targets"`
 }
 
 // Status returns what the leader believes.
 func (lead *Leader) Status(now time.Time) Status {
-	status := Status{Pool: lead.pool, Number: lead.view.Number, Gathering: lead.gathering(now)}
+	status := Status{Pool: lead.pool, ConfigNumber: lead.view.ConfigNumber, Gathering: lead.gathering(now)}
 	for _, tr := range lead.queue.TierLoads() {
 		status.Tiers = append(status.Tiers, TierStatus{
 			Tier: tr.Tier, Rank: tr.Rank, Waiting: tr.Requests, Queued: tr.Tokens, Running: lead.runningAt(tr.Rank),
--- a/core/yuccapool/view.go
+++ b/core/yuccapool/view.go
@@ -20,24 +20,24 @@
 	TokensPerSecond   yuccaid.TokenRate
 }
 
-// AccountView is what the leader has to know of a client account.
+// AccountConfig is what the leader has to know of a client account.
 //
 // Targets lists what it may use; none listed means every target of the pool.
-type AccountView struct {
+type AccountConfig struct {
 	Weight  int
 	Limits  Limits
 	Targets []yuccaid.Target
 }
 
-// View is the part of the configuration that concerns one pool in one data centre.
+// PoolConfig is the part of the configuration that concerns one pool in one data centre.
 //
 // Plain marks a plain service: slots, no tokens, nothing cancelled. LongestRun bounds
 // how long a run of a lost owner keeps its slot.
-type View struct {
-	Number     yuccaid.ConfigNumber
-	Targets    []Target
-	Accounts   map[yuccaid.Account]AccountView
-	Policy     Policy
-	Plain      bool
-	LongestRun time.Duration
+type PoolConfig struct {
+	ConfigNumber yuccaid.ConfigNumber
+	Targets      []Target
+	Accounts     map[yuccaid.Account]AccountConfig
+	Policy       Policy
+	PlainService bool
+	LongestRun   time.Duration
 }
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -96,7 +96,7 @@
 type world struct {
 	now     time.Time
 	lead    *yuccapool.Leader
-	view    yuccapool.View
+	view    yuccapool.PoolConfig
 	engines map[yuccaid.Target]*engine
 	reqs    []*request
 	byID    map[yuccaid.RequestID]*request
@@ -109,7 +109,7 @@
 // ownShares tells the leader that the engines here give each slot its own share.
 var ownShares = yuccapool.WithFleet(yuccaplace.WithSharing(0, 0))
 
-func newWorld(view yuccapool.View, options ...yuccapool.Option) *world {
+func newWorld(view yuccapool.PoolConfig, options ...yuccapool.Option) *world {
 	w := &world{
 		now: epoch, view: view,
 		lead:    yuccapool.New("drafts", self, rand.New(rand.NewPCG(1, 2)), append(options, ownShares)...),
@@ -167,7 +167,7 @@
 	req := &request{Ask: ask, arrived: w.now, deadline: w.now.Add(ask.Remaining), fate: waits}
 	w.reqs = append(w.reqs, req)
 	w.byID[ask.ID] = req
-	w.apply(w.lead.Offer(w.now, ask))
+	w.apply(w.lead.Submit(w.now, ask))
 	return req
 }
 
@@ -183,13 +183,13 @@
 	for _, cancel := range dec.Cancels {
 		req := w.byID[cancel.ID]
 		w.end(req, cancelled)
-		req.reason, req.back = cancel.Reason, cancel.Back
+		req.reason, req.back = cancel.Reason, cancel.RetryAfter
 		w.leave(req)
 	}
 	for _, refusal := range dec.Refusals {
 		req := w.byID[refusal.ID]
 		w.end(req, refused)
-		req.reason, req.back = refusal.Reason, refusal.Back
+		req.reason, req.back = refusal.Reason, refusal.RetryAfter
 	}
 	for _, grant := range dec.Grants {
 		req := w.byID[grant.ID]
@@ -237,7 +237,7 @@
 		}
 		w.prefill(eng)
 		w.after(eng.decodeTime(req.Answer), func() { w.finish(req) })
-		w.apply(w.lead.Progress(w.now, yuccapool.Progress{ID: req.ID, FirstToken: true}))
+		w.apply(w.lead.RunProgressed(w.now, yuccapool.Progress{ID: req.ID, FirstToken: true}))
 	})
 }
 
@@ -250,7 +250,7 @@
 		req.fate = missed
 	}
 	w.leave(req)
-	w.apply(w.lead.Finished(w.now, yuccapool.Finished{
+	w.apply(w.lead.RunFinished(w.now, yuccapool.Finished{
 		ID: req.ID, Target: req.engine.Name, Ran: true, Prompt: req.Prompt, Cached: req.cached, Answer: req.Answer,
 		Prefill: req.engine.prefillTime(req.uncached()), Decode: w.now.Sub(req.first),
 	}))
--- a/core/yuccatrial/baseline.go
+++ b/core/yuccatrial/baseline.go
@@ -66,7 +66,7 @@
 				own.dispatch(pool, req, one)
 			},
 			Ended: own.ended,
-			Report: func(report yuccapool.Report) {
+			Report: func(report yuccapool.LoadReport) {
 				reported[report.Target] = report.Waiting + report.Running
 				for _, sent := range since {
 					sent[report.Target] = 0
--- a/core/yuccatrial/design.go
+++ b/core/yuccatrial/design.go
@@ -68,7 +68,7 @@
 			Progress:   forward((*seat).progress),
 			Ended:      forward((*seat).ended),
 			Gone:       forward((*seat).gone),
-			Report: func(report yuccapool.Report) {
+			Report: func(report yuccapool.LoadReport) {
 				for _, st := range alone {
 					st.report(report)
 				}
@@ -129,9 +129,9 @@
 
 func (st *seat) elect() {
 	st.lead = yuccapool.New(st.pool.Name, st.self, st.rng)
-	view := yuccapool.View{
-		Number: 1, Plain: st.pool.Plain, LongestRun: 5 * time.Minute,
-		Accounts: map[yuccaid.Account]yuccapool.AccountView{},
+	view := yuccapool.PoolConfig{
+		ConfigNumber: 1, PlainService: st.pool.Plain, LongestRun: 5 * time.Minute,
+		Accounts: map[yuccaid.Account]yuccapool.AccountConfig{},
 	}
 	for _, eng := range st.engines {
 		view.Targets = append(view.Targets, yuccapool.Target{
@@ -139,7 +139,7 @@
 		})
 	}
 	for _, acc := range st.pool.trial.scenario.Deployment.Accounts {
-		view.Accounts[acc.Name] = yuccapool.AccountView{Weight: acc.Weight}
+		view.Accounts[acc.Name] = yuccapool.AccountConfig{Weight: acc.Weight}
 	}
 	st.apply(st.lead.Configure(st.pool.Now(), view))
 }
@@ -151,16 +151,16 @@
 	st.pool.After(detectAfter, func() {
 		st.elect()
 		now := st.pool.Now()
-		st.lead.BeginGather(now, now.Add(gatherFor))
+		st.lead.HoldGrantsUntil(now, now.Add(gatherFor))
 		st.prune()
 		for _, req := range st.live {
 			if req.waiting() {
 				st.offer(req)
 				continue
 			}
-			held := yuccapool.Running{Ask: req.ask(now), Target: req.engine.Name, Answered: req.Answered()}
+			held := yuccapool.Running{Request: req.ask(now), Target: req.engine.Name, Answered: req.Answered()}
 			st.tell(req, &held, func(lead *yuccapool.Leader, now time.Time) yuccapool.Decisions {
-				lead.Hold(now, held)
+				lead.AddRunning(now, held)
 				return yuccapool.Decisions{}
 			})
 		}
@@ -189,7 +189,7 @@
 func (st *seat) dropOwners(peer *Pool) {
 	for _, inc := range peer.daemons {
 		if st.lead != nil {
-			st.apply(st.lead.OwnerGone(st.pool.Now(), inc))
+			st.apply(st.lead.DropOwner(st.pool.Now(), inc))
 		}
 	}
 }
@@ -232,7 +232,7 @@
 		if !req.waiting() {
 			return yuccapool.Decisions{}
 		}
-		return lead.Offer(now, ask)
+		return lead.Submit(now, ask)
 	})
 }
 
@@ -284,7 +284,7 @@
 
 func (st *seat) tellProgress(req *Request, prg yuccapool.Progress) {
 	req.granted.tell(req, &prg, func(lead *yuccapool.Leader, now time.Time) yuccapool.Decisions {
-		return lead.Progress(now, prg)
+		return lead.RunProgressed(now, prg)
 	})
 }
 
@@ -305,19 +305,19 @@
 
 func (st *seat) tellFinished(req *Request, fin yuccapool.Finished) {
 	st.tell(req, &fin, func(lead *yuccapool.Leader, now time.Time) yuccapool.Decisions {
-		return lead.Finished(now, fin)
+		return lead.RunFinished(now, fin)
 	})
 }
 
-func (st *seat) report(report yuccapool.Report) {
+func (st *seat) report(report yuccapool.LoadReport) {
 	if st.lead != nil {
-		st.apply(st.lead.Report(st.pool.Now(), report))
+		st.apply(st.lead.ApplyReport(st.pool.Now(), report))
 	}
 }
 
 func (st *seat) cache(event yuccapool.CacheEvent) {
 	if st.lead != nil {
-		st.lead.CacheEvent(st.pool.Now(), event)
+		st.lead.ApplyCacheEvent(st.pool.Now(), event)
 	}
 }
 
@@ -351,8 +351,8 @@
 	if !req.waiting() {
 		return
 	}
-	if req.back == 0 || refusal.Back > 0 && refusal.Back < req.back {
-		req.back = refusal.Back
+	if req.back == 0 || refusal.RetryAfter > 0 && refusal.RetryAfter < req.back {
+		req.back = refusal.RetryAfter
 	}
 	req.asked = slices.DeleteFunc(req.asked, func(other *seat) bool { return other == st })
 	if len(req.asked) == 0 && !st.askFar(req) {
@@ -363,7 +363,7 @@
 // use dispatches on a grant, unless it comes too late or another one was used.
 func (st *seat) use(req *Request, grant yuccapool.Grant, sent time.Time) {
 	eng := st.engine(grant.Target)
-	if st.pool.Now().Sub(sent) >= grant.Expires || !st.pool.Dispatch(req, eng) {
+	if st.pool.Now().Sub(sent) >= grant.ValidFor || !st.pool.Dispatch(req, eng) {
 		if req.engine != eng {
 			st.tellFinished(req, yuccapool.Finished{ID: req.ID, Target: grant.Target})
 		}
--- a/core/yuccatrial/policy.go
+++ b/core/yuccatrial/policy.go
@@ -23,7 +23,7 @@
 	Progress   func(req *Request)
 	Ended      func(req *Request) // a dispatched request ended, whole or not
 	Gone       func(req *Request) // a waiting request's deadline passed
-	Report     func(report yuccapool.Report)
+	Report     func(report yuccapool.LoadReport)
 	Cache      func(event yuccapool.CacheEvent)
 	Tick       func()
 	Lose       func() // the process that leads the pool dies
--- a/core/yuccatrial/trial.go
+++ b/core/yuccatrial/trial.go
@@ -194,7 +194,7 @@
 		return
 	}
 	lag := tri.scenario.ReportLag
-	report := yuccapool.Report{Target: eng.Name, Age: lag, Waiting: len(eng.queue), Running: len(eng.running)}
+	report := yuccapool.LoadReport{Target: eng.Name, Age: lag, Waiting: len(eng.queue), Running: len(eng.running)}
 	for _, one := range eng.queue {
 		report.Queued += one.req.Prompt
 	}
@@ -208,7 +208,7 @@
 		tri.gaps[event.Target] = true
 		return
 	}
-	event.Gap = tri.gaps[event.Target]
+	event.EventsLost = tri.gaps[event.Target]
 	delete(tri.gaps, event.Target)
 	tri.count(&event, pool.hooks.Readers)
 	tri.agenda.after(cacheLag, func() { pool.hooks.Cache(event) })
--- a/io/yuccadaemon/away.go
+++ b/io/yuccadaemon/away.go
@@ -63,7 +63,7 @@
 // can't make a request run twice.
 func (d *Daemon) shift(now time.Time, r *run, refusal yuccapool.Refusal) bool {
 	if r.away != nil {
-		d.shifts.MarkRefused(now, r.away.place.Centre, r.ask, refusal.Back)
+		d.shifts.MarkRefused(now, r.away.place.Centre, r.ask, refusal.RetryAfter)
 		r.away.cancel()
 		r.away = nil
 	}
--- a/io/yuccadaemon/dispatch.go
+++ b/io/yuccadaemon/dispatch.go
@@ -78,7 +78,7 @@
 
 func (d *Daemon) callOf(r *run, address string, grant yuccapool.Grant, body []byte) yuccatarget.Call {
 	pool := d.State().Pools[r.claim.Pool]
-	expires := time.Now().Add(grant.Expires)
+	expires := time.Now().Add(grant.ValidFor)
 	return yuccatarget.Call{
 		ID:         r.id,
 		Target:     grant.Target,
@@ -88,7 +88,7 @@
 		Plain:      pool.Kind == yuccastate.PoolService,
 		Idempotent: r.claim.Idempotent,
 		Body:       body,
-		Fence:      grant.Number,
+		Fence:      grant.ConfigNumber,
 		Longest:    pool.LongestRun,
 		Ready:      func() error { return d.readyToSend(r, grant, expires) },
 	}
@@ -133,12 +133,12 @@
 	if !known || d.leaving[grant.Target] || !state.Allowed(r.claim.Account, grant.Target) {
 		return target, false
 	}
-	if grant.Number > state.Number {
+	if grant.ConfigNumber > state.Number {
 		// The leader knows of notes that this daemon lacks, so catch up first.
-		d.pull(now, yuccapeer.PeerConfig{Peer: grant.Leader, Number: grant.Number})
+		d.pull(now, yuccapeer.PeerConfig{Peer: grant.Leader, Number: grant.ConfigNumber})
 		return target, false
 	}
-	return target, grant.Expires > 0 && now.Before(r.deadline)
+	return target, grant.ValidFor > 0 && now.Before(r.deadline)
 }
 
 // dispatch runs on a goroutine of its own: it connects, sends the request once and
--- a/io/yuccadaemon/frames.go
+++ b/io/yuccadaemon/frames.go
@@ -43,7 +43,7 @@
 		return decoded(frame, func(message yuccawire.Finished) { d.onFinished(now, message.Pool, d.finished(from, message)) })
 	case yuccawire.KindHold:
 		return decoded(frame, func(message yuccawire.Hold) {
-			running := yuccapool.Running{Ask: d.ask(from, message.Offer), Target: message.Target, Answered: message.Answered}
+			running := yuccapool.Running{Request: d.ask(from, message.Offer), Target: message.Target, Answered: message.Answered}
 			d.onHold(now, message.Offer.Pool, running)
 		})
 	case yuccawire.KindGrant:
--- a/io/yuccadaemon/leader.go
+++ b/io/yuccadaemon/leader.go
@@ -58,7 +58,7 @@
 	led := &lead{pool: pool, leader: yuccapool.New(pool, d.self.Incarnation, rand.New(rand.NewPCG(seed, uint64(now.UnixNano()))))}
 	led.planner = yuccaorder.New(now)
 	d.leads[pool] = led
-	led.leader.BeginGather(now, now.Add(gatherFor))
+	led.leader.HoldGrantsUntil(now, now.Add(gatherFor))
 	d.apply(now, pool, led.leader.Configure(now, d.view(d.State(), pool)))
 	ctx, stop := context.WithCancel(d.traffic)
 	led.stop = stop
@@ -79,13 +79,13 @@
 }
 
 // view is what a pool's decisions need to know of the configuration.
-func (d *Daemon) view(state *yuccastate.State, pool yuccaid.Pool) yuccapool.View {
-	view := yuccapool.View{
-		Number:     state.Number,
-		Plain:      state.Pools[pool].Kind == yuccastate.PoolService,
-		LongestRun: state.Pools[pool].LongestRun,
-		Policy:     yuccapool.Policy{GoodputWeight: state.Policy.GoodputWeight, WasteWeight: state.Policy.WasteWeight},
-		Accounts:   make(map[yuccaid.Account]yuccapool.AccountView, len(state.Accounts)),
+func (d *Daemon) view(state *yuccastate.State, pool yuccaid.Pool) yuccapool.PoolConfig {
+	view := yuccapool.PoolConfig{
+		ConfigNumber: state.Number,
+		PlainService: state.Pools[pool].Kind == yuccastate.PoolService,
+		LongestRun:   state.Pools[pool].LongestRun,
+		Policy:       yuccapool.Policy{GoodputWeight: state.Policy.GoodputWeight, WasteWeight: state.Policy.WasteWeight},
+		Accounts:     make(map[yuccaid.Account]yuccapool.AccountConfig, len(state.Accounts)),
 	}
 	names := d.targetsOf(state, pool)
 	used := d.peers.TargetShare().Select(names)
@@ -97,7 +97,7 @@
 		})
 	}
 	for name, account := range state.Accounts {
-		view.Accounts[name] = yuccapool.AccountView{
+		view.Accounts[name] = yuccapool.AccountConfig{
 			Weight:  account.Weight,
 			Limits:  yuccapool.Limits(account.Limits),
 			Targets: account.Targets,
@@ -127,7 +127,7 @@
 			continue
 		}
 		d.tellOwner(grant.Owner, grant.ID, yuccawire.KindGrant, yuccawire.Grant{
-			Pool: pool, Ref: d.ref(grant.ID), Target: grant.Target, ExpiresMillis: grant.Expires.Milliseconds(), Number: grant.Number,
+			Pool: pool, Ref: d.ref(grant.ID), Target: grant.Target, ExpiresMillis: grant.ValidFor.Milliseconds(), Number: grant.ConfigNumber,
 		})
 	}
 	for _, refusal := range decisions.Refusals {
@@ -136,7 +136,7 @@
 			continue
 		}
 		d.tellOwner(refusal.Owner, refusal.ID, yuccawire.KindRefusal, yuccawire.Refusal{
-			Pool: pool, Ref: d.ref(refusal.ID), Reason: string(refusal.Reason), BackMillis: refusal.Back.Milliseconds(),
+			Pool: pool, Ref: d.ref(refusal.ID), Reason: string(refusal.Reason), BackMillis: refusal.RetryAfter.Milliseconds(),
 		})
 	}
 	for _, cancel := range decisions.Cancels {
@@ -145,7 +145,7 @@
 			continue
 		}
 		d.tellOwner(cancel.Owner, cancel.ID, yuccawire.KindCancel, yuccawire.Cancel{
-			Pool: pool, Ref: d.ref(cancel.ID), Target: cancel.Target, Reason: string(cancel.Reason), BackMillis: cancel.Back.Milliseconds(),
+			Pool: pool, Ref: d.ref(cancel.ID), Target: cancel.Target, Reason: string(cancel.Reason), BackMillis: cancel.RetryAfter.Milliseconds(),
 		})
 	}
 }
@@ -160,7 +160,7 @@
 		d.onNotLeader(now, ask.ID)
 		return
 	}
-	d.apply(now, ask.Pool, led.leader.Offer(now, ask))
+	d.apply(now, ask.Pool, led.leader.Submit(now, ask))
 }
 
 // onNotLeader makes the next tick look for the leader again.
@@ -178,19 +178,19 @@
 
 func (d *Daemon) onProgress(now time.Time, pool yuccaid.Pool, progress yuccapool.Progress) {
 	if led, leads := d.leads[pool]; leads {
-		d.apply(now, pool, led.leader.Progress(now, progress))
+		d.apply(now, pool, led.leader.RunProgressed(now, progress))
 	}
 }
 
 func (d *Daemon) onFinished(now time.Time, pool yuccaid.Pool, finished yuccapool.Finished) {
 	if led, leads := d.leads[pool]; leads {
-		d.apply(now, pool, led.leader.Finished(now, finished))
+		d.apply(now, pool, led.leader.RunFinished(now, finished))
 	}
 }
 
 func (d *Daemon) onHold(now time.Time, pool yuccaid.Pool, running yuccapool.Running) {
 	if led, leads := d.leads[pool]; leads {
-		led.leader.Hold(now, running)
+		led.leader.AddRunning(now, running)
 	}
 }
 
@@ -203,6 +203,6 @@
 // ownerGone takes back what was promised to a daemon that has left.
 func (d *Daemon) ownerGone(now time.Time, inc yuccaid.Incarnation) {
 	for pool, led := range d.leads {
-		d.apply(now, pool, led.leader.OwnerGone(now, inc))
+		d.apply(now, pool, led.leader.DropOwner(now, inc))
 	}
 }
--- a/io/yuccadaemon/member.go
+++ b/io/yuccadaemon/member.go
@@ -134,7 +134,7 @@
 	ask := r.ask
 	ask.Remaining = r.remaining(now)
 	if leader.Incarnation == d.self.Incarnation {
-		d.onHold(now, r.claim.Pool, yuccapool.Running{Ask: ask, Target: r.target, Answered: r.answered})
+		d.onHold(now, r.claim.Pool, yuccapool.Running{Request: ask, Target: r.target, Answered: r.answered})
 		return
 	}
 	_ = d.send(leader.Incarnation, yuccawire.KindHold, yuccawire.Hold{Offer: d.wireOffer(ask), Target: r.target, Answered: r.answered})
--- a/io/yuccadaemon/owner.go
+++ b/io/yuccadaemon/owner.go
@@ -191,7 +191,7 @@
 // offer brings a waiting request to its pool's leader, or notes that there is none.
 func (d *Daemon) offer(now time.Time, r *run) {
 	if len(d.targetsOf(d.State(), r.claim.Pool)) == 0 {
-		d.onRefusal(now, yuccapool.Refusal{ID: r.id, Reason: yuccaqueue.ReasonNoTarget, Back: fullBack})
+		d.onRefusal(now, yuccapool.Refusal{ID: r.id, Reason: yuccaqueue.ReasonNoTarget, RetryAfter: fullBack})
 		return
 	}
 	leader, found := d.peers.Leader(r.claim.Pool)
@@ -318,7 +318,7 @@
 	if !open || r.running || d.shift(now, r, refusal) {
 		return
 	}
-	d.giveUp(now, r, yuccaonce.Reason(refusal.Reason), refusal.Back)
+	d.giveUp(now, r, yuccaonce.Reason(refusal.Reason), refusal.RetryAfter)
 }
 
 // onCancel ends a running generation that gives way to more urgent work.
@@ -328,7 +328,7 @@
 		return
 	}
 	r.preempted = yuccaonce.Reason(cancel.Reason)
-	r.back = cancel.Back
+	r.back = cancel.RetryAfter
 	r.stop()
 }
 
--- a/io/yuccadaemon/placing.go
+++ b/io/yuccadaemon/placing.go
@@ -90,20 +90,20 @@
 func (d *Daemon) grant(leader yuccaid.Incarnation, message yuccawire.Grant) yuccapool.Grant {
 	return yuccapool.Grant{
 		ID: d.unref(d.self.Incarnation, message.Ref), Owner: d.self.Incarnation, Leader: leader, Target: message.Target,
-		Expires: time.Duration(message.ExpiresMillis) * time.Millisecond, Number: message.Number,
+		ValidFor: time.Duration(message.ExpiresMillis) * time.Millisecond, ConfigNumber: message.Number,
 	}
 }
 
 func (d *Daemon) refusal(message yuccawire.Refusal) yuccapool.Refusal {
 	return yuccapool.Refusal{
 		ID: d.unref(d.self.Incarnation, message.Ref), Owner: d.self.Incarnation,
-		Reason: yuccaqueue.Reason(message.Reason), Back: time.Duration(message.BackMillis) * time.Millisecond,
+		Reason: yuccaqueue.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
 	}
 }
 
 func (d *Daemon) cancel(message yuccawire.Cancel) yuccapool.Cancel {
 	return yuccapool.Cancel{
 		ID: d.unref(d.self.Incarnation, message.Ref), Owner: d.self.Incarnation, Target: message.Target,
-		Reason: yuccaqueue.Reason(message.Reason), Back: time.Duration(message.BackMillis) * time.Millisecond,
+		Reason: yuccaqueue.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
 	}
 }
--- a/io/yuccadaemon/placing_test.go
+++ b/io/yuccadaemon/placing_test.go
@@ -62,7 +62,7 @@
 
 		grant, bytes := sent(yuccawire.KindGrant, yuccawire.Grant{Pool: "draft", Ref: d.ref(id), Target: "engine-1", ExpiresMillis: 2000, Number: 1000})
 		Expect(d.grant(d.self.Incarnation, grant)).To(Equal(yuccapool.Grant{
-			ID: id, Owner: d.self.Incarnation, Leader: d.self.Incarnation, Target: "engine-1", Expires: 2 * time.Second, Number: 1000,
+			ID: id, Owner: d.self.Incarnation, Leader: d.self.Incarnation, Target: "engine-1", ValidFor: 2 * time.Second, ConfigNumber: 1000,
 		}))
 		Expect(bytes).To(BeNumerically("<=", 50))
 	})
--- a/io/yuccadaemon/poll.go
+++ b/io/yuccadaemon/poll.go
@@ -101,7 +101,7 @@
 
 func (d *Daemon) onLoad(now time.Time, pool yuccaid.Pool, name yuccaid.Target, load yuccatarget.Load) {
 	if led, leads := d.leads[pool]; leads {
-		d.apply(now, pool, led.leader.Report(now, yuccapool.Report{
+		d.apply(now, pool, led.leader.ApplyReport(now, yuccapool.LoadReport{
 			Target: name, Age: load.Age(), Waiting: load.Waiting, Running: load.Running, Queued: load.Queued, Leaving: load.Leaving,
 		}))
 	}
@@ -114,7 +114,7 @@
 	}
 	gap := events.Gap
 	for _, event := range events.Events {
-		led.leader.CacheEvent(now, yuccapool.CacheEvent{Target: name, Stored: event.Stored, Evicted: event.Evicted, Gap: gap})
+		led.leader.ApplyCacheEvent(now, yuccapool.CacheEvent{Target: name, Stored: event.Stored, Evicted: event.Evicted, EventsLost: gap})
 		gap = false
 	}
 }
--- a/io/yuccameasure/leader.go
+++ b/io/yuccameasure/leader.go
@@ -103,7 +103,7 @@
 	bnc := newBench(size)
 	view := bnc.view()
 	row.Configure, _ = timed(plan.Repeat, func() {
-		view.Number++
+		view.ConfigNumber++
 		bnc.take(bnc.leader.Configure(bnc.now, view))
 	})
 	for range size.targets*leaderSlots + size.waiting {
@@ -133,15 +133,15 @@
 	return bnc
 }
 
-func (bnc *bench) view() yuccapool.View {
-	view := yuccapool.View{Number: 1, LongestRun: time.Hour, Accounts: make(map[yuccaid.Account]yuccapool.AccountView)}
+func (bnc *bench) view() yuccapool.PoolConfig {
+	view := yuccapool.PoolConfig{ConfigNumber: 1, LongestRun: time.Hour, Accounts: make(map[yuccaid.Account]yuccapool.AccountConfig)}
 	for index := range bnc.size.targets {
 		view.Targets = append(view.Targets, yuccapool.Target{
 			Name: targetName(index), Slots: leaderSlots, Prefill: 4000, Decode: 50, Cache: 200_000,
 		})
 	}
 	for index := range bnc.size.accounts {
-		view.Accounts[accountName(index)] = yuccapool.AccountView{Weight: 1}
+		view.Accounts[accountName(index)] = yuccapool.AccountConfig{Weight: 1}
 	}
 	return view
 }
@@ -159,7 +159,7 @@
 	}
 	// The text is as long as a signed id.
 	id := yuccaid.RequestID(fmt.Sprintf("%s.%x.%x.%032x", bnc.self, bnc.number, bnc.now.UnixMilli(), bnc.number))
-	bnc.take(bnc.leader.Offer(bnc.now, yuccapool.Ask{
+	bnc.take(bnc.leader.Submit(bnc.now, yuccapool.Ask{
 		ID: id, Owner: bnc.self, Account: accountName(bnc.number % bnc.size.accounts), Tier: tier, Rank: 1,
 		Pool: draftPool, Operation: "generate", Idempotent: true, Remaining: 24 * time.Hour,
 		Prompt: 1024, Answer: 200, Prefixes: prefixes, Centre: centreName(0),
@@ -176,9 +176,9 @@
 	}
 	grant := bnc.running[0]
 	bnc.running = bnc.running[1:]
-	bnc.take(bnc.leader.Progress(bnc.now, yuccapool.Progress{ID: grant.ID}))
-	bnc.take(bnc.leader.Progress(bnc.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
-	bnc.take(bnc.leader.Finished(bnc.now, yuccapool.Finished{
+	bnc.take(bnc.leader.RunProgressed(bnc.now, yuccapool.Progress{ID: grant.ID}))
+	bnc.take(bnc.leader.RunProgressed(bnc.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
+	bnc.take(bnc.leader.RunFinished(bnc.now, yuccapool.Finished{
 		ID: grant.ID, Target: grant.Target, Ran: true, Prompt: 1024, Answer: 200,
 		Prefill: 256 * time.Millisecond, Decode: 4 * time.Second,
 	}))
