--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -1,96 +1,101 @@
-// Package yuccawindow sums what happened within a sliding window of time.
+// Package yuccawindow sums amounts over a sliding time window.
 package yuccawindow
 
 import "time"
 
-// Parts is into how many parts a window is divided. The oldest part leaves as a whole, so
-// what is counted lies between the window and one part less.
+// Parts is the number of equal buckets that a window is divided into. The oldest bucket
+// expires as a whole, so a sum covers between Parts-1 and Parts buckets.
 const Parts = 32
 
-const slots = Parts
+const buckets = Parts
 
-// Sum is a sum over a window. Its zero value is empty; Advance it before it is read.
+// Sum is the sum of the amounts that were added within a window. The zero value is empty; call
+// Advance before reading it.
 //
-// Time is counted from the first call, so that a step of the wall clock neither empties a
-// window nor keeps it for ever.
+// Time is measured from the first call of Advance, so that a step of the wall clock neither
+// empties the window nor keeps amounts in it for longer.
 type Sum struct {
-	began time.Time
-	span  time.Duration
-	slot  [slots]int64
-	last  int64
-	total int64
+	started time.Time
+	span    time.Duration
+	// bucket is a ring: the bucket with number n since the start is at index n%buckets.
+	bucket [buckets]int64
+	// current is the number of the newest bucket.
+	current int64
+	total   int64
 }
 
-// Advance drops what has left a window of the given span. Another span than last time
-// empties the sum.
+// Advance moves a window of the given span to now and drops the buckets that have left it. A
+// span that differs from the one of the previous call empties the sum.
 func (sum *Sum) Advance(now time.Time, span time.Duration) {
-	if sum.began.IsZero() || sum.span != span {
-		*sum = Sum{began: now, span: span}
+	if sum.started.IsZero() || sum.span != span {
+		*sum = Sum{started: now, span: span}
 	}
-	slot := int64(now.Sub(sum.began) / max(span/slots, 1))
-	if slot-sum.last >= slots {
-		sum.slot, sum.last, sum.total = [slots]int64{}, slot, 0
+	number := int64(now.Sub(sum.started) / max(span/buckets, 1))
+	if number-sum.current >= buckets {
+		sum.bucket, sum.current, sum.total = [buckets]int64{}, number, 0
 	}
-	for sum.last < slot {
-		sum.last++
-		sum.total -= sum.slot[sum.last%slots]
-		sum.slot[sum.last%slots] = 0
+	for sum.current < number {
+		sum.current++
+		sum.total -= sum.bucket[sum.current%buckets]
+		sum.bucket[sum.current%buckets] = 0
 	}
 }
 
-// Add counts an amount now. A negative one takes back what was counted, down to nothing.
+// Add adds an amount at the current time. A negative amount is subtracted, but the total
+// doesn't drop below zero.
 func (sum *Sum) Add(amount int64) {
 	amount = max(amount, -sum.total)
-	sum.slot[sum.last%slots] += amount
+	sum.bucket[sum.current%buckets] += amount
 	sum.total += amount
 }
 
-// AddHalfWindowAgo counts an amount as if half a window ago.
+// AddHalfWindowAgo adds an amount with an age of half the window.
 func (sum *Sum) AddHalfWindowAgo(amount int64) {
-	sum.slot[(sum.last-slots/2+slots)%slots] += amount
+	sum.bucket[(sum.current-buckets/2+buckets)%buckets] += amount
 	sum.total += amount
 }
 
-// AgeGroups is into how many parts AgeGroups divides a window.
-const AgeGroups = slots / 2
+// AgeGroups is the number of equal parts of the window by which Ages groups amounts.
+const AgeGroups = buckets / 2
 
-// Ages returns the sum by how long ago it was counted, the latest first.
+// Ages returns the sum of each age group, the most recent group first.
 func (sum *Sum) Ages() [AgeGroups]int64 {
 	var ages [AgeGroups]int64
-	for back := range int64(slots) {
-		ages[back/(slots/AgeGroups)] += sum.slot[(sum.last-back+slots)%slots]
+	for age := range int64(buckets) {
+		ages[age/(buckets/AgeGroups)] += sum.bucket[(sum.current-age+buckets)%buckets]
 	}
 	return ages
 }
 
-// AddAtAge counts an amount, or takes it back, at one of the ages: as old as that part
-// reaches. An amount that is passed on again and again never grows younger by it.
-func (sum *Sum) AddAtAge(age int, amount int64) {
-	back := int64(age+1)*(slots/AgeGroups) - 1
-	sum.slot[(sum.last-back+slots)%slots] += amount
+// AddAtAge adds an amount, which may be negative, to the oldest bucket of an age group. Because
+// the oldest bucket is used, an amount that daemons copy from one another's windows never
+// becomes younger.
+func (sum *Sum) AddAtAge(group int, amount int64) {
+	age := int64(group+1)*(buckets/AgeGroups) - 1
+	sum.bucket[(sum.current-age+buckets)%buckets] += amount
 	sum.total += amount
 }
 
-// Total returns the sum.
+// Total returns the sum over the whole window.
 func (sum *Sum) Total() int64 { return sum.total }
 
-// Recent returns what was counted within the last of the window, in whole parts.
-func (sum *Sum) Recent(ago time.Duration) int64 {
-	width := max(sum.span/slots, 1)
-	parts := min(int64((ago+width-1)/width)+1, slots)
+// Recent returns the sum over the most recent span of the window, rounded up to whole buckets.
+func (sum *Sum) Recent(span time.Duration) int64 {
+	width := max(sum.span/buckets, 1)
+	count := min(int64((span+width-1)/width)+1, buckets)
 	recent := int64(0)
-	for back := range parts {
-		recent += sum.slot[(sum.last-back+slots)%slots]
+	for age := range count {
+		recent += sum.bucket[(sum.current-age+buckets)%buckets]
 	}
 	return recent
 }
 
-// ExpiresIn returns how long it takes until an amount has left the window.
+// ExpiresIn returns how long it takes until at least the given amount has left the window.
 func (sum *Sum) ExpiresIn(amount int64) time.Duration {
-	width := sum.span / slots
+	width := sum.span / buckets
 	wait := width
-	for at := sum.last + 1; at < sum.last+slots && amount > 0; at++ {
-		amount -= sum.slot[at%slots]
+	for number := sum.current + 1; number < sum.current+buckets && amount > 0; number++ {
+		amount -= sum.bucket[number%buckets]
 		wait += width
 	}
 	return wait
--- a/core/yuccawindow/window_test.go
+++ b/core/yuccawindow/window_test.go
@@ -16,7 +16,8 @@
 	RunSpecs(t, "yuccawindow")
 }
 
-// TestOracle compares a sum with one that remembers every amount.
+// TestOracle compares a Sum with exact bounds computed from every single amount: those that
+// certainly lie within the window and those that may.
 func TestOracle(t *testing.T) {
 	const span = 3200 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,17 +34,17 @@
 			sum.Advance(now, span)
 			sum.Add(amount)
 			all = append(all, entry{now, amount})
-			least, most := int64(0), int64(0)
+			lower, upper := int64(0), int64(0)
 			for _, each := range all {
 				if age := now.Sub(each.at); age < span-span/32 {
-					least += each.amount
+					lower += each.amount
 				}
 				if now.Sub(each.at) < span {
-					most += each.amount
+					upper += each.amount
 				}
 			}
-			if sum.Total() < least || sum.Total() > most {
-				t.Fatalf("sum %d, want %d to %d", sum.Total(), least, most)
+			if sum.Total() < lower || sum.Total() > upper {
+				t.Fatalf("sum %d, want %d to %d", sum.Total(), lower, upper)
 			}
 		}
 	})
@@ -52,7 +53,7 @@
 var _ = Describe("a sum over a window", func() {
 	now := time.Unix(1_700_000_000, 0)
 
-	It("takes back no more than was counted", func() {
+	It("subtracts no more than was added", func() {
 		var sum yuccawindow.Sum
 		sum.Advance(now, time.Second)
 		sum.Add(5)
@@ -60,9 +61,9 @@
 		Expect(sum.Total()).To(BeZero())
 	})
 
-	// The time of day of a VM is set back by two seconds. A sum that counted by it would keep
-	// what it holds for so much longer, or lose it.
-	It("doesn't mind a step of the wall clock", func() {
+	// The wall clock of a VM steps back by two seconds. A Sum that used the wall clock would keep
+	// its amounts for two seconds longer, or drop them early.
+	It("isn't affected by a step of the wall clock", func() {
 		real := time.Now()
 		var sum yuccawindow.Sum
 		sum.Advance(real, 3200*time.Millisecond)
@@ -73,7 +74,7 @@
 		Expect(sum.Total()).To(BeZero())
 	})
 
-	It("begins anew with another span", func() {
+	It("is emptied by a change of the span", func() {
 		var sum yuccawindow.Sum
 		sum.Advance(now, time.Second)
 		sum.Add(5)
@@ -81,7 +82,7 @@
 		Expect(sum.Total()).To(BeZero())
 	})
 
-	It("says when an amount has left", func() {
+	It("returns when an amount will have left the window", func() {
 		var sum yuccawindow.Sum
 		sum.Advance(now, 32*time.Second)
 		sum.Add(5)
