--- a/core/yuccabudget/budget_test.go
+++ b/core/yuccabudget/budget_test.go
@@ -12,8 +12,8 @@
 var bounds = yuccabudget.Bounds{Window: 10 * time.Second, Ratio: 0.2, Allowance: 54}
 
 var _ = Describe("the budget of resends", func() {
-	// Every target of a pool fails each request, and each daemon would send each request
-	// once more. The targets would get twice the load that they already can't bear.
+	// Every target of a pool fails every request. Without a limit each daemon would resend each
+	// request, which doubles the load on targets that are overloaded already.
 	It("holds over all daemons and every window", func() {
 		const daemons, perSecond = 7, 5
 		now := time.Unix(1_700_000_000, 0)
@@ -44,7 +44,7 @@
 		Expect(resent).NotTo(BeEmpty())
 	})
 
-	It("allows few when there is no traffic, and again after a quiet time", func() {
+	It("allows only the allowance without traffic, and allows it again after the window", func() {
 		bud := yuccabudget.New(bounds)
 		now := time.Unix(1_700_000_000, 0)
 		count := func() int {
@@ -61,7 +61,7 @@
 		Expect(count()).To(Equal(6))
 	})
 
-	It("counts each pool by itself", func() {
+	It("counts each pool separately", func() {
 		bud := yuccabudget.New(bounds)
 		now := time.Unix(1_700_000_000, 0)
 		for bud.AllowResend(now, "desk", 7) {
--- a/core/yuccabudget/doc.go
+++ b/core/yuccabudget/doc.go
@@ -1,8 +1,8 @@
-// Package yuccabudget bounds how many requests are sent to a second target.
+// Package yuccabudget limits how many requests daemons resend to a second target.
 //
-// When targets fail, sending their requests once more helps the callers of a few and ruins
-// everybody when all do it: the load grows just when the targets can bear it least. The
-// bound is a part of the requests that arrive plus an allowance, over all daemons. Each
-// daemon keeps to the same part of its own requests and to its share of the allowance, so
-// that nobody has to be asked.
+// When few targets fail, resending their requests helps the callers. When most targets fail,
+// resending makes the overload worse, because the load grows just when the targets can handle
+// the least. The limit over all daemons is a share of the requests that arrive plus a fixed
+// allowance. Each daemon applies the same ratio to its own requests and uses an equal share of
+// the allowance, so that no resend needs a message to another daemon.
 package yuccabudget
