--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -30,11 +30,11 @@
 	if sum.started.IsZero() || sum.span != span {
 		*sum = Sum{started: now, span: span}
 	}
-	number := int64(now.Sub(sum.started) / max(span/buckets, 1))
-	if number-sum.current >= buckets {
-		sum.bucket, sum.current, sum.total = [buckets]int64{}, number, 0
+	bucket := int64(now.Sub(sum.started) / max(span/buckets, 1))
+	if bucket-sum.current >= buckets {
+		sum.bucket, sum.current, sum.total = [buckets]int64{}, bucket, 0
 	}
-	for sum.current < number {
+	for sum.current < bucket {
 		sum.current++
 		sum.total -= sum.bucket[sum.current%buckets]
 		sum.bucket[sum.current%buckets] = 0
@@ -61,8 +61,8 @@
 // Ages returns the sum of each age group, the most recent group first.
 func (sum *Sum) Ages() [AgeGroups]int64 {
 	var ages [AgeGroups]int64
-	for age := range int64(buckets) {
-		ages[age/(buckets/AgeGroups)] += sum.bucket[(sum.current-age+buckets)%buckets]
+	for offset := range int64(buckets) {
+		ages[offset/(buckets/AgeGroups)] += sum.bucket[(sum.current-offset+buckets)%buckets]
 	}
 	return ages
 }
@@ -71,21 +71,22 @@
 // the oldest bucket is used, an amount that daemons copy from one another's windows never
 // becomes younger.
 func (sum *Sum) AddAtAge(group int, amount int64) {
-	age := int64(group+1)*(buckets/AgeGroups) - 1
-	sum.bucket[(sum.current-age+buckets)%buckets] += amount
+	offset := int64(group+1)*(buckets/AgeGroups) - 1
+	sum.bucket[(sum.current-offset+buckets)%buckets] += amount
 	sum.total += amount
 }
 
 // Total returns the sum over the whole window.
 func (sum *Sum) Total() int64 { return sum.total }
 
-// Recent returns the sum over the most recent span of the window, rounded up to whole buckets.
-func (sum *Sum) Recent(span time.Duration) int64 {
+// Recent returns the sum over the last part of the window, which has the length of within
+// rounded up to whole buckets.
+func (sum *Sum) Recent(within time.Duration) int64 {
 	width := max(sum.span/buckets, 1)
-	count := min(int64((span+width-1)/width)+1, buckets)
+	count := min(int64((within+width-1)/width)+1, buckets)
 	recent := int64(0)
-	for age := range count {
-		recent += sum.bucket[(sum.current-age+buckets)%buckets]
+	for offset := range count {
+		recent += sum.bucket[(sum.current-offset+buckets)%buckets]
 	}
 	return recent
 }
