--- a/core/yuccaspace/doc.go
+++ b/core/yuccaspace/doc.go
@@ -1,10 +1,11 @@
-// Package yuccaspace bounds what a daemon holds at once, so that no load makes its process
-// outgrow its machine.
+// Package yuccaspace limits the memory and the connections that a daemon uses at once, so that
+// its process stays within the limits of its VM under any load.
 //
-// A process that uses more memory than its machine allows is killed, and all requests that
-// it holds are lost with it; one without descriptors can reach neither targets nor peers.
-// BoundsOf divides a machine, and Space lends its memory to requests: the urgent ones find
-// room for longer than the others. What finds none is refused at once, before it has run.
+// A process that exceeds its memory limit is killed, and all its requests are lost; a process
+// without free file descriptors can connect neither to targets nor to peers. BoundsOf divides
+// the limits of the process among their uses. MemoryLimiter reserves memory for requests and
+// keeps part of it for the more urgent ranks. A request for which no memory is left is refused
+// at once, before it has run.
 //
-// The package has no clock, no sockets and no goroutines.
+// The package uses no clock, no sockets and no goroutines.
 package yuccaspace
--- a/core/yuccaspace/space.go
+++ b/core/yuccaspace/space.go
@@ -3,87 +3,89 @@
 import "yuccacleat/core/yuccaid"
 
 const (
-	// RequestOverhead is what a request under way takes beside its body: two connections with
-	// their buffers, goroutines, the heads of request and answer, and an event that its caller
-	// hasn't read. Measured with 700 streams of 16 KB events whose callers read nothing: 112 KB
-	// of resident memory for each in two runs, part of which the collector had not freed yet.
+	// RequestOverhead is the memory reserved for a running request beside its body. It covers two
+	// connections with their buffers, goroutines, the heads of request and answer, and one event
+	// that the caller hasn't read. The resident memory per stream can be higher: 112 KB with 16 KB
+	// events and callers that read nothing, part of which is garbage not yet collected.
 	RequestOverhead yuccaid.Bytes = 64 << 10
 
-	// requestsPart is the part of a machine's memory that requests under way may take. The
-	// rest is for the program, the configuration, idle connections and what the collector
-	// hasn't freed yet: it lets a heap grow to some twice of what is in use.
-	requestsPart = 0.4
-	// rankKept is the part of that which is kept from each rank for the ranks above it, down
-	// to mostRanks below the first, so that letters with long prompts never shut out an
-	// urgent note.
-	rankKept  = 0.1
-	mostRanks = 3
+	// requestShare is the share of the process's memory that running requests may use. The rest
+	// is for the program, the configuration, idle connections and garbage: the collector lets the
+	// heap grow to about twice the memory in use.
+	requestShare = 0.4
+	// rankReserve is the share of the request memory that each rank leaves to the more urgent
+	// ranks, counted for at most maxReservedRanks ranks. It ensures that letters with long prompts
+	// never block an urgent note.
+	rankReserve      = 0.1
+	maxReservedRanks = 3
 
-	// files are the descriptors that aren't for sockets.
-	files = 200
-	// callersPart of the descriptors are for callers, and as many are left for what their
-	// requests hold at targets. unusedPart are for connections to targets that wait to be used
-	// again. What remains is for peers, the platform, operators and what is just closing.
-	callersPart = 0.4
-	unusedPart  = 0.08
-	// fewest keeps a daemon working whose settings name a machine that is too small.
-	fewest = 16
+	// otherDescriptors is the number of file descriptors that aren't available for sockets.
+	otherDescriptors = 200
+	// callerShare is the share of the descriptors for connections of callers; the same number is
+	// left for the connections to targets that their requests use. idleShare is the share for idle
+	// connections to targets. The rest is for peers, the platform, operators and connections that
+	// are being closed.
+	callerShare = 0.4
+	idleShare   = 0.08
+	// minConnections is the lower limit of each number of connections. It keeps a daemon working
+	// whose settings give too few descriptors.
+	minConnections = 16
 )
 
-// ProcessLimits is what one daemon's process may use; zero stands for no bound.
+// ProcessLimits is what one daemon's process may use; zero means no limit.
 type ProcessLimits struct {
 	Memory      yuccaid.Bytes
 	Descriptors int
 }
 
-// Bounds is what a daemon may hold at once; zero stands for no bound.
+// Bounds is what a daemon may use at once; zero means no limit.
 type Bounds struct {
-	// RequestMemory is the memory of requests under way.
+	// RequestMemory is the memory of all running requests.
 	RequestMemory yuccaid.Bytes
-	// CallerConnections is how many connections callers may have open.
+	// CallerConnections is the number of open connections of callers.
 	CallerConnections int
-	// IdleConnections is how many unused connections to targets may be kept.
+	// IdleConnections is the number of idle connections to targets that are kept open.
 	IdleConnections int
 }
 
-// BoundsOf divides a machine between the uses of it.
-func BoundsOf(machine ProcessLimits) Bounds {
-	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestsPart * float64(machine.Memory))}
-	if machine.Descriptors > 0 {
-		sockets := float64(machine.Descriptors - files)
-		bounds.CallerConnections = max(int(callersPart*sockets), fewest)
-		bounds.IdleConnections = max(int(unusedPart*sockets), fewest)
+// BoundsOf divides the limits of a process among their uses.
+func BoundsOf(limits ProcessLimits) Bounds {
+	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestShare * float64(limits.Memory))}
+	if limits.Descriptors > 0 {
+		sockets := float64(limits.Descriptors - otherDescriptors)
+		bounds.CallerConnections = max(int(callerShare*sockets), minConnections)
+		bounds.IdleConnections = max(int(idleShare*sockets), minConnections)
 	}
 	return bounds
 }
 
-// MemoryLimiter lends memory to requests. It isn't safe for concurrent use; the zero value has no
-// bound.
+// MemoryLimiter reserves memory for requests. It isn't safe for concurrent use. The zero value
+// has no limit.
 type MemoryLimiter struct {
-	limit yuccaid.Bytes
-	taken yuccaid.Bytes
+	limit    yuccaid.Bytes
+	reserved yuccaid.Bytes
 }
 
-// New returns a space of so much memory; zero stands for no bound.
+// New returns a limiter for the given amount of memory; zero means no limit.
 func New(limit yuccaid.Bytes) *MemoryLimiter {
 	return &MemoryLimiter{limit: limit}
 }
 
-// Reserve lends memory to a request, or reports that there is none for its rank. Rank 0 is the
-// most urgent.
-func (sp *MemoryLimiter) Reserve(rank int, size yuccaid.Bytes) bool {
-	open := float64(sp.limit) * (1 - rankKept*float64(min(max(rank, 0), mostRanks)))
-	if sp.limit > 0 && float64(sp.taken+size) > open {
+// Reserve reserves memory for a request and reports whether enough was left for its rank. Rank 0
+// is the most urgent.
+func (mem *MemoryLimiter) Reserve(rank int, size yuccaid.Bytes) bool {
+	available := float64(mem.limit) * (1 - rankReserve*float64(min(max(rank, 0), maxReservedRanks)))
+	if mem.limit > 0 && float64(mem.reserved+size) > available {
 		return false
 	}
-	sp.taken += size
+	mem.reserved += size
 	return true
 }
 
-// Release takes lent memory back.
-func (sp *MemoryLimiter) Release(size yuccaid.Bytes) {
-	sp.taken -= size
+// Release returns memory that Reserve has reserved.
+func (mem *MemoryLimiter) Release(size yuccaid.Bytes) {
+	mem.reserved -= size
 }
 
-// Reserved returns how much is lent.
-func (sp *MemoryLimiter) Reserved() yuccaid.Bytes { return sp.taken }
+// Reserved returns how much memory is reserved.
+func (mem *MemoryLimiter) Reserved() yuccaid.Bytes { return mem.reserved }
