--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -13,8 +13,8 @@
 type Table struct {
 	number yuccaid.ConfigNumber
 	config Config
-	// routes holds the routes of each host, those with the longest prefix first.
-	routes map[string][]*Route
+	// byHost holds the routes of each host, those with the longest prefix first.
+	byHost map[string][]*Route
 	pools  map[yuccaid.Pool]*Pool
 	// byKey and byName hold the accounts by each of their keys and by their names.
 	byKey  map[string]*Account
@@ -27,7 +27,7 @@
 	tab := &Table{
 		number: number,
 		config: config,
-		routes: make(map[string][]*Route),
+		byHost: make(map[string][]*Route),
 		pools:  make(map[yuccaid.Pool]*Pool, len(config.Pools)),
 		byKey:  make(map[string]*Account),
 		byName: make(map[yuccaid.Account]*Account, len(config.Accounts)),
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 	}
-	for _, routes := range tab.routes {
+	for _, routes := range tab.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int {
 			return cmp.Compare(len(b.Prefix), len(a.Prefix))
 		})
@@ -71,7 +71,7 @@
 		}
 	}
 	host := hostOf(route.Host)
-	tab.routes[host] = append(tab.routes[host], route)
+	tab.byHost[host] = append(tab.byHost[host], route)
 	return nil
 }
 
@@ -83,7 +83,7 @@
 
 // Route returns the route of a host that has the longest prefix of the path.
 func (tab *Table) Route(host, path string) (*Route, bool) {
-	for _, route := range tab.routes[hostOf(host)] {
+	for _, route := range tab.byHost[hostOf(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
--- a/core/yuccaspace/space_test.go
+++ b/core/yuccaspace/space_test.go
@@ -66,7 +66,7 @@
 			for range rapid.IntRange(1, 200).Draw(t, "steps") {
 				size := yuccaid.Bytes(rapid.IntRange(1, 300).Draw(t, "size"))
 				rank := rapid.IntRange(0, 6).Draw(t, "rank")
-				if len(sizes) > 0 && rapid.Bool().Draw(t, "release") {
+				if len(sizes) > 0 && rapid.Bool().Draw(t, "give") {
 					limiter.Release(sizes[0])
 					sizes = sizes[1:]
 					continue
