--- a/core/yuccashift/doc.go
+++ b/core/yuccashift/doc.go
@@ -1,8 +1,9 @@
-// Package yuccashift decides which other data centre may take a request that its own
-// refuses for load.
+// Package yuccashift selects another data centre for a request that the caller's own data centre
+// has refused because of load.
 //
-// A request is first offered where its caller is, since traffic between regions is slow
-// and paid by volume. Only when that data centre refuses is another one asked, by an
-// offer to the other side's leader, which knows its own queue and answers at once. So
-// no load reports cross regions, and a shift costs messages only when it is needed.
+// A request is first offered to the leader in the data centre of its caller, because traffic
+// between regions is slow and paid for by volume. Only if that leader refuses is the request
+// offered to the leader of another data centre, which knows its own queue and answers at once.
+// Therefore no load reports are sent between regions, and messages are sent only for requests
+// that are shifted.
 package yuccashift
--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -11,157 +11,163 @@
 )
 
 const (
-	// DefaultMaxTries is how many other data centres one request is offered to. Each try
-	// costs a round trip of the time that remains; in an overload of all regions more
-	// tries would only add messages where there is no room anywhere.
+	// DefaultMaxTries is the number of other data centres that one request is offered to. Each
+	// offer takes a round trip of the request's remaining time, and when all regions are
+	// overloaded, more offers would only add messages.
 	DefaultMaxTries = 2
-	// DefaultMaxPrice is the most that one request may cost in traffic between regions, in
-	// the unit of the links' prices. It lets a long rulebook of a megabyte and its
-	// answer through at up to 5 a gigabyte, and stops a mistyped price.
+	// DefaultMaxPrice is the highest price of one request's traffic between regions, in the unit
+	// of the links' prices. It admits a prompt of a megabyte with its answer at a price of up to 5
+	// per gigabyte, and rejects a mistyped price.
 	DefaultMaxPrice = 0.01
-	// DefaultDelay is assumed one way between regions for which no link is configured.
+	// DefaultDelay is the one-way delay between regions that have no configured link.
 	DefaultDelay = 30 * time.Millisecond
-	// nearDelay is the way between data centres of one region.
-	nearDelay = time.Millisecond
-	// roundTrips are needed before the first token: offer and grant, then request and
-	// answer. A remainder shorter than that can't be met.
+	// sameRegionDelay is the one-way delay between data centres of one region.
+	sameRegionDelay = time.Millisecond
+	// roundTrips is the number of round trips before the first token: offer and grant, then
+	// request and answer. A shorter remaining time can't be met.
 	roundTrips = 2
-	// bytesPerToken is what a token costs on the way, with its framing.
+	// bytesPerToken is the size of a token on the wire, with its framing.
 	bytesPerToken = 8
 	gigabyte      = 1 << 30
 )
 
-// Planner remembers which data centres have refused lately.
+// Planner selects data centres and keeps track of those that have recently refused requests.
 type Planner struct {
-	tries   int
-	price   float64
-	refused map[place]time.Time
+	maxTries int
+	maxPrice float64
+	refused  map[refusalKey]time.Time
 }
 
-// place is what one refusal speaks of: another pool or tier may find room there.
-type place struct {
+// refusalKey identifies what a refusal applies to. The same data centre may still accept requests
+// of another pool or rank.
+type refusalKey struct {
 	centre yuccaid.Centre
 	pool   yuccaid.Pool
 	rank   int
 }
 
-// Option changes a planner's limits.
+// Option configures a Planner.
 type Option func(*Planner)
 
-// WithMaxTries sets how many other data centres one request is offered to.
-func WithMaxTries(tries int) Option {
-	return func(plan *Planner) { plan.tries = tries }
+// WithMaxTries sets the number of other data centres that one request is offered to.
+func WithMaxTries(maxTries int) Option {
+	return func(plan *Planner) { plan.maxTries = maxTries }
 }
 
-// WithMaxPrice sets the most that one request may cost in traffic.
-func WithMaxPrice(price float64) Option {
-	return func(plan *Planner) { plan.price = price }
+// WithMaxPrice sets the highest price of one request's traffic between regions.
+func WithMaxPrice(maxPrice float64) Option {
+	return func(plan *Planner) { plan.maxPrice = maxPrice }
 }
 
-// New returns a planner that has heard no refusals.
+// New returns a Planner without any recorded refusals.
 func New(options ...Option) *Planner {
-	plan := &Planner{tries: DefaultMaxTries, price: DefaultMaxPrice, refused: make(map[place]time.Time)}
+	plan := &Planner{maxTries: DefaultMaxTries, maxPrice: DefaultMaxPrice, refused: make(map[refusalKey]time.Time)}
 	for _, option := range options {
 		option(plan)
 	}
 	return plan
 }
 
-// Candidate is a data centre to offer a request to.
+// Candidate is a data centre that a request can be offered to.
 type Candidate struct {
 	Centre yuccaid.Centre
-	// Delay is the way there; the leader there is told the remaining time less both
-	// round trips, since it can't know how far away the owner is.
+	// Delay is the one-way delay to the data centre.
 	Delay time.Duration
 	Price float64
 }
 
-// Remaining is the time that the leader at the place has for a request.
-func (place Candidate) Remaining(remaining time.Duration) time.Duration {
-	return remaining - roundTrips*2*place.Delay
+// Remaining returns the time that the candidate's leader has for a request: the remaining time
+// of the owner less both round trips. The owner subtracts them, because the leader can't know how
+// far away the owner is.
+func (candidate Candidate) Remaining(remaining time.Duration) time.Duration {
+	return remaining - roundTrips*2*candidate.Delay
 }
 
-// Next returns where to offer a request that its own data centre and those already
-// tried have refused, cheapest first, and false when it has to be given up.
+// Next returns the cheapest data centre to offer a request to, after the request's own data
+// centre and those in tried have refused it. It returns false if there is none.
 //
-// It is made for a burst or a skewed demand in one data centre while others have room.
-// The harm it prevents is an urgent request refused beside idle engines. Its limits:
-// at most some tries, a bound on the price, no offer where the way alone takes the
-// time that remains, and none where the same tier was refused until the time named.
-func (plan *Planner) Next(now time.Time, state *yuccastate.State, ask yuccaqueue.Ask, tried []yuccaid.Centre) (Candidate, bool) {
-	if len(tried) >= plan.tries {
+// Shifting is meant for a burst or for skewed demand, where one data centre is overloaded while
+// others have free slots: without it an urgent request would be refused although engines
+// elsewhere are idle. A request is offered to a limited number of data centres, and none is
+// offered that exceeds the highest price, whose remaining time is shorter than the round trips,
+// or whose rank was refused there and may not be retried yet.
+func (plan *Planner) Next(now time.Time, state *yuccastate.State, request yuccaqueue.Ask, tried []yuccaid.Centre) (Candidate, bool) {
+	if len(tried) >= plan.maxTries {
 		return Candidate{}, false
 	}
-	var places []Candidate
-	for _, centre := range centresOf(state, ask) {
-		if centre == ask.Centre || slices.Contains(tried, centre) {
+	var candidates []Candidate
+	for _, centre := range centresOf(state, request) {
+		if centre == request.Centre || slices.Contains(tried, centre) {
 			continue
 		}
-		candidate := reach(state, ask, centre)
-		if plan.worth(now, ask, candidate) {
-			places = append(places, candidate)
+		candidate := candidateFor(state, request, centre)
+		if plan.acceptable(now, request, candidate) {
+			candidates = append(candidates, candidate)
 		}
 	}
-	if len(places) == 0 {
+	if len(candidates) == 0 {
 		return Candidate{}, false
 	}
-	return slices.MinFunc(places, compare), true
+	return slices.MinFunc(candidates, compareCandidates), true
 }
 
-// MarkRefused notes that a data centre had no room for a tier, and until when.
-func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, ask yuccaqueue.Ask, back time.Duration) {
-	plan.forget(now)
-	plan.refused[place{centre, ask.Pool, ask.Rank}] = now.Add(back)
+// MarkRefused records that a data centre has refused a request, so that Next doesn't return it
+// for the same pool and rank before retryAfter has passed.
+func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, request yuccaqueue.Ask, retryAfter time.Duration) {
+	plan.removeExpired(now)
+	plan.refused[refusalKey{centre, request.Pool, request.Rank}] = now.Add(retryAfter)
 }
 
-func (plan *Planner) worth(now time.Time, ask yuccaqueue.Ask, candidate Candidate) bool {
-	if candidate.Price > plan.price || candidate.Remaining(ask.Remaining) <= 0 {
+func (plan *Planner) acceptable(now time.Time, request yuccaqueue.Ask, candidate Candidate) bool {
+	if candidate.Price > plan.maxPrice || candidate.Remaining(request.Remaining) <= 0 {
 		return false
 	}
-	return !now.Before(plan.refused[place{candidate.Centre, ask.Pool, ask.Rank}])
+	return !now.Before(plan.refused[refusalKey{candidate.Centre, request.Pool, request.Rank}])
 }
 
-// forget drops what no longer holds; the map has an entry for each centre, pool and
-// tier at most.
-func (plan *Planner) forget(now time.Time) {
-	for key, until := range plan.refused {
-		if !now.Before(until) {
+// removeExpired removes the refusals that have expired. The map has at most one entry for each
+// data centre, pool and rank.
+func (plan *Planner) removeExpired(now time.Time) {
+	for key, expires := range plan.refused {
+		if !now.Before(expires) {
 			delete(plan.refused, key)
 		}
 	}
 }
 
-// centresOf returns the data centres with a target that the request may use.
-func centresOf(state *yuccastate.State, ask yuccaqueue.Ask) []yuccaid.Centre {
+// centresOf returns the data centres that have a target which the request may use.
+func centresOf(state *yuccastate.State, request yuccaqueue.Ask) []yuccaid.Centre {
 	var centres []yuccaid.Centre
 	for name, target := range state.Targets {
-		if target.Pool == ask.Pool && !slices.Contains(centres, target.Centre) && state.Allowed(ask.Account, name) {
+		if target.Pool == request.Pool && !slices.Contains(centres, target.Centre) && state.Allowed(request.Account, name) {
 			centres = append(centres, target.Centre)
 		}
 	}
 	return centres
 }
 
-// reach says how far a data centre is and what the request's traffic costs. The
-// answer is paid for where it leaves, the prompt where the owner is.
-func reach(state *yuccastate.State, ask yuccaqueue.Ask, centre yuccaid.Centre) Candidate {
-	home, there := state.Centres[ask.Centre].Region, state.Centres[centre].Region
-	if home == there {
-		return Candidate{Centre: centre, Delay: nearDelay}
+// candidateFor returns a data centre with its delay and the price of the request's traffic.
+// The prompt is charged in the owner's region and the answer in the target's region, because
+// traffic is paid for where it leaves.
+func candidateFor(state *yuccastate.State, request yuccaqueue.Ask, centre yuccaid.Centre) Candidate {
+	localRegion, remoteRegion := state.Centres[request.Centre].Region, state.Centres[centre].Region
+	if localRegion == remoteRegion {
+		return Candidate{Centre: centre, Delay: sameRegionDelay}
 	}
-	delay := max(state.Links[home].Delay, state.Links[there].Delay)
+	delay := max(state.Links[localRegion].Delay, state.Links[remoteRegion].Delay)
 	if delay == 0 {
 		delay = DefaultDelay
 	}
-	price := cost(ask.Prompt, state.Links[home]) + cost(ask.Answer, state.Links[there])
+	price := trafficPrice(request.Prompt, state.Links[localRegion]) + trafficPrice(request.Answer, state.Links[remoteRegion])
 	return Candidate{Centre: centre, Delay: delay, Price: price}
 }
 
-func cost(tokens yuccaid.Tokens, link yuccastate.Link) float64 {
+func trafficPrice(tokens yuccaid.Tokens, link yuccastate.Link) float64 {
 	return float64(tokens*bytesPerToken) / gigabyte * link.PricePerGigabyte
 }
 
-// compare prefers the cheaper, then the nearer; names break ties alike everywhere.
-func compare(a, b Candidate) int {
+// compareCandidates orders by price, then by delay. Names break ties, so that all daemons get the
+// same order.
+func compareCandidates(a, b Candidate) int {
 	return cmp.Or(cmp.Compare(a.Price, b.Price), cmp.Compare(a.Delay, b.Delay), cmp.Compare(a.Centre, b.Centre))
 }
--- a/core/yuccashift/shift_test.go
+++ b/core/yuccashift/shift_test.go
@@ -20,8 +20,8 @@
 
 var now = time.Unix(1_700_000_000, 0)
 
-// world has two data centres at home and one in each of two other regions.
-func world() *yuccastate.State {
+// testState has two data centres in region a and one in each of the regions b and c.
+func testState() *yuccastate.State {
 	state := yuccastate.Empty()
 	state.Centres = map[yuccaid.Centre]yuccastate.Centre{"a1": {Region: "a"}, "a2": {Region: "a"}, "b1": {Region: "b"}, "c1": {Region: "c"}}
 	state.Links = map[yuccaid.Region]yuccastate.Link{
@@ -42,41 +42,41 @@
 }
 
 var _ = Describe("shifting to another data centre", func() {
-	ask := yuccaqueue.Ask{Account: "all", Pool: "draft", Centre: "a1", Remaining: 5 * time.Second, Prompt: 1000, Answer: 200}
-	some := ask
-	some.Account = "some"
-	hurried := ask
-	hurried.Remaining = 100 * time.Millisecond
-	huge := ask
-	huge.Prompt = 100_000_000
+	request := yuccaqueue.Ask{Account: "all", Pool: "draft", Centre: "a1", Remaining: 5 * time.Second, Prompt: 1000, Answer: 200}
+	restricted := request
+	restricted.Account = "some"
+	shortDeadline := request
+	shortDeadline.Remaining = 100 * time.Millisecond
+	longPrompt := request
+	longPrompt.Prompt = 100_000_000
 
-	DescribeTable("goes to the cheapest place that can still help",
-		func(ask yuccaqueue.Ask, tried []yuccaid.Centre, expected string) {
-			found, ok := yuccashift.New().Next(now, world(), ask, tried)
+	DescribeTable("goes to the cheapest data centre that can still serve the request",
+		func(request yuccaqueue.Ask, tried []yuccaid.Centre, expected string) {
+			found, ok := yuccashift.New().Next(now, testState(), request, tried)
 			Expect(ok).To(Equal(expected != ""))
 			Expect(string(found.Centre)).To(Equal(expected))
 		},
-		Entry("the same region costs nothing", ask, nil, "a2"),
-		Entry("then the cheaper region", ask, []yuccaid.Centre{"a2"}, "c1"),
-		Entry("no more than the allowed tries", ask, []yuccaid.Centre{"a2", "c1"}, ""),
-		Entry("only targets of the account", some, nil, "b1"),
-		Entry("no offer that the way alone makes late", hurried, []yuccaid.Centre{"a2"}, ""),
-		Entry("no offer above the price", huge, []yuccaid.Centre{"a2"}, ""),
+		Entry("the same region costs nothing", request, nil, "a2"),
+		Entry("then the cheaper region", request, []yuccaid.Centre{"a2"}, "c1"),
+		Entry("no more data centres than the limit", request, []yuccaid.Centre{"a2", "c1"}, ""),
+		Entry("only data centres with targets that the account may use", restricted, nil, "b1"),
+		Entry("no offer whose round trips take longer than the remaining time", shortDeadline, []yuccaid.Centre{"a2"}, ""),
+		Entry("no offer above the highest price", longPrompt, []yuccaid.Centre{"a2"}, ""),
 	)
 
-	// Every region is full. Owners that went on offering each refused request to each
-	// region would add messages to the overload without serving anybody.
-	It("leaves a place alone until the time it named, for that tier only", func() {
+	// Every region is overloaded. If owners kept offering each refused request to each region, the
+	// messages would add to the overload without any request being served.
+	It("skips a data centre that has refused until its retry-after has passed, for that rank only", func() {
 		plan := yuccashift.New()
-		state := world()
-		plan.MarkRefused(now, "a2", ask, time.Second)
-		found, _ := plan.Next(now, state, ask, nil)
+		state := testState()
+		plan.MarkRefused(now, "a2", request, time.Second)
+		found, _ := plan.Next(now, state, request, nil)
 		Expect(found.Centre).To(Equal(yuccaid.Centre("c1")))
-		lower := ask
-		lower.Rank = 2
-		found, _ = plan.Next(now, state, lower, nil)
+		lessUrgent := request
+		lessUrgent.Rank = 2
+		found, _ = plan.Next(now, state, lessUrgent, nil)
 		Expect(found.Centre).To(Equal(yuccaid.Centre("a2")))
-		found, _ = plan.Next(now.Add(time.Second), state, ask, nil)
+		found, _ = plan.Next(now.Add(time.Second), state, request, nil)
 		Expect(found.Centre).To(Equal(yuccaid.Centre("a2")))
 	})
 })
