--- a/core/yuccaquota/doc.go
+++ b/core/yuccaquota/doc.go
@@ -1,9 +1,10 @@
-// Package yuccaquota keeps client accounts within quotas that hold over all daemons.
+// Package yuccaquota keeps client accounts within quotas that apply over all daemons together.
 //
-// Each daemon counts for each account what was let in within a sliding window, by itself
-// and, as they report, by the others. No part of the quota is set aside for a daemon, so
-// nothing is refused within the quota however unevenly requests arrive; the price is that
-// an account may exceed it by what is let in within the delay of the reports. A daemon that
-// doesn't hear from most of the others uses only its part, and daemons that have all lost
-// their memory let in little until a window has passed.
+// Each daemon counts, for each account, the usage that was admitted within a sliding window: its
+// own and, from their reports, that of the other daemons. No fraction of a quota is reserved for
+// a daemon, so that requests within the quota are admitted however unevenly they arrive. In
+// return an account may exceed its quota by what is admitted before the reports arrive. A daemon
+// that doesn't receive the reports of all others uses only a share of each quota. Daemons that have all
+// restarted without usage history limit accounts that demand more than their quota until a window
+// has passed.
 package yuccaquota
--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -11,92 +11,98 @@
 )
 
 const (
-	// delayGrain is the grain in which the delay of reports is counted.
+	// delayGrain is the step to which the delay of reports is rounded.
 	delayGrain = 100 * time.Millisecond
-	// defaultDelay is how long reports take where it isn't set.
+	// defaultDelay is the delay of reports before SetFleet has been called.
 	defaultDelay = 200 * time.Millisecond
-	// defaultWindow is the window where none is set.
+	// defaultWindow is the window if Tolerance sets none.
 	defaultWindow = 8 * time.Second
-	// keptSpan is what is left free of the tolerance, in seconds of an account's rate beside
-	// keptBurst of its burst: for what it is let in for before all daemons have heard of it,
-	// and for what it is let in for anew when all have forgotten. It is keptPart of the bound
-	// at least: what an account with a small rate is let in for too much goes by the size of
-	// its requests, not by its rate.
-	keptSpan  = 1.6
-	keptBurst = 0.8
-	keptPart  = 0.1
-	// rankKept is the part of a window that is kept from each rank for the ranks above it, down
-	// to mostRanks below the first. When an account has used most of its quota, its urgent
-	// requests still get in while its letters are told to come back. Requests of up to
-	// smallPart of a window cost the account so little that they aren't kept back.
-	rankKept  = 0.06
-	mostRanks = 3
-	smallPart = 1.0 / 500
-	// mostUnknown bounds the accounts that are counted before a configuration is known.
-	mostUnknown = 10000
-	// leastBack keeps refused callers from coming back in a loop, and mostBack bounds what
-	// they are told.
-	leastBack = 200 * time.Millisecond
-	mostBack  = 8 * time.Second
+	// The reserve is the part of the tolerated limit that isn't used: reserveSeconds of an account's
+	// rate and reserveBurstShare of its burst. It covers what is admitted before all daemons have
+	// received the reports of it, and what is admitted a second time after all daemons have lost their
+	// usage history. The reserve is at least minReserveShare of the tolerated limit, because for an
+	// account with a low rate the excess depends on the size of its requests, not on its rate.
+	reserveSeconds    = 1.6
+	reserveBurstShare = 0.8
+	minReserveShare   = 0.1
+	// rankReserve is the share of a window that each rank leaves to the more urgent ranks, counted
+	// for at most maxReservedRanks ranks. When an account has used most of its quota, its urgent
+	// requests are still admitted while its letters are refused. A request that costs at most
+	// smallShare of a window isn't subject to this, because it uses so little of the quota.
+	rankReserve      = 0.06
+	maxReservedRanks = 3
+	smallShare       = 1.0 / 500
+	// maxUnconfigured limits the number of accounts that are counted before a configuration is
+	// known.
+	maxUnconfigured = 10000
+	// minRetryAfter prevents refused callers from retrying in a tight loop, and maxRetryAfter limits
+	// the retry-after that callers receive.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 8 * time.Second
 )
 
-// Tolerance is how far an account may go beyond its quota in any window before that counts
-// as a breach: by a part of what the window allows, and by an amount.
+// Tolerance is how far an account's usage may exceed its quota in any window before that counts as
+// a breach: by the share Overshoot of the quota's limit for the window, plus Allowance, which is in
+// units of the quota.
 //
-// A request that is refused although its account was within the quota is lost for nothing,
-// and what was let in elsewhere is known late. So most of the tolerance is used.
+// Refusing a request of an account within its quota is a loss without benefit, and a daemon learns
+// of the usage admitted by other daemons with a delay. Therefore most of the tolerance is used.
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
 	Allowance float64
 }
 
-// Ledger counts what accounts are let in for. It isn't safe for concurrent use.
+// Ledger counts the usage of accounts and decides which requests are admitted. It isn't safe for
+// concurrent use.
 type Ledger struct {
-	windows   map[yuccaid.Account]*window
-	tellers   map[yuccaid.Incarnation]*teller
+	windows   map[yuccaid.Account]*accountWindow
+	peers     map[yuccaid.Incarnation]*peerState
 	tolerance Tolerance
-	part      float64
-	// parted is since when this daemon may use only a part, zero if it may use all.
-	parted  time.Time
-	daemons int
-	salt    uint64
-	delay   time.Duration
-	// configured says that the accounts are known.
+	share     float64
+	// share is the fraction of every quota that this daemon may use, and shareSince is since when
+	// it has been less than 1; zero if it is 1.
+	shareSince time.Time
+	daemons    int
+	salt       uint64
+	delay      time.Duration
+	// configured reports whether the accounts are known.
 	configured bool
-	// forgot is when this daemon began without memory, until it is told or a window passed.
-	forgot  time.Time
-	amnesic bool
+	// withoutHistory reports whether this daemon lacks the usage from before historyLostAt. It ends
+	// when another daemon sends its usage history, or when a window has passed.
+	historyLostAt  time.Time
+	withoutHistory bool
 }
 
-// window is what is known of one account's last seconds.
-type window struct {
+// accountWindow is the usage of one account within the window.
+type accountWindow struct {
 	quota yuccaroute.Quota
-	// let is what the account was let in for, and asked what it asked for as long as nobody
-	// remembers what was let in before.
-	let   tally
-	asked tally
-	// recent is what this daemon let in within the delay of reports, and drawn counts the delay
-	// in which a request of the account last drew a lot.
-	recent yuccawindow.Sum
-	drawn  int64
-	// usual is what a request of the account costs on average, as this daemon has seen it.
-	usual float64
+	// admitted is the admitted usage. demand is the requested usage, which is counted only while
+	// the daemon is without usage history.
+	admitted tally
+	demand   tally
+	// recent is what this daemon has admitted within the delay of reports. lottery is the number of
+	// the last interval, each as long as that delay, in which a request took part in the lottery.
+	recent  yuccawindow.Sum
+	lottery int64
+	// averageCost is the moving average of the cost of the requests that this daemon has received.
+	averageCost float64
 }
 
-// Option changes a ledger at its construction.
+// Option configures a Ledger.
 type Option func(*Ledger)
 
-// WithSalt tells a ledger's draws from those of the other daemons; it should be random.
+// WithSalt sets a number that should be random. It makes the daemon's lottery independent of the
+// lotteries of the other daemons.
 func WithSalt(salt uint64) Option {
 	return func(led *Ledger) { led.salt = salt }
 }
 
-// New returns a ledger without quotas.
+// New returns a Ledger without quotas.
 func New(tolerance Tolerance, options ...Option) *Ledger {
 	led := &Ledger{
-		windows: make(map[yuccaid.Account]*window), tellers: make(map[yuccaid.Incarnation]*teller),
-		tolerance: tolerance.orDefault(), part: 1, daemons: 1, delay: defaultDelay,
+		windows: make(map[yuccaid.Account]*accountWindow), peers: make(map[yuccaid.Incarnation]*peerState),
+		tolerance: tolerance.withDefaults(), share: 1, daemons: 1, delay: defaultDelay,
 	}
 	for _, option := range options {
 		option(led)
@@ -104,39 +110,40 @@
 	return led
 }
 
-// SetTolerance changes the tolerance. What was counted stays, unless the window changes: sums
-// over another window can't be told from what was counted.
+// SetTolerance changes the tolerance. The counted usage is kept. If the window changes, the ledger
+// is without usage history from now on, because the sums over the new window can't be computed from
+// those over the old one.
 func (led *Ledger) SetTolerance(now time.Time, tolerance Tolerance) {
-	tolerance = tolerance.orDefault()
+	tolerance = tolerance.withDefaults()
 	if tolerance.Window != led.tolerance.Window {
 		led.MarkWithoutHistory(now)
 	}
 	led.tolerance = tolerance
 }
 
-func (tol Tolerance) orDefault() Tolerance {
+func (tol Tolerance) withDefaults() Tolerance {
 	if tol.Window <= 0 {
 		tol.Window = defaultWindow
 	}
 	return tol
 }
 
-// MarkWithoutHistory notes that this daemon's process began anew in a fleet that was there before, so
-// that others may have been let in by processes that are gone.
+// MarkWithoutHistory records that this daemon's process has started while the other daemons may
+// have been running, so that usage may have been admitted by processes that have ended.
 func (led *Ledger) MarkWithoutHistory(now time.Time) {
-	led.forgot = now
-	led.amnesic = true
+	led.historyLostAt = now
+	led.withoutHistory = true
 }
 
-// WithoutHistory reports whether this daemon still doesn't know what was let in before it began.
+// WithoutHistory reports whether this daemon still lacks the usage from before it started.
 func (led *Ledger) WithoutHistory(now time.Time) bool {
-	if led.amnesic && now.Sub(led.forgot) >= led.tolerance.Window {
-		led.amnesic = false
+	if led.withoutHistory && now.Sub(led.historyLostAt) >= led.tolerance.Window {
+		led.withoutHistory = false
 	}
-	return led.amnesic
+	return led.withoutHistory
 }
 
-// Configure sets the accounts' quotas; what was counted stays.
+// Configure sets the accounts' quotas. The counted usage is kept.
 func (led *Ledger) Configure(now time.Time, accounts []yuccaroute.Account) {
 	led.configured = true
 	known := make(map[yuccaid.Account]bool, len(accounts))
@@ -147,7 +154,7 @@
 		known[account.Name] = true
 		win := led.windows[account.Name]
 		if win == nil {
-			win = &window{}
+			win = &accountWindow{}
 			led.windows[account.Name] = win
 		}
 		led.advance(now, win)
@@ -155,203 +162,209 @@
 	}
 	for name := range led.windows {
 		if !known[name] {
-			led.drop(name)
+			led.remove(name)
 		}
 	}
 }
 
-// drop forgets an account. Should it come back, all daemons count from nothing.
-func (led *Ledger) drop(name yuccaid.Account) {
+// remove removes an account. If the account is configured again, all daemons count its usage from
+// zero.
+func (led *Ledger) remove(name yuccaid.Account) {
 	delete(led.windows, name)
-	for _, tlr := range led.tellers {
-		delete(tlr.ever, name)
+	for _, peer := range led.peers {
+		delete(peer.lifetime, name)
 	}
 }
 
-// SetFleet sets the part of every quota that this daemon may use, 1 while it hears from most
-// of the others, how many daemons there are, and how long it takes until all of them know
-// what one let in.
+// SetFleet sets the share of every quota that this daemon may use, the number of daemons, and the
+// delay until all daemons have received a report of usage. The share is 1 while this daemon receives
+// the reports of all others.
 //
-// What an account has left is shared out for that time: seventy daemons that each see the
-// same room and fill it let in many times as much.
-func (led *Ledger) SetFleet(now time.Time, part float64, daemons int, delay time.Duration) {
+// During the delay, an account's remaining quota is divided among the daemons. Otherwise seventy
+// daemons that each see the same remaining quota and use it up would admit many times as much.
+func (led *Ledger) SetFleet(now time.Time, share float64, daemons int, delay time.Duration) {
 	switch {
-	case part >= 1:
-		led.parted = time.Time{}
-	case led.parted.IsZero():
-		led.parted = now
+	case share >= 1:
+		led.shareSince = time.Time{}
+	case led.shareSince.IsZero():
+		led.shareSince = now
 	}
-	led.part = part
+	led.share = share
 	led.daemons = max(daemons, 1)
-	// In grains, since the sums over the delay begin anew when it changes.
+	// The delay is rounded, because the sums over it are emptied whenever it changes.
 	led.delay = max(delay.Round(delayGrain), delayGrain)
 }
 
-// QuotaShare returns the part that was set.
-func (led *Ledger) QuotaShare() float64 { return led.part }
+// QuotaShare returns the share of every quota that this daemon may use.
+func (led *Ledger) QuotaShare() float64 { return led.share }
 
-// Daemons returns how many daemons share what an account has left.
+// Daemons returns the number of daemons that share an account's remaining quota.
 func (led *Ledger) Daemons() int { return led.daemons }
 
-// Verdict says whether an account was let in, and if not, why.
+// Verdict is the outcome of Admit: that a request is admitted, or why it is refused.
 type Verdict string
 
-// The verdicts of Take.
+// The verdicts of Admit.
 const (
-	// Admitted says that the account was let in.
+	// Admitted means that the request is admitted.
 	Admitted Verdict = "taken"
-	// WindowFull says that the account's window has no room.
+	// WindowFull means that the remaining quota in the account's window is less than the cost.
 	WindowFull Verdict = "windowFull"
-	// ShareUsed says that this daemon had its share of the room; the rest is for the others.
+	// ShareUsed means that this daemon has used its share of the remaining quota. The rest is for
+	// the other daemons.
 	ShareUsed Verdict = "shareUsed"
-	// HeldAfterRestart says that the account asks for more than its rate while nobody remembers what it
-	// was let in for before.
+	// HeldAfterRestart means that the account demands more than its quota while no daemon has the
+	// usage history from before a restart.
 	HeldAfterRestart Verdict = "heldAfterRestart"
 )
 
-// Answer is a verdict with what led to it.
+// Answer is a verdict with the values on which it is based.
 type Answer struct {
 	Verdict Verdict
-	// RetryAfter is when the account has room again, where it wasn't let in.
+	// RetryAfter is the time after which a refused account is expected to have quota again.
 	RetryAfter time.Duration
-	// Used is what the account was let in for before, as far as is known, and Limit what it
-	// might have been let in for.
+	// Used is the known usage of the account before this request, and Limit the usage up to which
+	// the request would have been admitted.
 	Used  int64
 	Limit int64
-	// UsedByDaemon is the part of Used that this daemon let in.
+	// UsedByDaemon is the part of Used that this daemon has admitted.
 	UsedByDaemon int64
-	// Demand is what the account asked for since all was forgotten, and Rush what an account
-	// within its quota may have; both are zero where its use is remembered.
+	// Demand is what the account has requested since usage history was lost, and DemandLimit the
+	// largest demand that is expected from an account within its quota. Both are zero if the usage
+	// history is known.
 	Demand      int64
 	DemandLimit int64
-	// OverQuota says that the account is beyond its quota, and was let in because that is tolerated.
+	// OverQuota reports whether the request takes the account beyond its quota. Such a request is
+	// admitted only because of the tolerance.
 	OverQuota bool
 }
 
-// Admit lets an account in for a cost if its window has room for it.
+// Admit decides whether a request of an account is admitted, and counts its cost if so.
 //
-// A request that costs more than a whole window is let in by an empty one: it would never
-// be otherwise. Rank 0 is the most urgent.
+// A request that costs more than a whole window is admitted if the window is empty, because it
+// could never be admitted otherwise. Rank 0 is the most urgent.
 func (led *Ledger) Admit(now time.Time, account yuccaid.Account, cost float64, rank int) Answer {
 	win := led.windows[account]
 	if win == nil || !led.configured {
 		return Answer{Verdict: Admitted}
 	}
 	led.advance(now, win)
-	win.note(cost)
+	win.recordCost(cost)
 	limit := led.limit(now, win)
-	if cost > smallPart*limit {
-		limit *= 1 - rankKept*float64(min(max(rank, 0), mostRanks))
+	if cost > smallShare*limit {
+		limit *= 1 - rankReserve*float64(min(max(rank, 0), maxReservedRanks))
 	}
-	answer := Answer{Used: win.let.all.Total(), Limit: int64(limit), UsedByDaemon: win.let.mine.Total()}
+	answer := Answer{Used: win.admitted.all.Total(), Limit: int64(limit), UsedByDaemon: win.admitted.localDaemon.Total()}
 	if led.WithoutHistory(now) {
-		win.asked.count(int64(cost))
-		answer.Demand, answer.DemandLimit = win.asked.all.Total(), int64(led.rush(now, win))
+		win.demand.count(int64(cost))
+		answer.Demand, answer.DemandLimit = win.demand.all.Total(), int64(led.demandLimit(now, win))
 	}
-	answer.Verdict, answer.RetryAfter = led.judge(now, account, win, cost, limit)
+	answer.Verdict, answer.RetryAfter = led.decide(now, account, win, cost, limit)
 	if answer.Verdict == Admitted && answer.Demand > max(answer.DemandLimit, int64(cost)) {
-		answer.Verdict, answer.RetryAfter = led.hold(now, win, cost, limit)
+		answer.Verdict, answer.RetryAfter = led.decideWithoutHistory(now, win, cost, limit)
 	}
-	answer.OverQuota = float64(win.let.all.Total())+cost > led.plain(win.quota)
+	answer.OverQuota = float64(win.admitted.all.Total())+cost > led.quotaLimit(win.quota)
 	if answer.Verdict == Admitted {
-		win.let.count(int64(cost))
+		win.admitted.count(int64(cost))
 		win.recent.Add(int64(cost))
 	}
 	return answer
 }
 
-// note takes a request into what is usual.
-func (win *window) note(cost float64) {
-	if win.usual == 0 {
-		win.usual = cost
+// recordCost adds the cost of a request to the moving average.
+func (win *accountWindow) recordCost(cost float64) {
+	if win.averageCost == 0 {
+		win.averageCost = cost
 	}
-	win.usual += usualWeight * (cost - win.usual)
+	win.averageCost += averageWeight * (cost - win.averageCost)
 }
 
-func (led *Ledger) judge(now time.Time, account yuccaid.Account, win *window, cost, limit float64) (verdict Verdict, back time.Duration) {
-	sum := float64(win.let.all.Total())
-	room := limit - sum
+// decide returns the verdict on a cost within a limit, without regard to lost usage history.
+func (led *Ledger) decide(now time.Time, account yuccaid.Account, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
+	used := float64(win.admitted.all.Total())
+	free := limit - used
 	switch {
-	case sum > 0 && cost > room:
-		return WindowFull, bounded(win.let.all.ExpiresIn(int64(cost - room)))
-	case !led.fairly(now, account, win, cost, room):
-		return ShareUsed, bounded(led.delay)
+	case used > 0 && cost > free:
+		return WindowFull, clampRetryAfter(win.admitted.all.ExpiresIn(int64(cost - free)))
+	case !led.withinShare(now, account, win, cost, free):
+		return ShareUsed, clampRetryAfter(led.delay)
 	}
 	return Admitted, 0
 }
 
-func bounded(back time.Duration) time.Duration {
-	return min(max(back, leastBack), mostBack)
+func clampRetryAfter(retryAfter time.Duration) time.Duration {
+	return min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
-// limit is what a window may hold.
+// limit returns the usage up to which requests are admitted in a window.
 //
-// A daemon that doesn't hear from the others gets its part of what was left when it lost
-// them, and of what has left the window since. Were it to get a part of the whole, what the
-// others let in before would fill that many times, and an account far below its quota would
-// be refused until the window has passed.
-func (led *Ledger) limit(now time.Time, win *window) float64 {
-	whole := max(led.plain(win.quota), led.tolerated(win.quota)-led.kept(win))
-	if led.parted.IsZero() {
-		return whole
+// A daemon that may use only a share of the quota gets that share of what remained when the
+// restriction began and of what has left the window since. With a share of the whole limit,
+// the usage that other daemons had admitted before would exceed it many times, and an account far
+// below its quota would be refused until the window has passed.
+func (led *Ledger) limit(now time.Time, win *accountWindow) float64 {
+	full := max(led.quotaLimit(win.quota), led.toleratedLimit(win.quota)-led.reserve(win))
+	if led.shareSince.IsZero() {
+		return full
 	}
-	before := float64(win.let.all.Total() - win.let.all.Recent(now.Sub(led.parted)))
-	return before + led.part*max(whole-before, 0)
+	earlier := float64(win.admitted.all.Total() - win.admitted.all.Recent(now.Sub(led.shareSince)))
+	return earlier + led.share*max(full-earlier, 0)
 }
 
-// plain is what a window may hold by the quota itself.
-func (led *Ledger) plain(quota yuccaroute.Quota) float64 {
+// quotaLimit returns the usage that the quota allows in a window.
+func (led *Ledger) quotaLimit(quota yuccaroute.Quota) float64 {
 	return quota.Rate*led.tolerance.Window.Seconds() + quota.Burst
 }
 
-// tolerated is what a window may hold before that counts as a breach.
-func (led *Ledger) tolerated(quota yuccaroute.Quota) float64 {
-	return led.plain(quota)*(1+led.tolerance.Overshoot) + led.tolerance.Allowance
+// toleratedLimit returns the usage that is tolerated in a window before it counts as a breach.
+func (led *Ledger) toleratedLimit(quota yuccaroute.Quota) float64 {
+	return led.quotaLimit(quota)*(1+led.tolerance.Overshoot) + led.tolerance.Allowance
 }
 
-// kept is what is left free of what is tolerated.
-func (led *Ledger) kept(win *window) float64 {
-	return max(win.quota.Rate*keptSpan+win.quota.Burst*keptBurst, keptPart*led.tolerated(win.quota))
+// reserve returns the part of the tolerated limit that isn't used.
+func (led *Ledger) reserve(win *accountWindow) float64 {
+	return max(win.quota.Rate*reserveSeconds+win.quota.Burst*reserveBurstShare, minReserveShare*led.toleratedLimit(win.quota))
 }
 
 func seconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
 
-// Refund gives back what a request was let in for that did not run.
+// Refund takes back the cost of an admitted request that has not run.
 func (led *Ledger) Refund(now time.Time, account yuccaid.Account, cost float64) {
 	if win := led.windows[account]; win != nil {
 		led.advance(now, win)
-		win.let.count(-int64(cost))
+		win.admitted.count(-int64(cost))
 	}
 }
 
-// advance drops what has left the windows.
-func (led *Ledger) advance(now time.Time, win *window) {
-	win.let.advance(now, led.span())
-	win.asked.advance(now, led.span())
+// advance moves the windows of an account to now and drops what has left them.
+func (led *Ledger) advance(now time.Time, win *accountWindow) {
+	win.admitted.advance(now, led.span())
+	win.demand.advance(now, led.span())
 	win.recent.Advance(now, led.delay)
 }
 
-// span is the window in which is counted: one part longer than that in which the tolerance
-// holds, since a sum drops its oldest part as a whole.
+// span returns the window over which usage is counted. It is one part longer than the window of the
+// tolerance, because a Sum drops its oldest part as a whole.
 func (led *Ledger) span() time.Duration {
 	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Parts
 }
 
-// QuotaUsage is what an account was let in for within its window, and what the window may hold.
+// QuotaUsage is the usage of an account within its window, and the usage up to which its requests
+// are admitted.
 type QuotaUsage struct {
 	Account yuccaid.Account
 	Used    int64
 	Limit   int64
 }
 
-// QuotaUsages returns how much of its quota each account has used.
+// QuotaUsages returns the usage of every account that has a quota, sorted by account.
 func (led *Ledger) QuotaUsages(now time.Time) []QuotaUsage {
 	var list []QuotaUsage
 	for name, win := range led.windows {
 		led.advance(now, win)
-		list = append(list, QuotaUsage{Account: name, Used: win.let.all.Total(), Limit: int64(led.limit(now, win))})
+		list = append(list, QuotaUsage{Account: name, Used: win.admitted.all.Total(), Limit: int64(led.limit(now, win))})
 	}
 	slices.SortFunc(list, func(a, b QuotaUsage) int { return cmp.Compare(a.Account, b.Account) })
 	return list
--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -22,45 +22,46 @@
 )
 
 var (
-	strict   = yuccaquota.Tolerance{Window: span}
-	tolerant = yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: 40_000}
+	noTolerance = yuccaquota.Tolerance{Window: span}
+	tolerant    = yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: 40_000}
 )
 
-// allowed is what a window may hold by the quota, and bound what is tolerated.
+// quotaLimit is the usage that the quota allows in a window, and toleratedLimit the usage from which
+// it counts as a breach.
 const (
-	allowed = rate*8 + burst
-	bound   = allowed*1.25 + 40_000
+	quotaLimit     = rate*8 + burst
+	toleratedLimit = quotaLimit*1.25 + 40_000
 )
 
 func accounts(rate, burst float64) []yuccaroute.Account {
 	return []yuccaroute.Account{{Name: "rally", Quota: yuccaroute.Quota{Rate: rate, Burst: burst, PerToken: true}}}
 }
 
-// salts tell the ledgers of a fleet apart.
-var salts uint64
+// lastSalt is the salt of the last ledger. Every ledger gets another one.
+var lastSalt uint64
 
 func ledger(now time.Time, tolerance yuccaquota.Tolerance) *yuccaquota.Ledger {
-	salts++
-	led := yuccaquota.New(tolerance, yuccaquota.WithSalt(salts))
+	lastSalt++
+	led := yuccaquota.New(tolerance, yuccaquota.WithSalt(lastSalt))
 	led.Configure(now, accounts(rate, burst))
 	return led
 }
 
-// fleet is some daemons that report to one another every so often.
+// fleet is a number of daemons that send reports to one another at a fixed interval.
 type fleet struct {
 	now     time.Time
 	ledgers []*yuccaquota.Ledger
-	// starts counts how often each daemon has begun.
-	starts []byte
-	every  time.Duration
-	told   time.Time
-	// cut says which daemons hear from nobody.
-	cut func(i int) bool
-	// let is what was let in, by time.
-	let []letIn
+	// restarts counts the restarts of each daemon.
+	restarts       []byte
+	reportInterval time.Duration
+	lastReport     time.Time
+	// disconnected reports whether a daemon has no connection to the others.
+	disconnected func(i int) bool
+	// admitted holds the admitted requests in the order of their times.
+	admitted []admission
 }
 
-type letIn struct {
+type admission struct {
 	at   time.Time
 	cost float64
 }
@@ -69,31 +70,31 @@
 
 const step = 10 * time.Millisecond
 
-func newFleet(size int, every time.Duration, tolerance yuccaquota.Tolerance) *fleet {
-	flt := &fleet{now: start, every: every, told: start, cut: func(int) bool { return false }}
+func newFleet(size int, reportInterval time.Duration, tolerance yuccaquota.Tolerance) *fleet {
+	flt := &fleet{now: start, reportInterval: reportInterval, lastReport: start, disconnected: func(int) bool { return false }}
 	for range size {
 		led := ledger(flt.now, tolerance)
-		led.SetFleet(flt.now, 1, size, every+50*time.Millisecond)
+		led.SetFleet(flt.now, 1, size, reportInterval+50*time.Millisecond)
 		flt.ledgers = append(flt.ledgers, led)
 	}
-	flt.starts = make([]byte, size)
-	flt.meetAll()
+	flt.restarts = make([]byte, size)
+	flt.connectAll()
 	return flt
 }
 
-// name is the present process of a daemon.
+// name returns the incarnation of a daemon's current process.
 func (flt *fleet) name(at int) yuccaid.Incarnation {
-	return yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprintf("entry-%d", at)), [16]byte{flt.starts[at]})
+	return yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprintf("entry-%d", at)), [16]byte{flt.restarts[at]})
 }
 
-// restart puts a new process in the place of a daemon.
+// restart replaces the process of a daemon by a new one.
 func (flt *fleet) restart(at int, led *yuccaquota.Ledger) {
 	flt.ledgers[at] = led
-	flt.starts[at]++
+	flt.restarts[at]++
 }
 
-// meet has a daemon and all others learn of each other.
-func (flt *fleet) meet(at int) {
+// connect connects a daemon to all others.
+func (flt *fleet) connect(at int) {
 	led := flt.ledgers[at]
 	for i, other := range flt.ledgers {
 		if i != at {
@@ -103,159 +104,159 @@
 	}
 }
 
-func (flt *fleet) meetAll() {
+func (flt *fleet) connectAll() {
 	for at := range flt.ledgers {
-		flt.meet(at)
+		flt.connect(at)
 	}
 }
 
-func (flt *fleet) pass() {
+func (flt *fleet) tick() {
 	flt.now = flt.now.Add(step)
-	if flt.now.Sub(flt.told) < flt.every {
+	if flt.now.Sub(flt.lastReport) < flt.reportInterval {
 		return
 	}
-	flt.told = flt.now
+	flt.lastReport = flt.now
 	for i, led := range flt.ledgers {
-		spent := led.Report()
+		usage := led.Report()
 		for j, other := range flt.ledgers {
-			if i != j && !flt.cut(i) && !flt.cut(j) {
-				other.ApplyReport(flt.now, flt.name(i), spent)
+			if i != j && !flt.disconnected(i) && !flt.disconnected(j) {
+				other.ApplyReport(flt.now, flt.name(i), usage)
 			}
 		}
 	}
 }
 
-// press sends at each daemon in turn for a while.
-func (flt *fleet) press(span time.Duration, cost float64) {
+// send sends one request per step for a duration, to each daemon in turn.
+func (flt *fleet) send(span time.Duration, cost float64) {
 	for turn := range int(span / step) {
 		if verdict := flt.ledgers[turn%len(flt.ledgers)].Admit(flt.now, "rally", cost, 0).Verdict; verdict == yuccaquota.Admitted {
-			flt.let = append(flt.let, letIn{at: flt.now, cost: cost})
+			flt.admitted = append(flt.admitted, admission{at: flt.now, cost: cost})
 		}
-		flt.pass()
+		flt.tick()
 	}
 }
 
-// most is the most that any window held.
-func (flt *fleet) most() float64 {
-	most, sum, first := 0.0, 0.0, 0
-	for _, each := range flt.let {
+// maxUsage returns the largest admitted usage in any window.
+func (flt *fleet) maxUsage() float64 {
+	maxUsage, sum, first := 0.0, 0.0, 0
+	for _, each := range flt.admitted {
 		sum += each.cost
-		for flt.let[first].at.Add(span).Before(each.at) {
-			sum -= flt.let[first].cost
+		for flt.admitted[first].at.Add(span).Before(each.at) {
+			sum -= flt.admitted[first].cost
 			first++
 		}
-		most = max(most, sum)
+		maxUsage = max(maxUsage, sum)
 	}
-	return most
+	return maxUsage
 }
 
 var _ = Describe("a quota over several daemons", func() {
-	DescribeTable("refuses nothing within it, however unevenly requests arrive",
+	DescribeTable("refuses no request within it, however unevenly requests arrive",
 		func(pick func(turn int) int) {
-			flt := newFleet(7, 200*time.Millisecond, strict)
+			flt := newFleet(7, 200*time.Millisecond, noTolerance)
 			for turn := range 3000 {
-				// 90 tokens each 10 ms are nine tenths of the rate.
+				// 90 tokens every 10 ms are 90 % of the rate.
 				verdict := flt.ledgers[pick(turn)].Admit(flt.now, "rally", 90, 0).Verdict
 				Expect(verdict).To(Equal(yuccaquota.Admitted), "turn %d", turn)
-				flt.pass()
+				flt.tick()
 			}
 		},
-		Entry("all at one daemon", func(int) int { return 3 }),
+		Entry("all to one daemon", func(int) int { return 3 }),
 		Entry("evenly", func(turn int) int { return turn % 7 }),
-		Entry("at one daemon after the other", func(turn int) int { return turn / 100 % 7 }),
+		Entry("to one daemon after the other", func(turn int) int { return turn / 100 % 7 }),
 	)
 
-	// An account sends six times what it may, everywhere at once. Each daemon would let it in
-	// as if it were alone, and its work would push out everybody else's.
-	DescribeTable("lets in little more than it when an account presses",
-		func(every time.Duration, over float64) {
-			flt := newFleet(7, every, strict)
-			flt.press(30*time.Second, 600)
-			Expect(flt.most()).To(BeNumerically("<=", allowed*over))
-			Expect(flt.most()).To(BeNumerically(">=", allowed*0.9))
+	// An account sends six times its rate, spread over all daemons. If each daemon counted only its
+	// own requests, they would all be admitted and displace the requests of other accounts.
+	DescribeTable("admits little more than it when an account exceeds it",
+		func(reportInterval time.Duration, factor float64) {
+			flt := newFleet(7, reportInterval, noTolerance)
+			flt.send(30*time.Second, 600)
+			Expect(flt.maxUsage()).To(BeNumerically("<=", quotaLimit*factor))
+			Expect(flt.maxUsage()).To(BeNumerically(">=", quotaLimit*0.9))
 		},
 		Entry("with reports every 100 ms", 100*time.Millisecond, 1.1),
 		Entry("with reports every 400 ms", 400*time.Millisecond, 1.3),
 	)
 
-	// Seventy daemons each see the same room that is left to an account and fill it before
-	// they hear of one another.
-	It("isn't filled many times over by a large fleet", func() {
+	// Seventy daemons each see the same remaining quota of an account and use it up before they
+	// receive one another's reports.
+	It("isn't exceeded many times by a large fleet", func() {
 		flt := newFleet(70, 300*time.Millisecond, tolerant)
-		flt.press(30*time.Second, 600)
-		Expect(flt.most()).To(BeNumerically("<=", bound))
-		Expect(flt.most()).To(BeNumerically(">=", 0.6*bound))
+		flt.send(30*time.Second, 600)
+		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
+		Expect(flt.maxUsage()).To(BeNumerically(">=", 0.6*toleratedLimit))
 	})
 
-	It("lets a large fleet take a long request while there is room", func() {
-		flt := newFleet(70, 300*time.Millisecond, strict)
-		flt.press(10*time.Second, 30)
-		verdict := flt.ledgers[50].Admit(flt.now, "rally", allowed/8, 0).Verdict
+	It("allows a large fleet to admit a long request while enough of it remains", func() {
+		flt := newFleet(70, 300*time.Millisecond, noTolerance)
+		flt.send(10*time.Second, 30)
+		verdict := flt.ledgers[50].Admit(flt.now, "rally", quotaLimit/8, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// An account has used three quarters of its window, evenly, and asks for one long and urgent
-	// request that is an eighth of it. Nobody else would be hurt, yet each daemon refused it as
-	// far beyond a share, and its caller gave up.
-	It("lets a long request of a calm account in", func() {
+	// An account has used three quarters of its window at an even rate and sends one long, urgent
+	// request that costs an eighth of the window. If only shares counted, each daemon would
+	// refuse it, because it is far larger than a share, although the remaining quota suffices.
+	It("admits a long request of an account with moderate use", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
-		flt.press(10*time.Second, 120)
+		flt.send(10*time.Second, 120)
 		answer := flt.ledgers[3].Admit(flt.now, "rally", 16_000, 0)
 		Expect(float64(answer.Used)).To(BeNumerically("~", 0.72*float64(answer.Limit), 0.02*float64(answer.Limit)))
 		Expect(answer.Verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// Operators say how far an account may go beyond its quota before it counts as a breach.
-	// Refusing earlier loses requests that nobody wanted refused.
+	// Operators set how far an account may exceed its quota before that counts as a breach.
+	// Refusing earlier would lose requests without benefit.
 	It("uses most of the tolerance and stays within it", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
-		flt.press(30*time.Second, 600)
-		Expect(flt.most()).To(BeNumerically("<=", 0.97*bound))
-		Expect(flt.most()).To(BeNumerically(">=", 0.8*bound))
+		flt.send(30*time.Second, 600)
+		Expect(flt.maxUsage()).To(BeNumerically("<=", 0.97*toleratedLimit))
+		Expect(flt.maxUsage()).To(BeNumerically(">=", 0.8*toleratedLimit))
 	})
 
-	// Daemons are restarted in turn while an account presses. Each comes back without memory
-	// of what was let in, and an empty window each time would multiply the quota.
+	// Daemons are restarted in turn while an account exceeds its rate. Each restarts without usage
+	// history. If its window started empty each time, the account would get a multiple of its quota.
 	It("isn't renewed by restarts", func() {
 		flt := newFleet(4, 100*time.Millisecond, tolerant)
 		for turn := range 20 {
-			flt.press(time.Second, 600)
+			flt.send(time.Second, 600)
 			fresh := ledger(flt.now, tolerant)
 			fresh.SetFleet(flt.now, 1, 4, 150*time.Millisecond)
 			fresh.MarkWithoutHistory(flt.now)
 			flt.restart(turn%4, fresh)
-			flt.meet(turn % 4)
+			flt.connect(turn % 4)
 			fresh.RaiseTotals(flt.now, flt.ledgers[(turn+1)%4].Totals(flt.now), true)
 		}
-		Expect(flt.most()).To(BeNumerically("<=", bound))
+		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 	})
 
-	// Connections break and come back while an account presses, and what was reported on them
-	// is lost. Daemons that count only what they hear would believe in less each time.
-	It("is kept though reports are lost", func() {
+	// Connections break and are established again while an account exceeds its rate, and the reports
+	// sent on them are lost. A daemon that counted only the reports it received would count too little.
+	It("is enforced although reports are lost", func() {
 		flt := newFleet(6, 100*time.Millisecond, tolerant)
 		rng := rand.New(rand.NewPCG(1, 1))
 		for range 300 {
-			lost := rng.IntN(6)
-			flt.cut = func(i int) bool { return i == lost }
-			flt.press(100*time.Millisecond, 600)
+			disconnectedDaemon := rng.IntN(6)
+			flt.disconnected = func(i int) bool { return i == disconnectedDaemon }
+			flt.send(100*time.Millisecond, 600)
 		}
-		Expect(flt.most()).To(BeNumerically("<=", bound))
+		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 	})
 
-	// All daemons are killed in the middle of an account's rush, and nobody remembers.
-	DescribeTable("isn't let in for a second time when all daemons forget",
+	// All daemons are killed while an account exceeds its rate, and none has usage history afterwards.
+	DescribeTable("isn't granted a second time when all daemons restart without usage history",
 		func(before time.Duration, pressure float64) {
 			flt := newFleet(7, 100*time.Millisecond, tolerant)
-			flt.press(before, pressure)
+			flt.send(before, pressure)
 			for at := range flt.ledgers {
 				flt.restart(at, ledger(flt.now, tolerant))
 				flt.ledgers[at].SetFleet(flt.now, 1, 7, 150*time.Millisecond)
 				flt.ledgers[at].MarkWithoutHistory(flt.now)
 			}
-			flt.meetAll()
-			flt.press(15*time.Second, pressure)
-			Expect(flt.most()).To(BeNumerically("<=", bound))
+			flt.connectAll()
+			flt.send(15*time.Second, pressure)
+			Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 		},
 		Entry("at four times the rate", 4*time.Second, 400.0),
 		Entry("at six times the rate", 4*time.Second, 600.0),
@@ -263,57 +264,58 @@
 		Entry("at three times the rate", 6*time.Second, 300.0),
 	)
 
-	It("lets in what is within the quota when all daemons forget", func() {
+	It("admits the usage within the quota when all daemons restart without usage history", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		for _, led := range flt.ledgers {
 			led.MarkWithoutHistory(flt.now)
 		}
-		flt.press(10*time.Second, 95)
-		Expect(flt.let).To(HaveLen(int(10 * time.Second / step)))
+		flt.send(10*time.Second, 95)
+		Expect(flt.admitted).To(HaveLen(int(10 * time.Second / step)))
 	})
 
-	// A daemon is cut off from all others while its callers still reach it.
-	It("is divided when daemons don't hear from one another", func() {
+	// Some daemons are disconnected from all others while callers still reach them.
+	It("is divided when daemons receive no reports from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
-		flt.cut = func(i int) bool { return i >= 4 }
+		flt.disconnected = func(i int) bool { return i >= 4 }
 		for i, led := range flt.ledgers {
 			if i >= 4 {
 				led.SetFleet(flt.now, 1.0/7, 7, 150*time.Millisecond)
 			}
 		}
-		flt.press(30*time.Second, 600)
-		Expect(flt.most()).To(BeNumerically("<=", 1.3*bound))
+		flt.send(30*time.Second, 600)
+		Expect(flt.maxUsage()).To(BeNumerically("<=", 1.3*toleratedLimit))
 	})
 
-	// All daemons were frozen, and for a moment none hears from another. The account has used
-	// half of what it may: with a seventh of that each daemon would refuse it for seconds.
-	It("leaves room to an account within it when daemons lose sight of one another", func() {
+	// All daemons were paused, and for a moment none receives reports from another. The account has
+	// used half of its quota. If each daemon allowed a seventh of the quota in total, it would refuse
+	// the account for seconds.
+	It("admits an account within it when daemons are disconnected from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
-		flt.press(8*time.Second, 0.6*rate*step.Seconds())
-		before := len(flt.let)
-		flt.cut = func(int) bool { return true }
+		flt.send(8*time.Second, 0.6*rate*step.Seconds())
+		before := len(flt.admitted)
+		flt.disconnected = func(int) bool { return true }
 		for _, led := range flt.ledgers {
 			led.SetFleet(flt.now, 0.15, 7, 150*time.Millisecond)
 		}
-		flt.press(time.Second, 0.6*rate*step.Seconds())
-		Expect(flt.let[before:]).To(HaveLen(int(time.Second / step)))
+		flt.send(time.Second, 0.6*rate*step.Seconds())
+		Expect(flt.admitted[before:]).To(HaveLen(int(time.Second / step)))
 	})
 
-	// The same, while an account presses with six times its rate.
-	It("is kept when daemons lose sight of one another in a rush", func() {
+	// The same happens while an account sends six times its rate.
+	It("is enforced when daemons are disconnected from one another under overload", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
-		flt.press(6*time.Second, 6*rate*step.Seconds())
-		flt.cut = func(int) bool { return true }
-		flt.press(1500*time.Millisecond, 6*rate*step.Seconds())
+		flt.send(6*time.Second, 6*rate*step.Seconds())
+		flt.disconnected = func(int) bool { return true }
+		flt.send(1500*time.Millisecond, 6*rate*step.Seconds())
 		for _, led := range flt.ledgers {
 			led.SetFleet(flt.now, 1.0/7, 7, 150*time.Millisecond)
 		}
-		flt.press(12*time.Second, 6*rate*step.Seconds())
-		Expect(flt.most()).To(BeNumerically("<=", bound))
+		flt.send(12*time.Second, 6*rate*step.Seconds())
+		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 	})
 
-	It("follows a lowered quota at once and an unlimited one never refuses", func() {
-		led := ledger(start, strict)
+	It("applies a lowered quota at once, and never refuses an account without quota", func() {
+		led := ledger(start, noTolerance)
 		led.Configure(start, accounts(100, 200))
 		verdict := led.Admit(start, "rally", 900, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
@@ -326,24 +328,24 @@
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	It("lets in a request larger than a window when that is empty", func() {
-		led := ledger(start, strict)
-		verdict := led.Admit(start, "rally", 3*allowed, 0).Verdict
+	It("admits a request larger than a window when that is empty", func() {
+		led := ledger(start, noTolerance)
+		verdict := led.Admit(start, "rally", 3*quotaLimit, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 		verdict = led.Admit(start, "rally", 1, 0).Verdict
 		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
 	})
 
-	// An account has used most of its quota, for letters and notes alike. A gas leak that is
-	// reported now must not be told to wait for letters.
-	It("keeps the last of it for urgent requests and for short ones", func() {
-		led := ledger(start, strict)
+	// An account has used most of its quota for letters. An urgent note, such as the report of a gas
+	// leak, must not be refused because of them.
+	It("reserves the rest of it for urgent requests and for short ones", func() {
+		led := ledger(start, noTolerance)
 		for verdict := yuccaquota.Admitted; verdict == yuccaquota.Admitted; {
 			verdict = led.Admit(start, "rally", 1000, 2).Verdict
 		}
 		letter := led.Admit(start, "rally", 1000, 2).Verdict
 		Expect(letter).To(Equal(yuccaquota.WindowFull))
-		short := led.Admit(start, "rally", allowed/4000, 2).Verdict
+		short := led.Admit(start, "rally", quotaLimit/4000, 2).Verdict
 		Expect(short).To(Equal(yuccaquota.Admitted))
 		for range 10 {
 			note := led.Admit(start, "rally", 1000, 0).Verdict
@@ -351,11 +353,11 @@
 		}
 	})
 
-	// An account is let in for more than its quota, since that is tolerated. On full engines
-	// these requests must be told from those of accounts that keep to theirs.
-	It("says which requests are beyond it", func() {
+	// An account is admitted beyond its quota, because that is tolerated. When engines are full, its
+	// requests must be distinguishable from those of accounts within their quotas.
+	It("reports which requests exceed it", func() {
 		led := ledger(start, tolerant)
-		for used := 0.0; used < allowed; used += 1000 {
+		for used := 0.0; used < quotaLimit; used += 1000 {
 			Expect(led.Admit(start, "rally", 1000, 0).OverQuota).To(BeFalse())
 		}
 		answer := led.Admit(start, "rally", 1000, 0)
@@ -363,19 +365,19 @@
 		Expect(answer.OverQuota).To(BeTrue())
 	})
 
-	It("gives back what didn't run", func() {
-		led := ledger(start, strict)
-		led.Admit(start, "rally", allowed, 0)
-		led.Refund(start, "rally", allowed)
+	It("refunds requests that have not run", func() {
+		led := ledger(start, noTolerance)
+		led.Admit(start, "rally", quotaLimit, 0)
+		led.Refund(start, "rally", quotaLimit)
 		Expect(led.Report()).To(BeEmpty())
-		verdict := led.Admit(start, "rally", allowed, 0).Verdict
+		verdict := led.Admit(start, "rally", quotaLimit, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// The daemon that speaks for its data centre is killed. What was let in until another one
-	// takes over would never be heard of elsewhere.
-	It("passes on to other data centres what a predecessor left out", func() {
-		led := ledger(start, strict)
+	// The daemon that sends its data centre's reports is killed. Without this, the usage until another
+	// daemon takes over would never be reported to the remote data centres.
+	It("reports to remote data centres what the previous reporting daemon has not", func() {
+		led := ledger(start, noTolerance)
 		led.PeerConnected(start, peer, nil, nil)
 		led.ApplyReport(start, peer, []yuccaquota.Usage{{Account: "rally", Amount: 500}})
 		led.MarkRemoteReported([]yuccaquota.Usage{{Account: "rally", Amount: 300}})
@@ -383,32 +385,33 @@
 		Expect(led.RemoteReport()).To(Equal([]yuccaquota.Usage{{Account: yuccaid.Account("rally"), Amount: 240}}))
 	})
 
-	// A daemon is restarted. A neighbour tells it what all data centres let in, and then each of
-	// them tells its part again; counted twice, accounts within their quota would be refused.
-	It("counts once what a neighbour and its own data centre both tell", func() {
-		led := ledger(start, strict)
+	// A daemon is restarted. Another daemon sends it the totals of all data centres, and then each data
+	// centre sends its own totals. If they were counted twice, accounts within their quotas would be
+	// refused.
+	It("counts usage once that is sent by a peer and by its data centre", func() {
+		led := ledger(start, noTolerance)
 		led.MarkWithoutHistory(start)
-		spent := func(amount int64) []yuccaquota.UsageByAge {
+		usage := func(amount int64) []yuccaquota.UsageByAge {
 			return []yuccaquota.UsageByAge{{Account: "rally", Let: []int64{amount}}}
 		}
-		led.RaiseTotals(start, spent(9000), true)
-		led.ApplyRemoteTotals(start, "gulf", spent(4000))
-		led.ApplyRemoteTotals(start, "austin", spent(3000))
-		Expect(led.Totals(start)).To(Equal(spent(9000)))
-		led.ApplyRemoteTotals(start, "gulf", spent(4500))
-		Expect(led.Totals(start)).To(Equal(spent(9000)))
-		led.ApplyRemoteTotals(start, "gulf", spent(8000))
-		Expect(led.Totals(start)).To(Equal(spent(11000)))
-		led.RaiseRemoteTotals(start, "austin", spent(11000), spent(3000))
-		Expect(led.Totals(start)).To(Equal(spent(11000)))
+		led.RaiseTotals(start, usage(9000), true)
+		led.ApplyRemoteTotals(start, "gulf", usage(4000))
+		led.ApplyRemoteTotals(start, "austin", usage(3000))
+		Expect(led.Totals(start)).To(Equal(usage(9000)))
+		led.ApplyRemoteTotals(start, "gulf", usage(4500))
+		Expect(led.Totals(start)).To(Equal(usage(9000)))
+		led.ApplyRemoteTotals(start, "gulf", usage(8000))
+		Expect(led.Totals(start)).To(Equal(usage(11000)))
+		led.RaiseRemoteTotals(start, "austin", usage(11000), usage(3000))
+		Expect(led.Totals(start)).To(Equal(usage(11000)))
 	})
 
-	// Daemons restart and lose connections in turn, and each tells the next what it knows. An
-	// account that stopped asking would be refused for as long as that goes on, if what was
-	// passed on were counted anew each time.
-	It("forgets after a window what daemons pass on to one another", func() {
-		leds := []*yuccaquota.Ledger{ledger(start, strict), ledger(start, strict), ledger(start, strict)}
-		Expect(leds[0].Admit(start, "rally", allowed/2, 0).Verdict).To(Equal(yuccaquota.Admitted))
+	// Daemons restart and reconnect in turn, and each copies the totals of the previous one. If
+	// copied usage were counted as new, an account that has stopped sending would be refused for as
+	// long as that continues.
+	It("drops usage after a window although daemons copy it from one another", func() {
+		leds := []*yuccaquota.Ledger{ledger(start, noTolerance), ledger(start, noTolerance), ledger(start, noTolerance)}
+		Expect(leds[0].Admit(start, "rally", quotaLimit/2, 0).Verdict).To(Equal(yuccaquota.Admitted))
 		now := start
 		for turn := range 90 {
 			now = now.Add(100 * time.Millisecond)
@@ -424,8 +427,8 @@
 		}
 	})
 
-	It("passes on to other data centres what this one let in, and nothing of theirs", func() {
-		led := ledger(start, strict)
+	It("reports to remote data centres the usage of the local one, and none of theirs", func() {
+		led := ledger(start, noTolerance)
 		led.Admit(start, "rally", 100, 0)
 		led.PeerConnected(start, peer, nil, nil)
 		led.ApplyReport(start, peer, []yuccaquota.Usage{{Account: "rally", Amount: 50}})
--- a/core/yuccaquota/report.go
+++ b/core/yuccaquota/report.go
@@ -9,32 +9,33 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// Usage is what one account was let in for, in the units of its quota: by one daemon since
-// it began, or by a data centre since its last report, or within a window. It is negative
-// where requests that had been let in didn't run.
+// Usage is the admitted usage of one account, in the units of its quota: by one daemon since it
+// started, by a data centre since its previous report, or within a window. Amount is negative if
+// refunds for requests that have not run exceed the admitted cost.
 type Usage struct {
 	Account yuccaid.Account
 	Amount  int64
-	// Asked is what it asked for, also where it was refused. It is only counted by daemons
-	// that don't know what accounts were let in for before.
+	// Asked is the requested usage, including that of refused requests. Only daemons without usage
+	// history count it.
 	Asked int64
 }
 
-// UsageByAge is what one account was let in for within its window by how long ago that was, in
-// equal parts of the window, the latest first.
+// UsageByAge is the admitted usage of one account within its window, grouped by age. Let holds the
+// amount in each of the equal parts of the window, the most recent part first.
 type UsageByAge struct {
 	Account yuccaid.Account
 	Let     []int64
-	// Asked is what it asked for, at whatever age.
+	// Asked is the requested usage within the whole window.
 	Asked int64
 }
 
-// told returns the window of an account that a report speaks of, or nil if it has no quota.
-// Peers may be met before the configuration is known; what they tell then isn't told again.
-func (led *Ledger) told(now time.Time, account yuccaid.Account) *window {
+// windowFor returns the window of an account that appears in a report, or nil if the account has
+// no quota. Before the configuration is known it returns a window for every account, because
+// connected daemons send their usage only once.
+func (led *Ledger) windowFor(now time.Time, account yuccaid.Account) *accountWindow {
 	win := led.windows[account]
-	if win == nil && !led.configured && len(led.windows) < mostUnknown {
-		win = &window{}
+	if win == nil && !led.configured && len(led.windows) < maxUnconfigured {
+		win = &accountWindow{}
 		led.windows[account] = win
 	}
 	if win != nil {
@@ -43,213 +44,218 @@
 	return win
 }
 
-// heardFor is how long it is remembered what a daemon told last: longer than a cut lasts
-// after which it comes back, and than any window.
-const heardFor = time.Minute
+// peerRetention is how long the last report of a daemon is remembered. It exceeds any window and
+// the duration of the interruptions after which a daemon reconnects.
+const peerRetention = time.Minute
 
-// teller is another daemon of this data centre, and what it last told that it let in since
-// it began.
-type teller struct {
-	ever map[yuccaid.Account]Usage
-	at   time.Time
+// peerState is the usage that another daemon of this data centre has admitted since it started,
+// according to its last report.
+type peerState struct {
+	lifetime   map[yuccaid.Account]Usage
+	lastReport time.Time
 }
 
-// ApplyReport takes a report of a daemon of this data centre.
+// ApplyReport applies a report of another daemon of this data centre.
 //
-// Reports tell sums since the daemon began, of which what was heard before is taken off. So
-// one that is lost with its connection is made up for by the next.
-func (led *Ledger) ApplyReport(now time.Time, from yuccaid.Incarnation, spent []Usage) {
-	tlr := led.tellers[from]
-	if tlr == nil {
-		// Sums since it began say nothing of a window.
-		led.PeerConnected(now, from, spent, nil)
+// A report holds the usage since the daemon started, from which that of the previous report is
+// subtracted. Therefore the next report makes up for one that was lost with its connection.
+func (led *Ledger) ApplyReport(now time.Time, from yuccaid.Incarnation, usage []Usage) {
+	peer := led.peers[from]
+	if peer == nil {
+		// Usage since the daemon started doesn't tell how much of it lies within the window.
+		led.PeerConnected(now, from, usage, nil)
 		return
 	}
-	tlr.at = now
-	for _, each := range spent {
-		was := tlr.ever[each.Account]
-		tlr.ever[each.Account] = each
-		if win := led.told(now, each.Account); win != nil {
-			win.let.near(each.Amount - was.Amount)
-			win.asked.near(each.Asked - was.Asked)
+	peer.lastReport = now
+	for _, each := range usage {
+		old := peer.lifetime[each.Account]
+		peer.lifetime[each.Account] = each
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.addCentre(each.Amount - old.Amount)
+			win.demand.addCentre(each.Asked - old.Asked)
 		}
 	}
 }
 
-// ConnectedBefore reports whether a daemon of this data centre has been heard of lately.
-func (led *Ledger) ConnectedBefore(from yuccaid.Incarnation) bool { return led.tellers[from] != nil }
+// ConnectedBefore reports whether a daemon of this data centre has sent a report within
+// peerRetention.
+func (led *Ledger) ConnectedBefore(from yuccaid.Incarnation) bool { return led.peers[from] != nil }
 
-// PeerConnected takes what a daemon of this data centre let in since it began, and what of that lies
-// within its windows, when a connection to it comes up. What was missed since it was last
-// heard is counted as if it had been let in now: it can't be told when it was, and too little
-// would let the account in for too much.
-func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, ever, within []Usage) {
-	for other, tlr := range led.tellers {
-		if now.Sub(tlr.at) > heardFor {
-			delete(led.tellers, other)
+// PeerConnected applies the usage that a daemon of this data centre sends when a connection to it
+// is established: lifetime since the daemon started, and within for the current window. Usage that
+// was missed since the daemon's previous report is counted as if it were admitted now, because its
+// time isn't known and counting too little would admit too much.
+func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, lifetime, within []Usage) {
+	for other, peer := range led.peers {
+		if now.Sub(peer.lastReport) > peerRetention {
+			delete(led.peers, other)
 		}
 	}
-	before := led.tellers[from]
-	met := &teller{ever: make(map[yuccaid.Account]Usage, len(ever)), at: now}
-	for _, each := range ever {
-		met.ever[each.Account] = each
+	previous := led.peers[from]
+	current := &peerState{lifetime: make(map[yuccaid.Account]Usage, len(lifetime)), lastReport: now}
+	for _, each := range lifetime {
+		current.lifetime[each.Account] = each
 	}
-	led.tellers[from] = met
+	led.peers[from] = current
 	for _, each := range within {
-		let, asked := each.Amount, each.Asked
-		if before != nil {
-			was, is := before.ever[each.Account], met.ever[each.Account]
-			let, asked = min(let, is.Amount-was.Amount), min(asked, is.Asked-was.Asked)
+		admitted, demand := each.Amount, each.Asked
+		if previous != nil {
+			old, latest := previous.lifetime[each.Account], current.lifetime[each.Account]
+			admitted, demand = min(admitted, latest.Amount-old.Amount), min(demand, latest.Asked-old.Asked)
 		}
-		if win := led.told(now, each.Account); win != nil {
-			win.let.near(max(let, 0))
-			win.asked.near(max(asked, 0))
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.addCentre(max(admitted, 0))
+			win.demand.addCentre(max(demand, 0))
 		}
 	}
 }
 
-// ApplyRemoteReport takes a report of another data centre.
-func (led *Ledger) ApplyRemoteReport(now time.Time, centre yuccaid.Centre, spent []Usage) {
-	for _, each := range spent {
-		if win := led.told(now, each.Account); win != nil {
-			win.let.far(now, led.span(), centre, each.Amount)
-			win.asked.far(now, led.span(), centre, each.Asked)
+// ApplyRemoteReport applies a report of a remote data centre.
+func (led *Ledger) ApplyRemoteReport(now time.Time, centre yuccaid.Centre, usage []Usage) {
+	for _, each := range usage {
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.addRemote(now, led.span(), centre, each.Amount)
+			win.demand.addRemote(now, led.span(), centre, each.Asked)
 		}
 	}
 }
 
-// ApplyRemoteTotals takes all that another data centre let in within its windows, and counts what
-// of it hasn't been heard.
+// ApplyRemoteTotals applies the usage that a remote data centre has admitted within its windows,
+// and counts the part of it that has not been reported yet.
 //
-// Reports are lost while two data centres have no connection, and most of all after every
-// daemon was killed: each lets accounts in before it has met the others.
+// Reports are lost while two data centres are disconnected, especially after all daemons have been
+// killed, because each daemon admits requests before it has connected to the others.
 func (led *Ledger) ApplyRemoteTotals(now time.Time, centre yuccaid.Centre, totals []UsageByAge) {
 	for _, each := range totals {
-		if win := led.told(now, each.Account); win != nil {
-			win.let.whole(now, led.span(), centre, each.Let)
-			win.asked.whole(now, led.span(), centre, []int64{each.Asked})
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.raiseRemote(now, led.span(), centre, each.Let)
+			win.demand.raiseRemote(now, led.span(), centre, []int64{each.Asked})
 		}
 	}
 }
 
-// Report returns what this daemon let in since it began, of the accounts for which that has
-// changed since the last report.
+// Report returns what this daemon has admitted since it started, for the accounts for which that
+// has changed since the previous report.
 func (led *Ledger) Report() []Usage {
 	var list []Usage
 	for name, win := range led.windows {
-		if win.let.ever != win.let.reported || win.asked.ever != win.asked.reported {
-			list = append(list, Usage{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
-			win.let.reported, win.asked.reported = win.let.ever, win.asked.ever
+		if win.admitted.lifetime != win.admitted.lifetimeReported || win.demand.lifetime != win.demand.lifetimeReported {
+			list = append(list, Usage{Account: name, Amount: win.admitted.lifetime, Asked: win.demand.lifetime})
+			win.admitted.lifetimeReported, win.demand.lifetimeReported = win.admitted.lifetime, win.demand.lifetime
 		}
 	}
-	slices.SortFunc(list, compareSpent)
+	slices.SortFunc(list, compareUsage)
 	return list
 }
 
-// LifetimeUsage returns what this daemon let in since it began, for one that it meets.
+// LifetimeUsage returns what this daemon has admitted since it started, for a daemon to which it
+// connects.
 func (led *Ledger) LifetimeUsage() []Usage {
 	var list []Usage
 	for name, win := range led.windows {
-		list = append(list, Usage{Account: name, Amount: win.let.ever, Asked: win.asked.ever})
+		list = append(list, Usage{Account: name, Amount: win.admitted.lifetime, Asked: win.demand.lifetime})
 	}
-	slices.SortFunc(list, compareSpent)
+	slices.SortFunc(list, compareUsage)
 	return list
 }
 
-// RemoteReport returns what this data centre let in since the last such report, for the one
-// daemon that reports to the others.
+// RemoteReport returns what this data centre has admitted since the previous report of this kind.
+// It is used by the one daemon that sends reports to the remote data centres.
 func (led *Ledger) RemoteReport() []Usage {
 	var list []Usage
 	for name, win := range led.windows {
-		if win.let.centre != 0 || win.asked.centre != 0 {
-			list = append(list, Usage{Account: name, Amount: win.let.centre, Asked: win.asked.centre})
-			win.let.centre, win.asked.centre = 0, 0
+		if win.admitted.unsentRemote != 0 || win.demand.unsentRemote != 0 {
+			list = append(list, Usage{Account: name, Amount: win.admitted.unsentRemote, Asked: win.demand.unsentRemote})
+			win.admitted.unsentRemote, win.demand.unsentRemote = 0, 0
 		}
 	}
-	slices.SortFunc(list, compareSpent)
+	slices.SortFunc(list, compareUsage)
 	return list
 }
 
-// MarkRemoteReported notes what another daemon reported of this data centre to the others. What it
-// left out, because it ended first, is reported by its successor.
-func (led *Ledger) MarkRemoteReported(spent []Usage) {
-	for _, each := range spent {
+// MarkRemoteReported records usage of this data centre that another daemon has reported to the
+// remote data centres. What that daemon didn't report before it stopped is reported by its
+// successor.
+func (led *Ledger) MarkRemoteReported(usage []Usage) {
+	for _, each := range usage {
 		if win := led.windows[each.Account]; win != nil {
-			win.let.centre -= each.Amount
-			win.asked.centre -= each.Asked
+			win.admitted.unsentRemote -= each.Amount
+			win.demand.unsentRemote -= each.Asked
 		}
 	}
 }
 
-// Totals returns what the windows hold, for a daemon that has just started or was cut off.
+// Totals returns the usage within the windows, for a daemon that has just started or was
+// disconnected.
 func (led *Ledger) Totals(now time.Time) []UsageByAge {
-	return led.aged(now, func(tl *tally) *yuccawindow.Sum { return &tl.all })
+	return led.usageByAge(now, func(tl *tally) *yuccawindow.Sum { return &tl.all })
 }
 
-// CentreTotals returns what this data centre let in within the windows, for another one that may
-// have missed reports.
+// CentreTotals returns the usage that this data centre has admitted within the windows, for a
+// remote data centre that may have missed reports.
 func (led *Ledger) CentreTotals(now time.Time) []UsageByAge {
-	return led.aged(now, func(tl *tally) *yuccawindow.Sum { return &tl.home })
+	return led.usageByAge(now, func(tl *tally) *yuccawindow.Sum { return &tl.localCentre })
 }
 
-func (led *Ledger) aged(now time.Time, of func(*tally) *yuccawindow.Sum) []UsageByAge {
+func (led *Ledger) usageByAge(now time.Time, sumOf func(*tally) *yuccawindow.Sum) []UsageByAge {
 	var list []UsageByAge
 	for name, win := range led.windows {
 		led.advance(now, win)
-		let, asked := of(&win.let), of(&win.asked)
-		if let.Total() <= 0 && asked.Total() <= 0 {
+		admitted, demand := sumOf(&win.admitted), sumOf(&win.demand)
+		if admitted.Total() <= 0 && demand.Total() <= 0 {
 			continue
 		}
-		ages := let.Ages()
+		ages := admitted.Ages()
 		last := len(ages)
 		for last > 0 && ages[last-1] == 0 {
 			last--
 		}
-		list = append(list, UsageByAge{Account: name, Let: ages[:last], Asked: asked.Total()})
+		list = append(list, UsageByAge{Account: name, Let: ages[:last], Asked: demand.Total()})
 	}
 	slices.SortFunc(list, func(a, b UsageByAge) int { return cmp.Compare(a.Account, b.Account) })
 	return list
 }
 
-// DaemonTotals returns what this daemon let in within the windows, for a daemon of its data centre
-// that it meets for the first time.
+// DaemonTotals returns the usage that this daemon has admitted within the windows, for a daemon of
+// its data centre to which it connects for the first time.
 func (led *Ledger) DaemonTotals(now time.Time) []Usage {
 	var list []Usage
 	for name, win := range led.windows {
 		led.advance(now, win)
-		if let, asked := win.let.mine.Total(), win.asked.mine.Total(); let > 0 || asked > 0 {
-			list = append(list, Usage{Account: name, Amount: let, Asked: asked})
+		if admitted, demand := win.admitted.localDaemon.Total(), win.demand.localDaemon.Total(); admitted > 0 || demand > 0 {
+			list = append(list, Usage{Account: name, Amount: admitted, Asked: demand})
 		}
 	}
-	slices.SortFunc(list, compareSpent)
+	slices.SortFunc(list, compareUsage)
 	return list
 }
 
-// RaiseTotals takes over another daemon's totals where they are higher. Knows says that the other
-// has a memory of its own.
-func (led *Ledger) RaiseTotals(now time.Time, totals []UsageByAge, knows bool) {
+// RaiseTotals raises the totals to those of another daemon where its totals are higher. hasHistory
+// reports whether the other daemon has usage history.
+func (led *Ledger) RaiseTotals(now time.Time, totals []UsageByAge, hasHistory bool) {
 	for _, each := range totals {
-		if win := led.told(now, each.Account); win != nil {
-			win.let.raise(each.Let)
-			win.asked.raise([]int64{each.Asked})
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.raise(each.Let)
+			win.demand.raise([]int64{each.Asked})
 		}
 	}
-	if knows {
-		led.amnesic = false
+	if hasHistory {
+		led.withoutHistory = false
 	}
 }
 
-// RaiseRemoteTotals takes over the totals of a daemon of another data centre that remembers, which
-// hold what that data centre itself let in: that part isn't counted again when it is reported.
-func (led *Ledger) RaiseRemoteTotals(now time.Time, centre yuccaid.Centre, totals, home []UsageByAge) {
+// RaiseRemoteTotals raises the totals to those of a daemon of a remote data centre that has usage
+// history. The remote data centre's own part, centreTotals, is recorded as such, so that it isn't
+// counted again when that data centre reports it.
+func (led *Ledger) RaiseRemoteTotals(now time.Time, centre yuccaid.Centre, totals, centreTotals []UsageByAge) {
 	led.RaiseTotals(now, totals, true)
-	for _, each := range home {
-		if win := led.told(now, each.Account); win != nil {
-			win.let.whole(now, led.span(), centre, each.Let)
+	for _, each := range centreTotals {
+		if win := led.windowFor(now, each.Account); win != nil {
+			win.admitted.raiseRemote(now, led.span(), centre, each.Let)
 		}
 	}
 }
 
-func compareSpent(a, b Usage) int {
+func compareUsage(a, b Usage) int {
 	return cmp.Compare(a.Account, b.Account)
 }
--- a/core/yuccaquota/rush.go
+++ b/core/yuccaquota/rush.go
@@ -3,40 +3,43 @@
 import "time"
 
 const (
-	// rushRate, rushSpan and rushBurst bound what an account may ask for while nobody remembers
-	// what it was let in for before: so many times its rate, as if it had begun so much
-	// earlier, and at least a part of its burst.
-	// An account within its quota asks for less, even when its callers have waited out an
-	// outage and come back together. One that asks for more most likely did so before, may
-	// have filled the window, and is held until that begins to leave it.
-	rushRate  = 1.3
-	rushSpan  = time.Second
-	rushBurst = 0.8
-	// fillPart shortens the time in which such an account is taken to have filled its window:
-	// it may have asked for more before than it does now.
-	fillPart = 0.7
+	// demandRateFactor, demandHeadStart and demandBurstShare define the largest demand that is
+	// expected from an account within its quota while no daemon has usage history: demandRateFactor
+	// times its rate, counted from demandHeadStart before the restart, and at least demandBurstShare
+	// of its burst. An account within its quota demands less, even when its callers have waited for
+	// the end of an outage and all retry at once. An account that demands more probably did so before
+	// the restart as well and may have filled its window, so it is held until that usage begins to
+	// leave the window.
+	demandRateFactor = 1.3
+	demandHeadStart  = time.Second
+	demandBurstShare = 0.8
+	// fillShare shortens the time in which a held account is assumed to have filled its window,
+	// because its demand before the restart may have been higher than after it.
+	fillShare = 0.7
 )
 
-// hold decides on an account that asks for more than its quota while nobody remembers what
-// it was let in for. Had it asked for as much before, it had filled the window within some
-// seconds, of which the first leave the window when the daemons have been back for the rest
-// of its span; from then on it is let in again as quickly as it asks.
-func (led *Ledger) hold(now time.Time, win *window, cost, limit float64) (verdict Verdict, back time.Duration) {
-	since := now.Sub(led.forgot)
-	demand := float64(win.asked.all.Total()) / (since + rushSpan).Seconds()
-	wait := led.tolerance.Window - seconds(fillPart*limit/demand)
-	spare := led.part*win.rush(0) + demand*max(since-wait, 0).Seconds()
-	if float64(win.let.all.Total())+cost <= spare {
+// decideWithoutHistory decides on a request of an account that demands more than its quota while
+// no daemon has usage history. If the account's demand was as high before the restart, it filled its
+// window within a few seconds. The usage of these seconds leaves the window when the rest of the
+// window has passed since the restart. From then on, requests are admitted at the rate of the
+// demand.
+func (led *Ledger) decideWithoutHistory(now time.Time, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
+	since := now.Sub(led.historyLostAt)
+	demandRate := float64(win.demand.all.Total()) / (since + demandHeadStart).Seconds()
+	wait := led.tolerance.Window - seconds(fillShare*limit/demandRate)
+	allowance := led.share*win.demandLimit(0) + demandRate*max(since-wait, 0).Seconds()
+	if float64(win.admitted.all.Total())+cost <= allowance {
 		return Admitted, 0
 	}
-	return HeldAfterRestart, bounded(wait - since)
+	return HeldAfterRestart, clampRetryAfter(wait - since)
 }
 
-// rush is what an account may have asked for since the daemons lost their memory.
-func (led *Ledger) rush(now time.Time, win *window) float64 {
-	return led.part * win.rush(now.Sub(led.forgot))
+// demandLimit returns the largest demand that is expected, since the daemons lost their usage
+// history, from an account within its quota.
+func (led *Ledger) demandLimit(now time.Time, win *accountWindow) float64 {
+	return led.share * win.demandLimit(now.Sub(led.historyLostAt))
 }
 
-func (win *window) rush(since time.Duration) float64 {
-	return max(rushRate*win.quota.Rate*(since+rushSpan).Seconds(), rushBurst*win.quota.Burst)
+func (win *accountWindow) demandLimit(since time.Duration) float64 {
+	return max(demandRateFactor*win.quota.Rate*(since+demandHeadStart).Seconds(), demandBurstShare*win.quota.Burst)
 }
--- a/core/yuccaquota/share.go
+++ b/core/yuccaquota/share.go
@@ -10,94 +10,98 @@
 )
 
 const (
-	// ampleShare widens a daemon's share of what an account has left, since demand shifts and
-	// most daemons seldom use theirs. All shares together never reach beyond what is kept free.
-	ampleShare = 2.0
-	// largePart is the part of what is left that one request may take though it is more than
-	// the share, so that long requests aren't always refused in a large fleet.
-	largePart = 0.25
-	// burstKept is the part of what is kept free that shares reach into while an account has much
-	// left, and lotPart widens the chance of a long request that is a daemon's first: few
-	// daemons have one just then.
-	burstKept = 0.4
-	lotPart   = 1.6
-	// besideRequests is how many requests of the usual size each other daemon is taken to let in
-	// beside a long one, and usualWeight the weight of one request in what is usual. With one
-	// request of each, a burst that reached sixty daemons at once let an account of small rate
-	// in for 1.09 times what is tolerated at worst, with two for 1.02.
-	besideRequests = 2.0
-	usualWeight    = 0.1
-	// idlePart is the part of its window that an account has left up to which it counts as idle,
-	// and each daemon may take one such request.
-	idlePart = 0.5
+	// shareFactor enlarges a daemon's share of an account's remaining quota, because demand moves
+	// between daemons and most of them use little of their shares. All shares together never exceed
+	// the remaining quota plus the reserve.
+	shareFactor = 2.0
+	// largeShare is the fraction of the remaining quota that one request may cost although that
+	// exceeds the daemon's share. It keeps long requests from always being refused by large fleets.
+	largeShare = 0.25
+	// reserveInShare is the fraction of the reserve that shares may use while much of an account's
+	// quota remains. firstDrawFactor increases the chance of a long request that is the daemon's
+	// first within the delay of reports, because few daemons have such a request at the same time.
+	reserveInShare  = 0.4
+	firstDrawFactor = 1.6
+	// peerRequests is the number of requests of average cost that each other daemon is assumed to
+	// admit at the same time as a long request. A burst that reached sixty daemons at once let an
+	// account with a low rate use at most 1.09 times its tolerated limit when this was 1, and 1.02
+	// times when it was 2.
+	// averageWeight is the weight of one request in the moving average of the cost.
+	peerRequests  = 2.0
+	averageWeight = 0.1
+	// idleShare is the fraction of its window that an account must have left to count as idle. Each
+	// daemon may then admit one long request.
+	idleShare = 0.5
 )
 
-// fairly reports whether a cost keeps to this daemon's share of the room, which lies half way
-// between an even share and the one that it had lately of what the account was let in for.
+// withinShare reports whether a cost fits into this daemon's share of the free quota. The share is
+// the mean of an even share and of this daemon's recent fraction of the account's usage.
 //
-// A burst reaches all daemons before any of them has heard of the others. Each takes no more
-// than its share, so that together they let in no more than the room and what is kept free.
-func (led *Ledger) fairly(now time.Time, account yuccaid.Account, win *window, cost, room float64) bool {
+// A burst reaches all daemons before any of them has received a report of it. Each daemon keeps to
+// its share, so that together they admit no more than the free quota and the reserve.
+func (led *Ledger) withinShare(now time.Time, account yuccaid.Account, win *accountWindow, cost, free float64) bool {
 	recent := float64(win.recent.Total())
-	if led.daemons == 1 || win.let.all.Total() == 0 && cost > room {
+	if led.daemons == 1 || win.admitted.all.Total() == 0 && cost > free {
 		return true
 	}
-	even := 1 / float64(led.daemons)
-	share := even
-	// What this daemon let in lately the others haven't heard of, nor it what they did.
-	if known := float64(win.let.all.Total()) - recent; known > 0 {
-		share = (even + max(float64(win.let.mine.Total())-recent, 0)/known) / 2
+	evenShare := 1 / float64(led.daemons)
+	share := evenShare
+	// Usage that this daemon has recently admitted isn't known to the others, nor theirs to it.
+	if known := float64(win.admitted.all.Total()) - recent; known > 0 {
+		share = (evenShare + max(float64(win.admitted.localDaemon.Total())-recent, 0)/known) / 2
 	}
-	room += recent
-	fair := share * min(ampleShare*room, room+burstKept*led.kept(win))
+	free += recent
+	fairShare := share * min(shareFactor*free, free+reserveInShare*led.reserve(win))
 	switch {
-	case recent+cost <= fair:
+	case recent+cost <= fairShare:
 		return true
-	case recent > fair:
+	case recent > fairShare:
 		return false
-	case 2*recent <= fair && led.fitsBeside(win, cost, room):
+	case 2*recent <= fairShare && led.fitsBesidePeers(win, cost, free):
 		return true
-	case cost > largePart*room:
+	case cost > largeShare*free:
 		return false
 	}
-	if recent == 0 && room > idlePart*led.limit(now, win) {
+	if recent == 0 && free > idleShare*led.limit(now, win) {
 		return true
 	}
-	return led.drawn(now, account, win, cost, fair-recent)
+	return led.lottery(now, account, win, cost, fairShare-recent)
 }
 
-// fitsBeside reports whether there is room for a long request of a daemon that has used little
-// of its share even if each of the others lets in two of the usual size at the same moment.
+// fitsBesidePeers reports whether there is enough quota left for a long request at a daemon that has
+// used little of its share, even if each other daemon admits peerRequests requests of average cost
+// at the same moment.
 //
-// On a calm day an account has a quarter of its window left, and a long prompt of it may be
-// a tenth of that window. It is far beyond a share, yet nothing speaks against it; refused, it
-// finds the same at the daemon that it comes back to.
-func (led *Ledger) fitsBeside(win *window, cost, room float64) bool {
-	others := besideRequests * float64(led.daemons-1) * win.usual
-	return cost+others <= room+burstKept*led.kept(win)
+// An account with moderate use typically has a quarter of its window left, and one of its prompts
+// may cost a tenth of the window. That far exceeds a share, although the quota suffices; if it were
+// refused, the retry would be refused by the next daemon for the same reason.
+func (led *Ledger) fitsBesidePeers(win *accountWindow, cost, free float64) bool {
+	others := peerRequests * float64(led.daemons-1) * win.averageCost
+	return cost+others <= free+reserveInShare*led.reserve(win)
 }
 
-// drawn reports whether a request that is larger than what this daemon has left of its share
-// wins a lot, of which there is one for each delay of reports.
+// lottery reports whether a request that exceeds the remaining part of this daemon's share wins a
+// lottery, which is held once per interval of the length of the delay of reports.
 //
-// Sixty daemons that see room for four long requests would else let in one each. So many win
-// that all together keep to their shares, as long as each daemon draws once: in a burst that
-// brings each of them many requests, the shorter ones would else win what a longer one lost.
-func (led *Ledger) drawn(now time.Time, account yuccaid.Account, win *window, cost, left float64) bool {
-	turn := now.UnixNano() / int64(led.delay)
-	if win.drawn == turn {
+// Without it, sixty daemons that see enough quota for four long requests would admit one each. The
+// chance is such that all daemons together keep to their shares if each daemon draws once. If a
+// daemon drew again for each request of a burst, the shorter requests would win what a longer one had
+// lost.
+func (led *Ledger) lottery(now time.Time, account yuccaid.Account, win *accountWindow, cost, remaining float64) bool {
+	interval := now.UnixNano() / int64(led.delay)
+	if win.lottery == interval {
 		return false
 	}
-	win.drawn = turn
-	chance := left / cost
+	win.lottery = interval
+	chance := remaining / cost
 	if win.recent.Total() == 0 {
-		chance *= lotPart
+		chance *= firstDrawFactor
 	}
-	return led.lot(turn, account) < chance
+	return led.draw(interval, account) < chance
 }
 
-// lot draws a number from 0 up to 1 that is the daemon's own.
-func (led *Ledger) lot(turn int64, account yuccaid.Account) float64 {
-	text := fmt.Sprintf("%s/%d/%d", account, turn, led.salt)
+// draw returns a number in [0, 1) that differs from the numbers of the other daemons.
+func (led *Ledger) draw(interval int64, account yuccaid.Account) float64 {
+	text := fmt.Sprintf("%s/%d/%d", account, interval, led.salt)
 	return float64(xxhash.Sum64String(text)>>11) / (1 << 53)
 }
--- a/core/yuccaquota/tally.go
+++ b/core/yuccaquota/tally.go
@@ -7,115 +7,115 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// tally sums one thing over a window, for all daemons as far as they have reported.
+// tally sums one quantity over a window, over all daemons whose reports have arrived.
 type tally struct {
 	all yuccawindow.Sum
-	// mine is what this daemon counted, home what those of its data centre did, and away what
-	// those of the others did.
-	mine yuccawindow.Sum
-	home yuccawindow.Sum
-	away map[yuccaid.Centre]*yuccawindow.Sum
-	// unplaced is what was taken over from another daemon's total without knowing whose it
-	// is. When a data centre tells all that it counted, that is a part of it.
-	unplaced yuccawindow.Sum
-	// ever is all that this daemon counted since it began, and reported what of that it told
-	// the others of its data centre; centre is what its data centre counted and hasn't
-	// reported to the other ones yet.
-	ever     int64
-	reported int64
-	centre   int64
+	// localDaemon is the amount counted by this daemon, localCentre by all daemons of this data
+	// centre, and remote by those of each remote data centre.
+	localDaemon yuccawindow.Sum
+	localCentre yuccawindow.Sum
+	remote      map[yuccaid.Centre]*yuccawindow.Sum
+	// unattributed is the amount copied from another daemon's total without knowing which data
+	// centre counted it. When a data centre sends all that it has counted, this amount is part of it.
+	unattributed yuccawindow.Sum
+	// lifetime is what this daemon has counted since it started, and lifetimeReported the value of
+	// lifetime in its last report to the daemons of its data centre. unsentRemote is the amount
+	// counted by this data centre that hasn't been reported to the remote ones.
+	lifetime         int64
+	lifetimeReported int64
+	unsentRemote     int64
 }
 
-// advance drops what has left the window.
+// advance moves the window to now and drops what has left it.
 func (tl *tally) advance(now time.Time, span time.Duration) {
 	tl.all.Advance(now, span)
-	tl.mine.Advance(now, span)
-	tl.home.Advance(now, span)
-	tl.unplaced.Advance(now, span)
+	tl.localDaemon.Advance(now, span)
+	tl.localCentre.Advance(now, span)
+	tl.unattributed.Advance(now, span)
 }
 
-// count adds what this daemon counts.
+// count adds an amount that this daemon counts.
 func (tl *tally) count(amount int64) {
-	tl.ever += amount
-	tl.mine.Add(amount)
-	tl.near(amount)
+	tl.lifetime += amount
+	tl.localDaemon.Add(amount)
+	tl.addCentre(amount)
 }
 
-// near adds what a daemon of this data centre counts.
-func (tl *tally) near(amount int64) {
+// addCentre adds an amount that a daemon of this data centre counts.
+func (tl *tally) addCentre(amount int64) {
 	tl.all.Add(amount)
-	tl.home.Add(amount)
-	tl.centre += amount
+	tl.localCentre.Add(amount)
+	tl.unsentRemote += amount
 }
 
-// far adds what another data centre counts.
-func (tl *tally) far(now time.Time, span time.Duration, centre yuccaid.Centre, amount int64) {
-	tl.of(now, span, centre).Add(amount)
+// addRemote adds an amount that a remote data centre counts.
+func (tl *tally) addRemote(now time.Time, span time.Duration, centre yuccaid.Centre, amount int64) {
+	tl.remoteSum(now, span, centre).Add(amount)
 	tl.all.Add(amount)
 }
 
-// of returns what is counted of another data centre.
-func (tl *tally) of(now time.Time, span time.Duration, centre yuccaid.Centre) *yuccawindow.Sum {
-	sum := tl.away[centre]
+// remoteSum returns the sum of a remote data centre.
+func (tl *tally) remoteSum(now time.Time, span time.Duration, centre yuccaid.Centre) *yuccawindow.Sum {
+	sum := tl.remote[centre]
 	if sum == nil {
 		sum = &yuccawindow.Sum{}
-		if tl.away == nil {
-			tl.away = make(map[yuccaid.Centre]*yuccawindow.Sum)
+		if tl.remote == nil {
+			tl.remote = make(map[yuccaid.Centre]*yuccawindow.Sum)
 		}
-		tl.away[centre] = sum
+		tl.remote[centre] = sum
 	}
 	sum.Advance(now, span)
 	return sum
 }
 
-// whole takes all that another data centre counted within the window, by age, and adds what
-// of it hasn't been heard.
-func (tl *tally) whole(now time.Time, span time.Duration, centre yuccaid.Centre, theirs []int64) {
-	sum := tl.of(now, span, centre)
-	for _, part := range missing(theirs, sum) {
-		sum.AddAtAge(part.age, part.amount)
-		tl.all.AddAtAge(part.age, part.amount-tl.place(part))
+// raiseRemote applies the amounts that a remote data centre has counted within the window, by age,
+// and adds what hasn't been counted yet.
+func (tl *tally) raiseRemote(now time.Time, span time.Duration, centre yuccaid.Centre, reported []int64) {
+	sum := tl.remoteSum(now, span, centre)
+	for _, portion := range missing(reported, sum) {
+		sum.AddAtAge(portion.age, portion.amount)
+		tl.all.AddAtAge(portion.age, portion.amount-tl.attribute(portion))
 	}
 }
 
-// place takes an amount whose data centre is now known out of what is unplaced, as far as it
-// goes, and returns how much that was.
-func (tl *tally) place(part aged) int64 {
-	placed := min(part.amount, max(tl.unplaced.Total(), 0))
-	tl.unplaced.AddAtAge(part.age, -placed)
-	return placed
+// attribute removes an amount from the unattributed sum, because its data centre is known now, and
+// returns how much was removed.
+func (tl *tally) attribute(portion agedAmount) int64 {
+	attributed := min(portion.amount, max(tl.unattributed.Total(), 0))
+	tl.unattributed.AddAtAge(portion.age, -attributed)
+	return attributed
 }
 
-// raise takes over a higher total, which is given by age.
-func (tl *tally) raise(theirs []int64) {
-	for _, part := range missing(theirs, &tl.all) {
-		tl.all.AddAtAge(part.age, part.amount)
-		tl.unplaced.AddAtAge(part.age, part.amount)
+// raise raises the total to a higher one that is given by age.
+func (tl *tally) raise(reported []int64) {
+	for _, portion := range missing(reported, &tl.all) {
+		tl.all.AddAtAge(portion.age, portion.amount)
+		tl.unattributed.AddAtAge(portion.age, portion.amount)
 	}
 }
 
-// aged is an amount that was counted some time ago.
-type aged struct {
+// agedAmount is an amount with the age group in which it was counted.
+type agedAmount struct {
 	age    int
 	amount int64
 }
 
-// missing returns what a sum lacks of another daemon's, the oldest first.
+// missing returns what a sum lacks compared to that of another daemon, the oldest part first.
 //
-// Daemons take over one another's sums whenever they meet. Counted anew each time, an amount
-// would be passed to and fro while daemons restart, and never leave the window.
-func missing(theirs []int64, mine *yuccawindow.Sum) []aged {
-	lacks := -mine.Total()
-	for _, amount := range theirs {
-		lacks += amount
+// Daemons copy one another's sums whenever they connect. If the copies were counted as new amounts,
+// they would be passed back and forth while daemons restart, and never leave the window.
+func missing(reported []int64, sum *yuccawindow.Sum) []agedAmount {
+	deficit := -sum.Total()
+	for _, amount := range reported {
+		deficit += amount
 	}
-	var parts []aged
-	have := mine.Ages()
-	for age := min(len(theirs), len(have)) - 1; age >= 0 && lacks > 0; age-- {
-		if part := min(lacks, theirs[age]-have[age]); part > 0 {
-			parts = append(parts, aged{age, part})
-			lacks -= part
+	var portions []agedAmount
+	ages := sum.Ages()
+	for age := min(len(reported), len(ages)) - 1; age >= 0 && deficit > 0; age-- {
+		if portion := min(deficit, reported[age]-ages[age]); portion > 0 {
+			portions = append(portions, agedAmount{age, portion})
+			deficit -= portion
 		}
 	}
-	return parts
+	return portions
 }
