--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -59,9 +59,9 @@
 	windows   map[yuccaid.Account]*accountWindow
 	peers     map[yuccaid.Incarnation]*peerState
 	tolerance Tolerance
-	share     float64
 	// share is the fraction of every quota that this daemon may use, and shareSince is since when
 	// it has been less than 1; zero if it is 1.
+	share      float64
 	shareSince time.Time
 	daemons    int
 	salt       uint64
