--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -11,29 +11,32 @@
 )
 
 const (
-	// delayGrain is the step to which the delay of reports is rounded.
-	delayGrain = 100 * time.Millisecond
-	// defaultDelay is the delay of reports before SetFleet has been called.
-	defaultDelay = 200 * time.Millisecond
-	// defaultWindow is the window if Tolerance sets none.
+	// reportDelayStep is the step to which SetFleet rounds the report delay, the time until all daemons
+	// have received a report of usage. Without rounding, each small change of the delay would empty
+	// the sums over it.
+	reportDelayStep = 100 * time.Millisecond
+	// defaultReportDelay is the report delay before SetFleet has been called.
+	defaultReportDelay = 200 * time.Millisecond
+	// defaultWindow is the window if Tolerance.Window is zero.
 	defaultWindow = 8 * time.Second
-	// The reserve is the part of the tolerated limit that isn't used: reserveSeconds of an account's
-	// rate and reserveBurstShare of its burst. It covers what is admitted before all daemons have
+	// reserveSeconds and reserveBurstShare define the reserve, which is the part of the tolerated limit
+	// (see toleratedLimit) that requests may not use: the usage of reserveSeconds at the account's rate
+	// plus reserveBurstShare of its burst. The reserve covers what is admitted before all daemons have
 	// received the reports of it, and what is admitted a second time after all daemons have lost their
-	// usage history. The reserve is at least minReserveShare of the tolerated limit, because for an
-	// account with a low rate the excess depends on the size of its requests, not on its rate.
+	// usage history. It is at least minReserveShare of the tolerated limit, because for an account with
+	// a low rate the excess depends on the size of its requests, not on its rate.
 	reserveSeconds    = 1.6
 	reserveBurstShare = 0.8
 	minReserveShare   = 0.1
-	// rankReserve is the share of a window that each rank leaves to the more urgent ranks, counted
+	// rankReserve is the share of the limit that each rank leaves to the more urgent ranks, counted
 	// for at most maxReservedRanks ranks. When an account has used most of its quota, its urgent
-	// requests are still admitted while its letters are refused. A request that costs at most
-	// smallShare of a window isn't subject to this, because it uses so little of the quota.
+	// requests are still admitted while its less urgent ones are refused. A request that costs at most
+	// rankExemptShare of the limit isn't subject to this, because it uses so little of the quota.
 	rankReserve      = 0.06
 	maxReservedRanks = 3
-	smallShare       = 1.0 / 500
-	// maxUnconfigured limits the number of accounts that are counted before a configuration is
-	// known.
+	rankExemptShare  = 1.0 / 500
+	// maxUnconfigured limits the number of accounts whose usage is counted before Configure has been
+	// called.
 	maxUnconfigured = 10000
 	// minRetryAfter prevents refused callers from retrying in a tight loop, and maxRetryAfter limits
 	// the retry-after that callers receive.
@@ -42,13 +45,16 @@
 )
 
 // Tolerance is how far an account's usage may exceed its quota in any window before that counts as
-// a breach: by the share Overshoot of the quota's limit for the window, plus Allowance, which is in
-// units of the quota.
+// a breach.
 //
-// Refusing a request of an account within its quota is a loss without benefit, and a daemon learns
-// of the usage admitted by other daemons with a delay. Therefore most of the tolerance is used.
+// A daemon learns of the usage admitted by other daemons with a delay, so it can't both keep every
+// account exactly to its quota and admit every request within a quota. Refusing a request within a
+// quota is a loss without benefit. Therefore a Ledger uses most of the tolerance.
 type Tolerance struct {
-	Window    time.Duration
+	// Window is the length of the sliding window in which usage is counted.
+	Window time.Duration
+	// Overshoot is the tolerated excess as a share of what the quota allows in a window. Allowance is
+	// added to it and is in units of the quota.
 	Overshoot float64
 	Allowance float64
 }
@@ -59,16 +65,19 @@
 	windows   map[yuccaid.Account]*accountWindow
 	peers     map[yuccaid.Incarnation]*peerState
 	tolerance Tolerance
-	// share is the fraction of every quota that this daemon may use, and shareSince is since when
-	// it has been less than 1; zero if it is 1.
+	// share is the fraction of every quota that this daemon may use. shareSince is the time at which
+	// share became less than 1, or zero if share is 1.
 	share      float64
 	shareSince time.Time
-	daemons    int
-	salt       uint64
-	delay      time.Duration
-	// configured reports whether the accounts are known.
+	// daemons is the number of daemons, including this one.
+	daemons int
+	// salt makes this daemon's lottery independent of those of the other daemons.
+	salt uint64
+	// reportDelay is the time until all daemons have received a report of usage.
+	reportDelay time.Duration
+	// configured reports whether Configure has been called.
 	configured bool
-	// withoutHistory reports whether this daemon lacks the usage from before historyLostAt. It ends
+	// withoutHistory reports whether this daemon lacks the usage from before historyLostAt. It is reset
 	// when another daemon sends its usage history, or when a window has passed.
 	historyLostAt  time.Time
 	withoutHistory bool
@@ -77,14 +86,15 @@
 // accountWindow is the usage of one account within the window.
 type accountWindow struct {
 	quota yuccaroute.Quota
-	// admitted is the admitted usage. demand is the requested usage, which is counted only while
-	// the daemon is without usage history.
+	// admitted is the admitted usage. demand is the requested usage, including that of refused
+	// requests. It is counted only while the daemon is without usage history.
 	admitted tally
 	demand   tally
-	// recent is what this daemon has admitted within the delay of reports. lottery is the number of
-	// the last interval, each as long as that delay, in which a request took part in the lottery.
-	recent  yuccawindow.Sum
-	lottery int64
+	// recentLocal is what this daemon has admitted within the report delay. Other daemons may not know
+	// of it yet. Time is divided into intervals of the length of the report delay, and
+	// lastLotteryInterval is the number of the last interval in which the lottery was held.
+	recentLocal         yuccawindow.Sum
+	lastLotteryInterval int64
 	// averageCost is the moving average of the cost of the requests that this daemon has received.
 	averageCost float64
 }
@@ -102,7 +112,7 @@
 func New(tolerance Tolerance, options ...Option) *Ledger {
 	led := &Ledger{
 		windows: make(map[yuccaid.Account]*accountWindow), peers: make(map[yuccaid.Incarnation]*peerState),
-		tolerance: tolerance.withDefaults(), share: 1, daemons: 1, delay: defaultDelay,
+		tolerance: tolerance.withDefaults(), share: 1, daemons: 1, reportDelay: defaultReportDelay,
 	}
 	for _, option := range options {
 		option(led)
@@ -128,14 +138,15 @@
 	return tol
 }
 
-// MarkWithoutHistory records that this daemon's process has started while the other daemons may
-// have been running, so that usage may have been admitted by processes that have ended.
+// MarkWithoutHistory records that the usage admitted before now isn't known to this daemon. This is
+// so when its process has started, because processes that have ended may have admitted usage, and
+// when the window has changed; see SetTolerance.
 func (led *Ledger) MarkWithoutHistory(now time.Time) {
 	led.historyLostAt = now
 	led.withoutHistory = true
 }
 
-// WithoutHistory reports whether this daemon still lacks the usage from before it started.
+// WithoutHistory reports whether this daemon still lacks the usage from before MarkWithoutHistory.
 func (led *Ledger) WithoutHistory(now time.Time) bool {
 	if led.withoutHistory && now.Sub(led.historyLostAt) >= led.tolerance.Window {
 		led.withoutHistory = false
@@ -177,11 +188,11 @@
 }
 
 // SetFleet sets the share of every quota that this daemon may use, the number of daemons, and the
-// delay until all daemons have received a report of usage. The share is 1 while this daemon receives
-// the reports of all others.
+// report delay, which is the time until all daemons have received a report of usage. The share is 1
+// while this daemon receives the reports of all other daemons.
 //
-// During the delay, an account's remaining quota is divided among the daemons. Otherwise seventy
-// daemons that each see the same remaining quota and use it up would admit many times as much.
+// During the report delay, an account's remaining quota is divided among the daemons. Otherwise
+// seventy daemons that each see the same remaining quota and use it up would admit many times as much.
 func (led *Ledger) SetFleet(now time.Time, share float64, daemons int, delay time.Duration) {
 	switch {
 	case share >= 1:
@@ -191,8 +202,8 @@
 	}
 	led.share = share
 	led.daemons = max(daemons, 1)
-	// The delay is rounded, because the sums over it are emptied whenever it changes.
-	led.delay = max(delay.Round(delayGrain), delayGrain)
+	// The delay is rounded, because the sums over the delay are emptied whenever its value changes.
+	led.reportDelay = max(delay.Round(reportDelayStep), reportDelayStep)
 }
 
 // QuotaShare returns the share of every quota that this daemon may use.
@@ -251,22 +262,23 @@
 	led.advance(now, win)
 	win.recordCost(cost)
 	limit := led.limit(now, win)
-	if cost > smallShare*limit {
+	if cost > rankExemptShare*limit {
 		limit *= 1 - rankReserve*float64(min(max(rank, 0), maxReservedRanks))
 	}
 	answer := Answer{Used: win.admitted.all.Total(), Limit: int64(limit), UsedByDaemon: win.admitted.localDaemon.Total()}
 	if led.WithoutHistory(now) {
-		win.demand.count(int64(cost))
+		win.demand.addLocalDaemon(int64(cost))
 		answer.Demand, answer.DemandLimit = win.demand.all.Total(), int64(led.demandLimit(now, win))
 	}
 	answer.Verdict, answer.RetryAfter = led.decide(now, account, win, cost, limit)
+	// A single request is never held, even if its cost alone exceeds DemandLimit.
 	if answer.Verdict == Admitted && answer.Demand > max(answer.DemandLimit, int64(cost)) {
 		answer.Verdict, answer.RetryAfter = led.decideWithoutHistory(now, win, cost, limit)
 	}
 	answer.OverQuota = float64(win.admitted.all.Total())+cost > led.quotaLimit(win.quota)
 	if answer.Verdict == Admitted {
-		win.admitted.count(int64(cost))
-		win.recent.Add(int64(cost))
+		win.admitted.addLocalDaemon(int64(cost))
+		win.recentLocal.Add(int64(cost))
 	}
 	return answer
 }
@@ -276,31 +288,33 @@
 	if win.averageCost == 0 {
 		win.averageCost = cost
 	}
-	win.averageCost += averageWeight * (cost - win.averageCost)
+	win.averageCost += averageCostWeight * (cost - win.averageCost)
 }
 
-// decide returns the verdict on a cost within a limit, without regard to lost usage history.
+// decide returns the verdict on a request of the given cost under the given limit. It ignores whether
+// usage history was lost.
 func (led *Ledger) decide(now time.Time, account yuccaid.Account, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
 	used := float64(win.admitted.all.Total())
-	free := limit - used
+	remaining := limit - used
 	switch {
-	case used > 0 && cost > free:
-		return WindowFull, clampRetryAfter(win.admitted.all.ExpiresIn(int64(cost - free)))
-	case !led.withinShare(now, account, win, cost, free):
-		return ShareUsed, clampRetryAfter(led.delay)
+	case used > 0 && cost > remaining:
+		return WindowFull, clampRetryAfter(win.admitted.all.ExpiresIn(int64(cost - remaining)))
+	case !led.withinShare(now, account, win, cost, remaining):
+		return ShareUsed, clampRetryAfter(led.reportDelay)
 	}
 	return Admitted, 0
 }
 
+// clampRetryAfter limits a retry-after to the range from minRetryAfter to maxRetryAfter.
 func clampRetryAfter(retryAfter time.Duration) time.Duration {
 	return min(max(retryAfter, minRetryAfter), maxRetryAfter)
 }
 
 // limit returns the usage up to which requests are admitted in a window.
 //
-// A daemon that may use only a share of the quota gets that share of what remained when the
-// restriction began and of what has left the window since. With a share of the whole limit,
-// the usage that other daemons had admitted before would exceed it many times, and an account far
+// A daemon that may use only a share of the quota gets that share of the quota that remained at
+// shareSince, and of the usage that has left the window since then. A share of the whole limit would
+// be far less than the usage that all daemons had admitted before shareSince, so that an account far
 // below its quota would be refused until the window has passed.
 func (led *Ledger) limit(now time.Time, win *accountWindow) float64 {
 	full := max(led.quotaLimit(win.quota), led.toleratedLimit(win.quota)-led.reserve(win))
@@ -321,11 +335,12 @@
 	return led.quotaLimit(quota)*(1+led.tolerance.Overshoot) + led.tolerance.Allowance
 }
 
-// reserve returns the part of the tolerated limit that isn't used.
+// reserve returns the part of the tolerated limit that requests may not use; see reserveSeconds.
 func (led *Ledger) reserve(win *accountWindow) float64 {
 	return max(win.quota.Rate*reserveSeconds+win.quota.Burst*reserveBurstShare, minReserveShare*led.toleratedLimit(win.quota))
 }
 
+// seconds converts a number of seconds to a duration.
 func seconds(value float64) time.Duration {
 	return time.Duration(value * float64(time.Second))
 }
@@ -334,7 +349,7 @@
 func (led *Ledger) Refund(now time.Time, account yuccaid.Account, cost float64) {
 	if win := led.windows[account]; win != nil {
 		led.advance(now, win)
-		win.admitted.count(-int64(cost))
+		win.admitted.addLocalDaemon(-int64(cost))
 	}
 }
 
@@ -342,11 +357,11 @@
 func (led *Ledger) advance(now time.Time, win *accountWindow) {
 	win.admitted.advance(now, led.span())
 	win.demand.advance(now, led.span())
-	win.recent.Advance(now, led.delay)
+	win.recentLocal.Advance(now, led.reportDelay)
 }
 
-// span returns the window over which usage is counted. It is one part longer than the window of the
-// tolerance, because a Sum drops its oldest part as a whole.
+// span returns the window over which usage is counted. It is one bucket of a Sum longer than the
+// window of the tolerance, because a Sum drops its oldest bucket as a whole.
 func (led *Ledger) span() time.Duration {
 	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Parts
 }
--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -16,28 +16,29 @@
 var start = time.Unix(1_700_000_000, 0)
 
 const (
-	rate  = 10_000.0
-	burst = 20_000.0
-	span  = 8 * time.Second
+	rate       = 10_000.0
+	burst      = 20_000.0
+	windowSpan = 8 * time.Second
 )
 
 var (
-	noTolerance = yuccaquota.Tolerance{Window: span}
-	tolerant    = yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: 40_000}
+	noTolerance = yuccaquota.Tolerance{Window: windowSpan}
+	tolerant    = yuccaquota.Tolerance{Window: windowSpan, Overshoot: 0.25, Allowance: 40_000}
 )
 
-// quotaLimit is the usage that the quota allows in a window, and toleratedLimit the usage from which
-// it counts as a breach.
+// quotaLimit is the usage that the quota allows in a window of 8 s. A usage above toleratedLimit
+// counts as a breach.
 const (
 	quotaLimit     = rate*8 + burst
 	toleratedLimit = quotaLimit*1.25 + 40_000
 )
 
+// accounts returns one account with the given rate, in tokens per second, and burst, in tokens.
 func accounts(rate, burst float64) []yuccaroute.Account {
 	return []yuccaroute.Account{{Name: "rally", Quota: yuccaroute.Quota{Rate: rate, Burst: burst, PerToken: true}}}
 }
 
-// lastSalt is the salt of the last ledger. Every ledger gets another one.
+// lastSalt is the salt of the ledger created last. Each ledger has a different salt.
 var lastSalt uint64
 
 func ledger(now time.Time, tolerance yuccaquota.Tolerance) *yuccaquota.Ledger {
@@ -51,7 +52,7 @@
 type fleet struct {
 	now     time.Time
 	ledgers []*yuccaquota.Ledger
-	// restarts counts the restarts of each daemon.
+	// restarts counts the restarts of each daemon. It is part of the daemon's incarnation.
 	restarts       []byte
 	reportInterval time.Duration
 	lastReport     time.Time
@@ -61,13 +62,16 @@
 	admitted []admission
 }
 
+// admission is an admitted request.
 type admission struct {
 	at   time.Time
 	cost float64
 }
 
+// peer is a daemon that sends reports but has no ledger.
 var peer = yuccaid.NewIncarnation("entry-9", [16]byte{1})
 
+// step is the time between two requests of send, by which tick advances the clock.
 const step = 10 * time.Millisecond
 
 func newFleet(size int, reportInterval time.Duration, tolerance yuccaquota.Tolerance) *fleet {
@@ -83,33 +87,34 @@
 }
 
 // name returns the incarnation of a daemon's current process.
-func (flt *fleet) name(at int) yuccaid.Incarnation {
-	return yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprintf("entry-%d", at)), [16]byte{flt.restarts[at]})
+func (flt *fleet) name(index int) yuccaid.Incarnation {
+	return yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprintf("entry-%d", index)), [16]byte{flt.restarts[index]})
 }
 
 // restart replaces the process of a daemon by a new one.
-func (flt *fleet) restart(at int, led *yuccaquota.Ledger) {
-	flt.ledgers[at] = led
-	flt.restarts[at]++
+func (flt *fleet) restart(index int, led *yuccaquota.Ledger) {
+	flt.ledgers[index] = led
+	flt.restarts[index]++
 }
 
 // connect connects a daemon to all others.
-func (flt *fleet) connect(at int) {
-	led := flt.ledgers[at]
+func (flt *fleet) connect(index int) {
+	led := flt.ledgers[index]
 	for i, other := range flt.ledgers {
-		if i != at {
-			other.PeerConnected(flt.now, flt.name(at), led.LifetimeUsage(), led.DaemonTotals(flt.now))
+		if i != index {
+			other.PeerConnected(flt.now, flt.name(index), led.LifetimeUsage(), led.DaemonTotals(flt.now))
 			led.PeerConnected(flt.now, flt.name(i), other.LifetimeUsage(), other.DaemonTotals(flt.now))
 		}
 	}
 }
 
 func (flt *fleet) connectAll() {
-	for at := range flt.ledgers {
-		flt.connect(at)
+	for index := range flt.ledgers {
+		flt.connect(index)
 	}
 }
 
+// tick advances the clock by one step and exchanges reports when they are due.
 func (flt *fleet) tick() {
 	flt.now = flt.now.Add(step)
 	if flt.now.Sub(flt.lastReport) < flt.reportInterval {
@@ -127,8 +132,8 @@
 }
 
 // send sends one request per step for a duration, to each daemon in turn.
-func (flt *fleet) send(span time.Duration, cost float64) {
-	for turn := range int(span / step) {
+func (flt *fleet) send(duration time.Duration, cost float64) {
+	for turn := range int(duration / step) {
 		if verdict := flt.ledgers[turn%len(flt.ledgers)].Admit(flt.now, "rally", cost, 0).Verdict; verdict == yuccaquota.Admitted {
 			flt.admitted = append(flt.admitted, admission{at: flt.now, cost: cost})
 		}
@@ -141,7 +146,7 @@
 	maxUsage, sum, first := 0.0, 0.0, 0
 	for _, each := range flt.admitted {
 		sum += each.cost
-		for flt.admitted[first].at.Add(span).Before(each.at) {
+		for flt.admitted[first].at.Add(windowSpan).Before(each.at) {
 			sum -= flt.admitted[first].cost
 			first++
 		}
@@ -196,8 +201,9 @@
 	})
 
 	// An account has used three quarters of its window at an even rate and sends one long, urgent
-	// request that costs an eighth of the window. If only shares counted, each daemon would
-	// refuse it, because it is far larger than a share, although the remaining quota suffices.
+	// request that costs an eighth of the window. If a daemon admitted only what fits into its share,
+	// each would refuse it, because its cost far exceeds a share, although the remaining quota
+	// suffices.
 	It("admits a long request of an account with moderate use", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(10*time.Second, 120)
@@ -245,17 +251,18 @@
 	})
 
 	// All daemons are killed while an account exceeds its rate, and none has usage history afterwards.
+	// If its window started empty, the account would use its quota twice within one window.
 	DescribeTable("isn't granted a second time when all daemons restart without usage history",
-		func(before time.Duration, pressure float64) {
+		func(overload time.Duration, cost float64) {
 			flt := newFleet(7, 100*time.Millisecond, tolerant)
-			flt.send(before, pressure)
-			for at := range flt.ledgers {
-				flt.restart(at, ledger(flt.now, tolerant))
-				flt.ledgers[at].SetFleet(flt.now, 1, 7, 150*time.Millisecond)
-				flt.ledgers[at].MarkWithoutHistory(flt.now)
+			flt.send(overload, cost)
+			for index := range flt.ledgers {
+				flt.restart(index, ledger(flt.now, tolerant))
+				flt.ledgers[index].SetFleet(flt.now, 1, 7, 150*time.Millisecond)
+				flt.ledgers[index].MarkWithoutHistory(flt.now)
 			}
 			flt.connectAll()
-			flt.send(15*time.Second, pressure)
+			flt.send(15*time.Second, cost)
 			Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 		},
 		Entry("at four times the rate", 4*time.Second, 400.0),
@@ -273,7 +280,8 @@
 		Expect(flt.admitted).To(HaveLen(int(10 * time.Second / step)))
 	})
 
-	// Some daemons are disconnected from all others while callers still reach them.
+	// Three of seven daemons are disconnected from all others while callers still reach them. If each
+	// used the whole quota, the account would get it several times.
 	It("is divided when daemons receive no reports from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.disconnected = func(i int) bool { return i >= 4 }
@@ -286,9 +294,9 @@
 		Expect(flt.maxUsage()).To(BeNumerically("<=", 1.3*toleratedLimit))
 	})
 
-	// All daemons were paused, and for a moment none receives reports from another. The account has
-	// used half of its quota. If each daemon allowed a seventh of the quota in total, it would refuse
-	// the account for seconds.
+	// All daemons were paused, and for a moment no daemon receives the reports of another. The account
+	// has used half of its quota. If each daemon compared the whole usage with a seventh of the quota,
+	// it would refuse the account for seconds.
 	It("admits an account within it when daemons are disconnected from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(8*time.Second, 0.6*rate*step.Seconds())
@@ -301,7 +309,8 @@
 		Expect(flt.admitted[before:]).To(HaveLen(int(time.Second / step)))
 	})
 
-	// The same happens while an account sends six times its rate.
+	// No daemon receives the reports of another while an account sends six times its rate. For the first
+	// 1.5 s the daemons don't notice, and each still uses the whole quota.
 	It("is enforced when daemons are disconnected from one another under overload", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(6*time.Second, 6*rate*step.Seconds())
@@ -320,9 +329,9 @@
 		verdict := led.Admit(start, "rally", 900, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 		answer := led.Admit(start, "rally", 200, 0)
-		back, verdict := answer.RetryAfter, answer.Verdict
+		retryAfter, verdict := answer.RetryAfter, answer.Verdict
 		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
-		Expect(back).To(BeNumerically("~", span, span/10))
+		Expect(retryAfter).To(BeNumerically("~", windowSpan, windowSpan/10))
 		led.Configure(start, nil)
 		verdict = led.Admit(start, "rally", 1e9, 0).Verdict
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
@@ -336,20 +345,20 @@
 		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
 	})
 
-	// An account has used most of its quota for letters. An urgent note, such as the report of a gas
-	// leak, must not be refused because of them.
+	// An account has used most of its quota for requests of rank 2. An urgent request of rank 0 must not
+	// be refused because of them.
 	It("reserves the rest of it for urgent requests and for short ones", func() {
 		led := ledger(start, noTolerance)
 		for verdict := yuccaquota.Admitted; verdict == yuccaquota.Admitted; {
 			verdict = led.Admit(start, "rally", 1000, 2).Verdict
 		}
-		letter := led.Admit(start, "rally", 1000, 2).Verdict
-		Expect(letter).To(Equal(yuccaquota.WindowFull))
+		lessUrgent := led.Admit(start, "rally", 1000, 2).Verdict
+		Expect(lessUrgent).To(Equal(yuccaquota.WindowFull))
 		short := led.Admit(start, "rally", quotaLimit/4000, 2).Verdict
 		Expect(short).To(Equal(yuccaquota.Admitted))
 		for range 10 {
-			note := led.Admit(start, "rally", 1000, 0).Verdict
-			Expect(note).To(Equal(yuccaquota.Admitted))
+			urgent := led.Admit(start, "rally", 1000, 0).Verdict
+			Expect(urgent).To(Equal(yuccaquota.Admitted))
 		}
 	})
 
@@ -374,8 +383,9 @@
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// The daemon that sends its data centre's reports is killed. Without this, the usage until another
-	// daemon takes over would never be reported to the remote data centres.
+	// The daemon that sends its data centre's reports to the remote ones is killed. If its successor
+	// didn't report the usage that it had not reported, the remote data centres would never learn of
+	// that usage.
 	It("reports to remote data centres what the previous reporting daemon has not", func() {
 		led := ledger(start, noTolerance)
 		led.PeerConnected(start, peer, nil, nil)
@@ -410,19 +420,19 @@
 	// copied usage were counted as new, an account that has stopped sending would be refused for as
 	// long as that continues.
 	It("drops usage after a window although daemons copy it from one another", func() {
-		leds := []*yuccaquota.Ledger{ledger(start, noTolerance), ledger(start, noTolerance), ledger(start, noTolerance)}
-		Expect(leds[0].Admit(start, "rally", quotaLimit/2, 0).Verdict).To(Equal(yuccaquota.Admitted))
+		ledgers := []*yuccaquota.Ledger{ledger(start, noTolerance), ledger(start, noTolerance), ledger(start, noTolerance)}
+		Expect(ledgers[0].Admit(start, "rally", quotaLimit/2, 0).Verdict).To(Equal(yuccaquota.Admitted))
 		now := start
 		for turn := range 90 {
 			now = now.Add(100 * time.Millisecond)
-			from, to := leds[turn%3], leds[(turn+1)%3]
+			from, to := ledgers[turn%3], ledgers[(turn+1)%3]
 			to.RaiseTotals(now, from.Totals(now), true)
 			to.ApplyRemoteTotals(now, "gulf", from.Totals(now))
 			if turn == 40 {
 				Expect(to.Totals(now)).NotTo(BeEmpty())
 			}
 		}
-		for _, led := range leds {
+		for _, led := range ledgers {
 			Expect(led.Totals(now)).To(BeEmpty())
 		}
 	})
--- a/core/yuccaquota/report.go
+++ b/core/yuccaquota/report.go
@@ -10,21 +10,24 @@
 )
 
 // Usage is the admitted usage of one account, in the units of its quota: by one daemon since it
-// started, by a data centre since its previous report, or within a window. Amount is negative if
-// refunds for requests that have not run exceed the admitted cost.
+// started (Report, LifetimeUsage), by a data centre since its previous report (RemoteReport), or by
+// one daemon within the window (DaemonTotals).
 type Usage struct {
 	Account yuccaid.Account
-	Amount  int64
+	// Amount is the admitted usage. It is negative if refunds for requests that have not run exceed
+	// the admitted cost.
+	Amount int64
 	// Asked is the requested usage, including that of refused requests. Only daemons without usage
 	// history count it.
 	Asked int64
 }
 
-// UsageByAge is the admitted usage of one account within its window, grouped by age. Let holds the
-// amount in each of the equal parts of the window, the most recent part first.
+// UsageByAge is the admitted usage of one account within its window, grouped by age.
 type UsageByAge struct {
 	Account yuccaid.Account
-	Let     []int64
+	// Let is the admitted usage in each age group (see yuccawindow.AgeGroups), the most recent group
+	// first. Empty groups at the end are left out.
+	Let []int64
 	// Asked is the requested usage within the whole window.
 	Asked int64
 }
@@ -57,12 +60,13 @@
 
 // ApplyReport applies a report of another daemon of this data centre.
 //
-// A report holds the usage since the daemon started, from which that of the previous report is
-// subtracted. Therefore the next report makes up for one that was lost with its connection.
+// A report holds the usage since the daemon started, of which only the increase since its previous
+// report is counted. If a report is lost with its connection, the next report includes its usage.
 func (led *Ledger) ApplyReport(now time.Time, from yuccaid.Incarnation, usage []Usage) {
 	peer := led.peers[from]
 	if peer == nil {
-		// Usage since the daemon started doesn't tell how much of it lies within the window.
+		// Usage since the daemon started doesn't tell how much of it lies within the window, so that
+		// none is counted. The usage is kept only to compute the increase in the daemon's next report.
 		led.PeerConnected(now, from, usage, nil)
 		return
 	}
@@ -71,8 +75,8 @@
 		old := peer.lifetime[each.Account]
 		peer.lifetime[each.Account] = each
 		if win := led.windowFor(now, each.Account); win != nil {
-			win.admitted.addCentre(each.Amount - old.Amount)
-			win.demand.addCentre(each.Asked - old.Asked)
+			win.admitted.addLocalCentre(each.Amount - old.Amount)
+			win.demand.addLocalCentre(each.Asked - old.Asked)
 		}
 	}
 }
@@ -82,10 +86,11 @@
 func (led *Ledger) ConnectedBefore(from yuccaid.Incarnation) bool { return led.peers[from] != nil }
 
 // PeerConnected applies the usage that a daemon of this data centre sends when a connection to it
-// is established: lifetime since the daemon started, and within for the current window. Usage that
-// was missed since the daemon's previous report is counted as if it were admitted now, because its
-// time isn't known and counting too little would admit too much.
-func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, lifetime, within []Usage) {
+// is established: lifetime since the daemon started, and inWindow within the current window. Of the
+// latter, only the usage since the daemon's previous report is counted, if there was such a report.
+// It is counted as if it were admitted now, because its time isn't known and counting too little
+// would admit too much.
+func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, lifetime, inWindow []Usage) {
 	for other, peer := range led.peers {
 		if now.Sub(peer.lastReport) > peerRetention {
 			delete(led.peers, other)
@@ -97,15 +102,15 @@
 		current.lifetime[each.Account] = each
 	}
 	led.peers[from] = current
-	for _, each := range within {
+	for _, each := range inWindow {
 		admitted, demand := each.Amount, each.Asked
 		if previous != nil {
 			old, latest := previous.lifetime[each.Account], current.lifetime[each.Account]
 			admitted, demand = min(admitted, latest.Amount-old.Amount), min(demand, latest.Asked-old.Asked)
 		}
 		if win := led.windowFor(now, each.Account); win != nil {
-			win.admitted.addCentre(max(admitted, 0))
-			win.demand.addCentre(max(demand, 0))
+			win.admitted.addLocalCentre(max(admitted, 0))
+			win.demand.addLocalCentre(max(demand, 0))
 		}
 	}
 }
@@ -164,9 +169,9 @@
 func (led *Ledger) RemoteReport() []Usage {
 	var list []Usage
 	for name, win := range led.windows {
-		if win.admitted.unsentRemote != 0 || win.demand.unsentRemote != 0 {
-			list = append(list, Usage{Account: name, Amount: win.admitted.unsentRemote, Asked: win.demand.unsentRemote})
-			win.admitted.unsentRemote, win.demand.unsentRemote = 0, 0
+		if win.admitted.unreportedToRemote != 0 || win.demand.unreportedToRemote != 0 {
+			list = append(list, Usage{Account: name, Amount: win.admitted.unreportedToRemote, Asked: win.demand.unreportedToRemote})
+			win.admitted.unreportedToRemote, win.demand.unreportedToRemote = 0, 0
 		}
 	}
 	slices.SortFunc(list, compareUsage)
@@ -179,8 +184,8 @@
 func (led *Ledger) MarkRemoteReported(usage []Usage) {
 	for _, each := range usage {
 		if win := led.windows[each.Account]; win != nil {
-			win.admitted.unsentRemote -= each.Amount
-			win.demand.unsentRemote -= each.Asked
+			win.admitted.unreportedToRemote -= each.Amount
+			win.demand.unreportedToRemote -= each.Asked
 		}
 	}
 }
@@ -235,8 +240,8 @@
 func (led *Ledger) RaiseTotals(now time.Time, totals []UsageByAge, hasHistory bool) {
 	for _, each := range totals {
 		if win := led.windowFor(now, each.Account); win != nil {
-			win.admitted.raise(each.Let)
-			win.demand.raise([]int64{each.Asked})
+			win.admitted.raiseAll(each.Let)
+			win.demand.raiseAll([]int64{each.Asked})
 		}
 	}
 	if hasHistory {
--- a/core/yuccaquota/rush.go
+++ b/core/yuccaquota/rush.go
@@ -13,25 +13,26 @@
 	demandRateFactor = 1.3
 	demandHeadStart  = time.Second
 	demandBurstShare = 0.8
-	// fillShare shortens the time in which a held account is assumed to have filled its window,
+	// fillTimeFactor shortens the time in which a held account is assumed to have filled its window,
 	// because its demand before the restart may have been higher than after it.
-	fillShare = 0.7
+	fillTimeFactor = 0.7
 )
 
-// decideWithoutHistory decides on a request of an account that demands more than its quota while
-// no daemon has usage history. If the account's demand was as high before the restart, it filled its
-// window within a few seconds. The usage of these seconds leaves the window when the rest of the
-// window has passed since the restart. From then on, requests are admitted at the rate of the
-// demand.
+// decideWithoutHistory decides on a request of an account that demands more than its quota while no
+// daemon has usage history. At first such an account is admitted for the largest demand that is
+// expected from an account within its quota. If its demand was as high before the restart, it filled
+// its window within a few seconds. The usage of these seconds leaves the window when the rest of the
+// window has passed since the restart. From then on, requests are admitted at the rate of the demand.
 func (led *Ledger) decideWithoutHistory(now time.Time, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
-	since := now.Sub(led.historyLostAt)
-	demandRate := float64(win.demand.all.Total()) / (since + demandHeadStart).Seconds()
-	wait := led.tolerance.Window - seconds(fillShare*limit/demandRate)
-	allowance := led.share*win.demandLimit(0) + demandRate*max(since-wait, 0).Seconds()
-	if float64(win.admitted.all.Total())+cost <= allowance {
+	sinceLoss := now.Sub(led.historyLostAt)
+	demandRate := float64(win.demand.all.Total()) / (sinceLoss + demandHeadStart).Seconds()
+	holdTime := led.tolerance.Window - seconds(fillTimeFactor*limit/demandRate)
+	// The admissible usage starts at the largest expected demand at the time of the restart.
+	admissible := led.share*win.demandLimit(0) + demandRate*max(sinceLoss-holdTime, 0).Seconds()
+	if float64(win.admitted.all.Total())+cost <= admissible {
 		return Admitted, 0
 	}
-	return HeldAfterRestart, clampRetryAfter(wait - since)
+	return HeldAfterRestart, clampRetryAfter(holdTime - sinceLoss)
 }
 
 // demandLimit returns the largest demand that is expected, since the daemons lost their usage
@@ -40,6 +41,7 @@
 	return led.share * win.demandLimit(now.Sub(led.historyLostAt))
 }
 
-func (win *accountWindow) demandLimit(since time.Duration) float64 {
-	return max(demandRateFactor*win.quota.Rate*(since+demandHeadStart).Seconds(), demandBurstShare*win.quota.Burst)
+// demandLimit returns the same limit over all daemons, for the given time since the loss.
+func (win *accountWindow) demandLimit(sinceLoss time.Duration) float64 {
+	return max(demandRateFactor*win.quota.Rate*(sinceLoss+demandHeadStart).Seconds(), demandBurstShare*win.quota.Burst)
 }
--- a/core/yuccaquota/sizes_test.go
+++ b/core/yuccaquota/sizes_test.go
@@ -19,8 +19,10 @@
 	demandRate, mean float64
 
 	rank int
-	// due is the demand that hasn't been sent yet. It is negative if more has been sent than is due.
-	due           float64
+	// due is the cost of the requests that are due but not sent yet, in tokens. It is negative if the
+	// last request cost more than was due.
+	due float64
+	// sent and refused count requests.
 	sent, refused int
 }
 
@@ -31,17 +33,18 @@
 	return min(drawn, 15*gen.mean)
 }
 
-func (gen *loadGenerator) run(span time.Duration) {
+// run sends requests for a duration. The amount per step varies randomly around the demand rate.
+func (gen *loadGenerator) run(duration time.Duration) {
 	flt := gen.flt
-	for end := flt.now.Add(span); flt.now.Before(end); flt.tick() {
+	for end := flt.now.Add(duration); flt.now.Before(end); flt.tick() {
 		gen.due += gen.rng.ExpFloat64() * gen.demandRate * step.Seconds()
 		for gen.due > 0 {
 			cost := gen.size()
 			gen.due -= cost
-			at := gen.rng.IntN(len(flt.ledgers))
+			index := gen.rng.IntN(len(flt.ledgers))
 			gen.sent++
 			gen.refused++
-			if verdict := flt.ledgers[at].Admit(flt.now, "rally", cost, gen.rank).Verdict; verdict == yuccaquota.Admitted {
+			if verdict := flt.ledgers[index].Admit(flt.now, "rally", cost, gen.rank).Verdict; verdict == yuccaquota.Admitted {
 				gen.refused--
 				flt.admitted = append(flt.admitted, admission{at: flt.now, cost: cost})
 			}
@@ -53,10 +56,10 @@
 // connected to one another.
 func (gen *loadGenerator) kill() {
 	flt := gen.flt
-	for at := range flt.ledgers {
-		flt.restart(at, ledger(flt.now, tolerant))
-		flt.ledgers[at].SetFleet(flt.now, 0.15, 6, 300*time.Millisecond)
-		flt.ledgers[at].MarkWithoutHistory(flt.now)
+	for index := range flt.ledgers {
+		flt.restart(index, ledger(flt.now, tolerant))
+		flt.ledgers[index].SetFleet(flt.now, 0.15, 6, 300*time.Millisecond)
+		flt.ledgers[index].MarkWithoutHistory(flt.now)
 	}
 	flt.disconnected = func(int) bool { return true }
 	gen.run(450 * time.Millisecond)
@@ -68,13 +71,13 @@
 }
 
 var _ = Describe("a quota over a large fleet, with requests of widely varying sizes", func() {
-	// Sixty daemons each see some remaining quota and admit one more long request. Each adds little,
-	// but together they repeatedly exceed the quota by a third.
+	// Each of sixty daemons sees some remaining quota and admits one more long request. Each request
+	// costs little, but together they repeatedly exceed the quota by a third.
 	DescribeTable("is enforced while an account exceeds it",
-		func(pressure float64) {
+		func(demandFactor float64) {
 			for seed := range uint64(5) {
 				flt := newFleet(63, 300*time.Millisecond, tolerant)
-				gen := &loadGenerator{flt: flt, rng: rand.New(rand.NewPCG(seed, 1)), demandRate: pressure * rate, mean: 150, rank: 1}
+				gen := &loadGenerator{flt: flt, rng: rand.New(rand.NewPCG(seed, 1)), demandRate: demandFactor * rate, mean: 150, rank: 1}
 				gen.run(30 * time.Second)
 				Expect(flt.maxUsage()).To(BeNumerically("<=", 0.97*toleratedLimit), "seed %d", seed)
 				Expect(flt.maxUsage()).To(BeNumerically(">=", 0.7*toleratedLimit), "seed %d", seed)
@@ -85,12 +88,13 @@
 	)
 
 	// An account has a low rate, and a single request costs about as much as its rate allows in a
-	// second or two. Most of what it is admitted for is the tolerance. It sends 25 times its rate, and
-	// each daemon admits one more request before it receives the reports of the others.
+	// second or two. Its tolerated limit consists mostly of the tolerance's allowance. It sends 25 times
+	// its rate, and each daemon admits one more request before it receives the reports of the other
+	// daemons.
 	DescribeTable("is enforced on an account whose requests are large compared to its rate",
 		func(daemons int, reportInterval time.Duration) {
-			const rate, burst, amount = 2000.0, 4000.0, 190_000.0
-			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: amount}
+			const rate, burst, allowance = 2000.0, 4000.0, 190_000.0
+			tolerance := yuccaquota.Tolerance{Window: windowSpan, Overshoot: 0.25, Allowance: allowance}
 			for seed := range uint64(20) {
 				flt := newFleet(daemons, reportInterval, tolerance)
 				for _, led := range flt.ledgers {
@@ -98,7 +102,7 @@
 				}
 				gen := &loadGenerator{flt: flt, rng: rand.New(rand.NewPCG(seed, 1)), demandRate: 25 * rate, mean: 2500, rank: 1}
 				gen.run(30 * time.Second)
-				tolerated := (rate*8+burst)*1.25 + amount
+				tolerated := (rate*8+burst)*1.25 + allowance
 				Expect(flt.maxUsage()).To(BeNumerically("<=", tolerated), "seed %d", seed)
 				Expect(flt.maxUsage()).To(BeNumerically(">=", 0.75*tolerated), "seed %d", seed)
 			}
@@ -111,9 +115,9 @@
 	// once: within 200 ms, before any daemon has received a report, they demand three times what is
 	// tolerated in eight seconds.
 	DescribeTable("is enforced in a burst that reaches all daemons at once",
-		func(daemons, rank int, rate, burst, amount, mean float64) {
-			tolerance := yuccaquota.Tolerance{Window: span, Overshoot: 0.25, Allowance: amount}
-			tolerated := (rate*8+burst)*1.25 + amount
+		func(daemons, rank int, rate, burst, allowance, mean float64) {
+			tolerance := yuccaquota.Tolerance{Window: windowSpan, Overshoot: 0.25, Allowance: allowance}
+			tolerated := (rate*8+burst)*1.25 + allowance
 			for seed := range uint64(20) {
 				flt := newFleet(daemons, 200*time.Millisecond, tolerance)
 				for _, led := range flt.ledgers {
@@ -132,15 +136,16 @@
 		Entry("of a small fleet, by urgent requests", 7, 0, 20_000.0, 40_000.0, 190_000.0, 2500.0),
 	)
 
-	// An account exceeds its quota, and by more when its first usage leaves the window. Then all
-	// daemons are killed and restart without usage history.
+	// An account demands firstFactor times its rate, and secondFactor times from when its first usage
+	// leaves the window. Then all daemons are killed and restart without usage history. If its window
+	// started empty, the account would use its quota a second time.
 	DescribeTable("is enforced when all daemons restart without usage history under overload",
-		func(daemons, rank int, first, second float64) {
+		func(daemons, rank int, firstFactor, secondFactor float64) {
 			for seed := range uint64(10) {
 				flt := newFleet(daemons, 300*time.Millisecond, tolerant)
-				gen := &loadGenerator{flt: flt, rng: rand.New(rand.NewPCG(seed, 1)), demandRate: first * rate, mean: 150, rank: rank}
+				gen := &loadGenerator{flt: flt, rng: rand.New(rand.NewPCG(seed, 1)), demandRate: firstFactor * rate, mean: 150, rank: rank}
 				gen.run(8 * time.Second)
-				gen.demandRate = second * rate
+				gen.demandRate = secondFactor * rate
 				gen.run(4 * time.Second)
 				gen.kill()
 				gen.run(10 * time.Second)
--- a/core/yuccaquota/tally.go
+++ b/core/yuccaquota/tally.go
@@ -7,23 +7,26 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// tally sums one quantity over a window, over all daemons whose reports have arrived.
+// tally sums an account's admitted or requested usage over a window and over all daemons whose
+// reports have arrived.
 type tally struct {
+	// all is the amount counted by all daemons of all data centres.
 	all yuccawindow.Sum
 	// localDaemon is the amount counted by this daemon, localCentre by all daemons of this data
 	// centre, and remote by those of each remote data centre.
 	localDaemon yuccawindow.Sum
 	localCentre yuccawindow.Sum
 	remote      map[yuccaid.Centre]*yuccawindow.Sum
-	// unattributed is the amount copied from another daemon's total without knowing which data
-	// centre counted it. When a data centre sends all that it has counted, this amount is part of it.
+	// unattributed is the part of all that was copied from another daemon's total without knowing
+	// which data centre counted it. When a remote data centre sends its own total, that total is
+	// assumed to include the unattributed amount, which therefore isn't added to all again.
 	unattributed yuccawindow.Sum
 	// lifetime is what this daemon has counted since it started, and lifetimeReported the value of
-	// lifetime in its last report to the daemons of its data centre. unsentRemote is the amount
-	// counted by this data centre that hasn't been reported to the remote ones.
-	lifetime         int64
-	lifetimeReported int64
-	unsentRemote     int64
+	// lifetime in its last report to the other daemons of its data centre. unreportedToRemote is the
+	// amount counted by this data centre that hasn't been reported to the remote data centres.
+	lifetime           int64
+	lifetimeReported   int64
+	unreportedToRemote int64
 }
 
 // advance moves the window to now and drops what has left it.
@@ -34,18 +37,18 @@
 	tl.unattributed.Advance(now, span)
 }
 
-// count adds an amount that this daemon counts.
-func (tl *tally) count(amount int64) {
+// addLocalDaemon adds an amount that this daemon counts.
+func (tl *tally) addLocalDaemon(amount int64) {
 	tl.lifetime += amount
 	tl.localDaemon.Add(amount)
-	tl.addCentre(amount)
+	tl.addLocalCentre(amount)
 }
 
-// addCentre adds an amount that a daemon of this data centre counts.
-func (tl *tally) addCentre(amount int64) {
+// addLocalCentre adds an amount that a daemon of this data centre counts.
+func (tl *tally) addLocalCentre(amount int64) {
 	tl.all.Add(amount)
 	tl.localCentre.Add(amount)
-	tl.unsentRemote += amount
+	tl.unreportedToRemote += amount
 }
 
 // addRemote adds an amount that a remote data centre counts.
@@ -68,52 +71,55 @@
 	return sum
 }
 
-// raiseRemote applies the amounts that a remote data centre has counted within the window, by age,
-// and adds what hasn't been counted yet.
+// raiseRemote raises the sum of a remote data centre to the amounts that it has counted within the
+// window, given by age group, and adds the difference to the sum over all daemons.
 func (tl *tally) raiseRemote(now time.Time, span time.Duration, centre yuccaid.Centre, reported []int64) {
 	sum := tl.remoteSum(now, span, centre)
-	for _, portion := range missing(reported, sum) {
-		sum.AddAtAge(portion.age, portion.amount)
-		tl.all.AddAtAge(portion.age, portion.amount-tl.attribute(portion))
+	for _, portion := range missingAmounts(reported, sum) {
+		sum.AddAtAge(portion.group, portion.amount)
+		tl.all.AddAtAge(portion.group, portion.amount-tl.attribute(portion))
 	}
 }
 
-// attribute removes an amount from the unattributed sum, because its data centre is known now, and
-// returns how much was removed.
-func (tl *tally) attribute(portion agedAmount) int64 {
+// attribute removes an amount from the unattributed sum, because the data centre that counted it is
+// known now. It returns how much was removed, which is less if the sum is smaller.
+func (tl *tally) attribute(portion groupAmount) int64 {
 	attributed := min(portion.amount, max(tl.unattributed.Total(), 0))
-	tl.unattributed.AddAtAge(portion.age, -attributed)
+	tl.unattributed.AddAtAge(portion.group, -attributed)
 	return attributed
 }
 
-// raise raises the total to a higher one that is given by age.
-func (tl *tally) raise(reported []int64) {
-	for _, portion := range missing(reported, &tl.all) {
-		tl.all.AddAtAge(portion.age, portion.amount)
-		tl.unattributed.AddAtAge(portion.age, portion.amount)
+// raiseAll raises the sum over all daemons to that of another daemon, given by age group, if that is
+// higher.
+func (tl *tally) raiseAll(reported []int64) {
+	for _, portion := range missingAmounts(reported, &tl.all) {
+		tl.all.AddAtAge(portion.group, portion.amount)
+		tl.unattributed.AddAtAge(portion.group, portion.amount)
 	}
 }
 
-// agedAmount is an amount with the age group in which it was counted.
-type agedAmount struct {
-	age    int
+// groupAmount is an amount with the age group in which it was counted.
+type groupAmount struct {
+	group  int
 	amount int64
 }
 
-// missing returns what a sum lacks compared to that of another daemon, the oldest part first.
+// missingAmounts returns the amounts by which a sum is smaller than the reported sum of another
+// daemon, which is given by age group. The oldest amount comes first.
 //
 // Daemons copy one another's sums whenever they connect. If the copies were counted as new amounts,
-// they would be passed back and forth while daemons restart, and never leave the window.
-func missing(reported []int64, sum *yuccawindow.Sum) []agedAmount {
+// daemons that restart in turn would copy them back and forth, and they would never leave the window.
+// Therefore each amount keeps its age group.
+func missingAmounts(reported []int64, sum *yuccawindow.Sum) []groupAmount {
 	deficit := -sum.Total()
 	for _, amount := range reported {
 		deficit += amount
 	}
-	var portions []agedAmount
+	var portions []groupAmount
 	ages := sum.Ages()
-	for age := min(len(reported), len(ages)) - 1; age >= 0 && deficit > 0; age-- {
-		if portion := min(deficit, reported[age]-ages[age]); portion > 0 {
-			portions = append(portions, agedAmount{age, portion})
+	for group := min(len(reported), len(ages)) - 1; group >= 0 && deficit > 0; group-- {
+		if portion := min(deficit, reported[group]-ages[group]); portion > 0 {
+			portions = append(portions, groupAmount{group, portion})
 			deficit -= portion
 		}
 	}
