--- a/core/yuccabudget/budget.go
+++ b/core/yuccabudget/budget.go
@@ -7,33 +7,35 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// safetyShare is the share of the limit that is used. The limit is checked elsewhere over
-// windows that slide differently and count requests by when they arrive.
+// safetyShare is the share of the limit that a Budget uses. The rest is a margin, because the limit
+// is checked outside this package, over windows that begin at other times and count requests by when
+// they arrive.
 const safetyShare = 0.8
 
 // Bounds is the limit on resends over all daemons: within any Window, at most Ratio times the
 // requests plus Allowance.
 type Bounds struct {
-	Window    time.Duration
+	Window time.Duration
+	// Ratio is in resends per request, and Allowance in resends.
 	Ratio     float64
 	Allowance float64
 }
 
-// Budget counts requests and resends by pool. It isn't safe for concurrent use.
+// Budget counts this daemon's requests and resends by pool. It isn't safe for concurrent use.
 type Budget struct {
 	bounds Bounds
-	pools  map[yuccaid.Pool]*window
+	pools  map[yuccaid.Pool]*poolCounts
 }
 
-// window counts one pool's requests and resends within the sliding window.
-type window struct {
+// poolCounts counts one pool's requests and resends within the sliding window.
+type poolCounts struct {
 	requests yuccawindow.Sum
 	resends  yuccawindow.Sum
 }
 
 // New returns a budget without any requests or resends.
 func New(bounds Bounds) *Budget {
-	return &Budget{bounds: bounds, pools: make(map[yuccaid.Pool]*window)}
+	return &Budget{bounds: bounds, pools: make(map[yuccaid.Pool]*poolCounts)}
 }
 
 // SetBounds changes the limit and keeps the counts.
@@ -41,31 +43,31 @@
 
 // CountRequest counts a request that arrived from a caller.
 func (bud *Budget) CountRequest(now time.Time, pool yuccaid.Pool) {
-	bud.window(now, pool).requests.Add(1)
+	bud.countsOf(now, pool).requests.Add(1)
 }
 
 // AllowResend reports whether the limit allows one more resend, and counts it if so. The
 // allowance is divided evenly among the given number of daemons.
 func (bud *Budget) AllowResend(now time.Time, pool yuccaid.Pool, daemons int) bool {
-	win := bud.window(now, pool)
-	bound := safetyShare * (bud.bounds.Ratio*float64(win.requests.Total()) + bud.bounds.Allowance/float64(max(daemons, 1)))
-	if float64(win.resends.Total()+1) > bound {
+	counts := bud.countsOf(now, pool)
+	allowed := safetyShare * (bud.bounds.Ratio*float64(counts.requests.Total()) + bud.bounds.Allowance/float64(max(daemons, 1)))
+	if float64(counts.resends.Total()+1) > allowed {
 		return false
 	}
-	win.resends.Add(1)
+	counts.resends.Add(1)
 	return true
 }
 
-// window returns the counts of a pool, moved to now.
-func (bud *Budget) window(now time.Time, pool yuccaid.Pool) *window {
-	win := bud.pools[pool]
-	if win == nil {
-		win = &window{}
-		bud.pools[pool] = win
+// countsOf returns the counts of a pool, after advancing its windows to now.
+func (bud *Budget) countsOf(now time.Time, pool yuccaid.Pool) *poolCounts {
+	counts := bud.pools[pool]
+	if counts == nil {
+		counts = &poolCounts{}
+		bud.pools[pool] = counts
 	}
-	win.requests.Advance(now, bud.bounds.Window)
+	counts.requests.Advance(now, bud.bounds.Window)
 	// Resends are counted over a longer window, because the oldest bucket of a Sum expires before
 	// its window ends, and because resends reach the targets later than they are counted here.
-	win.resends.Advance(now, bud.bounds.Window+bud.bounds.Window/8)
-	return win
+	counts.resends.Advance(now, bud.bounds.Window+bud.bounds.Window/8)
+	return counts
 }
--- a/core/yuccabudget/budget_test.go
+++ b/core/yuccabudget/budget_test.go
@@ -15,30 +15,30 @@
 	// Every target of a pool fails every request. Without a limit each daemon would resend each
 	// request, which doubles the load on targets that are overloaded already.
 	It("holds over all daemons and every window", func() {
-		const daemons, perSecond = 7, 5
+		const daemons, requestsPerSecond = 7, 5
 		now := time.Unix(1_700_000_000, 0)
 		var resent []time.Time
-		var all []*yuccabudget.Budget
+		var budgets []*yuccabudget.Budget
 		for range daemons {
-			all = append(all, yuccabudget.New(bounds))
+			budgets = append(budgets, yuccabudget.New(bounds))
 		}
-		for range 40 * perSecond {
-			now = now.Add(time.Second / perSecond)
-			for _, bud := range all {
+		for range 40 * requestsPerSecond {
+			now = now.Add(time.Second / requestsPerSecond)
+			for _, bud := range budgets {
 				bud.CountRequest(now, "desk")
 				for bud.AllowResend(now, "desk", daemons) {
 					resent = append(resent, now)
 				}
 			}
 		}
-		for from := range resent {
+		for first := range resent {
 			count := 0
-			for _, at := range resent[from:] {
-				if at.Sub(resent[from]) < bounds.Window {
+			for _, at := range resent[first:] {
+				if at.Sub(resent[first]) < bounds.Window {
 					count++
 				}
 			}
-			allowed := bounds.Ratio*daemons*perSecond*bounds.Window.Seconds() + bounds.Allowance
+			allowed := bounds.Ratio*daemons*requestsPerSecond*bounds.Window.Seconds() + bounds.Allowance
 			Expect(float64(count)).To(BeNumerically("<=", allowed))
 		}
 		Expect(resent).NotTo(BeEmpty())
@@ -47,18 +47,19 @@
 	It("allows only the allowance without traffic, and allows it again after the window", func() {
 		bud := yuccabudget.New(bounds)
 		now := time.Unix(1_700_000_000, 0)
-		count := func() int {
+		resend := func() int {
 			sent := 0
 			for bud.AllowResend(now, "desk", 7) {
 				sent++
 			}
 			return sent
 		}
-		Expect(count()).To(Equal(6))
+		// The share of one of 7 daemons is 0.8 * 54 / 7, which is 6.2.
+		Expect(resend()).To(Equal(6))
 		now = now.Add(5 * time.Second)
-		Expect(count()).To(Equal(0))
+		Expect(resend()).To(Equal(0))
 		now = now.Add(time.Minute)
-		Expect(count()).To(Equal(6))
+		Expect(resend()).To(Equal(6))
 	})
 
 	It("counts each pool separately", func() {
