--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -4,21 +4,25 @@
 import "time"
 
 // Parts is the number of equal buckets that a window is divided into. The oldest bucket
-// expires as a whole, so a sum covers between Parts-1 and Parts buckets.
+// expires as a whole, so a sum covers a time between that of Parts-1 and of Parts buckets.
 const Parts = 32
 
+// buckets is the name of Parts within this package.
 const buckets = Parts
 
 // Sum is the sum of the amounts that were added within a window. The zero value is empty; call
 // Advance before reading it.
 //
-// Time is measured from the first call of Advance, so that a step of the wall clock neither
-// empties the window nor keeps amounts in it for longer.
+// Time is measured as the difference to the time of the first call of Advance, which package time
+// takes from the monotonic clock. So a step of the wall clock neither empties the window nor keeps
+// amounts in it for longer.
 type Sum struct {
+	// started is the time of the first call of Advance with the present span.
 	started time.Time
 	span    time.Duration
-	// bucket is a ring: the bucket with number n since the start is at index n%buckets.
-	bucket [buckets]int64
+	// amounts holds the amount of each bucket. It is a ring: buckets are numbered from started, and
+	// bucket n is at index n%buckets.
+	amounts [buckets]int64
 	// current is the number of the newest bucket.
 	current int64
 	total   int64
@@ -30,28 +34,28 @@
 	if sum.started.IsZero() || sum.span != span {
 		*sum = Sum{started: now, span: span}
 	}
-	bucket := int64(now.Sub(sum.started) / max(span/buckets, 1))
-	if bucket-sum.current >= buckets {
-		sum.bucket, sum.current, sum.total = [buckets]int64{}, bucket, 0
+	newest := int64(now.Sub(sum.started) / max(span/buckets, 1))
+	if newest-sum.current >= buckets {
+		sum.amounts, sum.current, sum.total = [buckets]int64{}, newest, 0
 	}
-	for sum.current < bucket {
+	for sum.current < newest {
 		sum.current++
-		sum.total -= sum.bucket[sum.current%buckets]
-		sum.bucket[sum.current%buckets] = 0
+		sum.total -= sum.amounts[sum.current%buckets]
+		sum.amounts[sum.current%buckets] = 0
 	}
 }
 
-// Add adds an amount at the current time. A negative amount is subtracted, but the total
-// doesn't drop below zero.
+// Add adds an amount at the time of the last call of Advance. A negative amount is subtracted, but
+// the total doesn't drop below zero.
 func (sum *Sum) Add(amount int64) {
 	amount = max(amount, -sum.total)
-	sum.bucket[sum.current%buckets] += amount
+	sum.amounts[sum.current%buckets] += amount
 	sum.total += amount
 }
 
 // AddHalfWindowAgo adds an amount with an age of half the window.
 func (sum *Sum) AddHalfWindowAgo(amount int64) {
-	sum.bucket[(sum.current-buckets/2+buckets)%buckets] += amount
+	sum.amounts[(sum.current-buckets/2+buckets)%buckets] += amount
 	sum.total += amount
 }
 
@@ -61,8 +65,8 @@
 // Ages returns the sum of each age group, the most recent group first.
 func (sum *Sum) Ages() [AgeGroups]int64 {
 	var ages [AgeGroups]int64
-	for offset := range int64(buckets) {
-		ages[offset/(buckets/AgeGroups)] += sum.bucket[(sum.current-offset+buckets)%buckets]
+	for bucketsAgo := range int64(buckets) {
+		ages[bucketsAgo/(buckets/AgeGroups)] += sum.amounts[(sum.current-bucketsAgo+buckets)%buckets]
 	}
 	return ages
 }
@@ -71,33 +75,34 @@
 // the oldest bucket is used, an amount that daemons copy from one another's windows never
 // becomes younger.
 func (sum *Sum) AddAtAge(group int, amount int64) {
-	offset := int64(group+1)*(buckets/AgeGroups) - 1
-	sum.bucket[(sum.current-offset+buckets)%buckets] += amount
+	bucketsAgo := int64(group+1)*(buckets/AgeGroups) - 1
+	sum.amounts[(sum.current-bucketsAgo+buckets)%buckets] += amount
 	sum.total += amount
 }
 
 // Total returns the sum over the whole window.
 func (sum *Sum) Total() int64 { return sum.total }
 
-// Recent returns the sum over the last part of the window, which has the length of within
-// rounded up to whole buckets.
-func (sum *Sum) Recent(within time.Duration) int64 {
-	width := max(sum.span/buckets, 1)
-	count := min(int64((within+width-1)/width)+1, buckets)
+// Recent returns the sum over the given most recent part of the window, rounded up to whole
+// buckets, plus one bucket because the newest one covers only part of its time.
+func (sum *Sum) Recent(part time.Duration) int64 {
+	bucketSpan := max(sum.span/buckets, 1)
+	count := min(int64((part+bucketSpan-1)/bucketSpan)+1, buckets)
 	recent := int64(0)
-	for offset := range count {
-		recent += sum.bucket[(sum.current-offset+buckets)%buckets]
+	for bucketsAgo := range count {
+		recent += sum.amounts[(sum.current-bucketsAgo+buckets)%buckets]
 	}
 	return recent
 }
 
-// ExpiresIn returns how long it takes until at least the given amount has left the window.
+// ExpiresIn returns how long it takes until at least the given amount has left the window, rounded up
+// to whole buckets and at most the span of the window.
 func (sum *Sum) ExpiresIn(amount int64) time.Duration {
-	width := sum.span / buckets
-	wait := width
+	bucketSpan := sum.span / buckets
+	wait := bucketSpan
 	for number := sum.current + 1; number < sum.current+buckets && amount > 0; number++ {
-		amount -= sum.bucket[number%buckets]
-		wait += width
+		amount -= sum.amounts[number%buckets]
+		wait += bucketSpan
 	}
 	return wait
 }
--- a/core/yuccawindow/window_test.go
+++ b/core/yuccawindow/window_test.go
@@ -19,6 +19,7 @@
 // TestOracle compares a Sum with exact bounds computed from every single amount: those that
 // certainly lie within the window and those that may.
 func TestOracle(t *testing.T) {
+	// Each of the 32 buckets covers 100 ms.
 	const span = 3200 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		type entry struct {
@@ -64,13 +65,14 @@
 	// The wall clock of a VM steps back by two seconds. A Sum that used the wall clock would keep
 	// its amounts for two seconds longer, or drop them early.
 	It("isn't affected by a step of the wall clock", func() {
-		real := time.Now()
+		// Only time.Now returns times with a reading of the monotonic clock.
+		monotonic := time.Now()
 		var sum yuccawindow.Sum
-		sum.Advance(real, 3200*time.Millisecond)
+		sum.Advance(monotonic, 3200*time.Millisecond)
 		sum.Add(5)
-		sum.Advance(real.Add(time.Second), 3200*time.Millisecond)
+		sum.Advance(monotonic.Add(time.Second), 3200*time.Millisecond)
 		Expect(sum.Total()).To(Equal(int64(5)))
-		sum.Advance(real.Add(4*time.Second), 3200*time.Millisecond)
+		sum.Advance(monotonic.Add(4*time.Second), 3200*time.Millisecond)
 		Expect(sum.Total()).To(BeZero())
 	})
 
