--- a/core/yuccaroute/config.go
+++ b/core/yuccaroute/config.go
@@ -55,8 +55,8 @@
 	Engine *Engine
 }
 
-// Engine describes each engine of a pool: how many requests it runs at once, and the size of its
-// KV cache.
+// Engine describes each engine of a pool: how many requests it runs at once (Slots), and the size of
+// its KV cache in tokens (Cache).
 type Engine struct {
 	Slots int
 	Cache yuccaid.Tokens
--- a/core/yuccaroute/holder.go
+++ b/core/yuccaroute/holder.go
@@ -5,9 +5,10 @@
 // Holder keeps the table with the highest number that a daemon has been offered. The zero value
 // holds no table.
 //
-// The tables come from several sources: the platform's service, which may serve an old copy, and
-// peers, which may have been paused. Accepting a lower number would restore a withdrawn route or
-// key, so a Holder rejects it. Load may be called concurrently with one caller of Offer.
+// The tables come from several sources: the platform, which may serve an old copy, and peers, which
+// may offer an old table after a pause of their process. A table with a lower number could restore
+// a route or key that has been withdrawn, so a Holder rejects it. Load may be called concurrently
+// with one caller of Offer.
 type Holder struct {
 	table atomic.Pointer[Table]
 }
--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -21,8 +21,8 @@
 	byName map[yuccaid.Account]*Account
 }
 
-// NewTable returns the table of a configuration. If a route can't be used, the error is a
-// *ConfigError.
+// NewTable returns the table of a configuration, whose slices must not be modified afterwards. If a
+// route can't be used, the error is a *ConfigError.
 func NewTable(number yuccaid.ConfigNumber, config Config) (*Table, error) {
 	tab := &Table{
 		number: number,
@@ -65,12 +65,12 @@
 	case len(route.Pools) == 0:
 		return &ConfigError{Route: route.Name, Problem: "no pool: name one"}
 	}
-	for _, share := range route.Pools {
-		if tab.pools[share.Pool] == nil {
-			return &ConfigError{Route: route.Name, Problem: fmt.Sprintf("pool %q is unknown: add it or name another", share.Pool)}
+	for _, poolWeight := range route.Pools {
+		if tab.pools[poolWeight.Pool] == nil {
+			return &ConfigError{Route: route.Name, Problem: fmt.Sprintf("pool %q is unknown: add it or name another", poolWeight.Pool)}
 		}
 	}
-	host := hostOf(route.Host)
+	host := normalizeHost(route.Host)
 	tab.byHost[host] = append(tab.byHost[host], route)
 	return nil
 }
@@ -83,7 +83,7 @@
 
 // Route returns the route of a host that has the longest prefix of the path.
 func (tab *Table) Route(host, path string) (*Route, bool) {
-	for _, route := range tab.byHost[hostOf(host)] {
+	for _, route := range tab.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -113,9 +113,10 @@
 // their route sets AllowAnonymous.
 func (tab *Table) RequiresKeys() bool { return len(tab.config.Accounts) > 0 }
 
-// hostOf returns a host without port and in lower case, because routes depend on neither port nor
-// case. A host with several colons and no bracket is an IPv6 address without port.
-func hostOf(host string) string {
+// normalizeHost returns a host in lower case, without port and without the trailing dot of an
+// absolute domain name, because routes depend on none of these. A host with several colons and no
+// bracket is an IPv6 address without port.
+func normalizeHost(host string) string {
 	bracketed := strings.HasPrefix(host, "[")
 	colon := strings.LastIndexByte(host, ':')
 	switch {
--- a/core/yuccaroute/table_test.go
+++ b/core/yuccaroute/table_test.go
@@ -82,22 +82,22 @@
 
 var _ = Describe("picking a pool", func() {
 	It("follows the weights", func() {
-		split := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft", Weight: 90}, {Pool: "desk", Weight: 10}}}
-		Expect(split.Pick(0)).To(Equal(yuccaid.Pool("draft")))
-		Expect(split.Pick(0.899)).To(Equal(yuccaid.Pool("draft")))
-		Expect(split.Pick(0.9)).To(Equal(yuccaid.Pool("desk")))
-		Expect(split.Pick(0.999)).To(Equal(yuccaid.Pool("desk")))
+		weighted := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft", Weight: 90}, {Pool: "desk", Weight: 10}}}
+		Expect(weighted.Pick(0)).To(Equal(yuccaid.Pool("draft")))
+		Expect(weighted.Pick(0.899)).To(Equal(yuccaid.Pool("draft")))
+		Expect(weighted.Pick(0.9)).To(Equal(yuccaid.Pool("desk")))
+		Expect(weighted.Pick(0.999)).To(Equal(yuccaid.Pool("desk")))
 	})
 
 	It("uses the first pool when no weight is set", func() {
-		split := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft"}, {Pool: "desk"}}}
-		Expect(split.Pick(0.7)).To(Equal(yuccaid.Pool("draft")))
+		weighted := yuccaroute.Route{Pools: []yuccaroute.PoolWeight{{Pool: "draft"}, {Pool: "desk"}}}
+		Expect(weighted.Pick(0.7)).To(Equal(yuccaid.Pool("draft")))
 	})
 })
 
 var _ = Describe("a holder", func() {
-	// The platform's service is restored from an old copy, or a peer that was paused offers its old
-	// table. If that were accepted, a withdrawn key would work again.
+	// The platform is restored from an old copy, or a peer whose process was paused offers its old
+	// table. If the old table were accepted, a withdrawn key would work again.
 	It("rejects a table with a lower or the same number", func() {
 		var holder yuccaroute.Holder
 		Expect(holder.Load()).To(BeNil())
