--- a/core/yuccaspace/space.go
+++ b/core/yuccaspace/space.go
@@ -3,30 +3,31 @@
 import "yuccacleat/core/yuccaid"
 
 const (
-	// RequestOverhead is the memory reserved for a running request beside its body. It covers two
-	// connections with their buffers, goroutines, the heads of request and answer, and one event
+	// RequestOverhead is the memory reserved for a running request in addition to its body. It covers
+	// two connections with their buffers, goroutines, the heads of request and answer, and one event
 	// that the caller hasn't read. The resident memory per stream can be higher: 112 KB with 16 KB
-	// events and callers that read nothing, part of which is garbage not yet collected.
+	// events and callers that read nothing. Part of that is garbage not yet collected, for which
+	// requestMemoryShare leaves memory.
 	RequestOverhead yuccaid.Bytes = 64 << 10
 
-	// requestShare is the share of the process's memory that running requests may use. The rest
+	// requestMemoryShare is the share of the process's memory that running requests may use. The rest
 	// is for the program, the configuration, idle connections and garbage: the collector lets the
 	// heap grow to about twice the memory in use.
-	requestShare = 0.4
+	requestMemoryShare = 0.4
 	// rankReserve is the share of the request memory that each rank leaves to the more urgent
-	// ranks, counted for at most maxReservedRanks ranks. It ensures that letters with long prompts
-	// never block an urgent note.
+	// ranks, counted for at most maxReservedRanks ranks. It ensures that less urgent requests
+	// with long prompts never block an urgent one.
 	rankReserve      = 0.1
 	maxReservedRanks = 3
 
-	// otherDescriptors is the number of file descriptors that aren't available for sockets.
-	otherDescriptors = 200
-	// callerShare is the share of the descriptors for connections of callers; the same number is
-	// left for the connections to targets that their requests use. idleShare is the share for idle
-	// connections to targets. The rest is for peers, the platform, operators and connections that
-	// are being closed.
-	callerShare = 0.4
-	idleShare   = 0.08
+	// nonSocketDescriptors is the number of file descriptors that are left for other uses than sockets.
+	nonSocketDescriptors = 200
+	// callerConnectionShare is the share of the descriptors for connections of callers; the same
+	// number is left for the connections to targets that their requests use. idleConnectionShare is
+	// the share for idle connections to targets. The rest is for peers, the platform, operators and
+	// connections that are being closed.
+	callerConnectionShare = 0.4
+	idleConnectionShare   = 0.08
 	// minConnections is the lower limit of each number of connections. It keeps a daemon working
 	// whose settings give too few descriptors.
 	minConnections = 16
@@ -50,17 +51,17 @@
 
 // BoundsOf divides the limits of a process among their uses.
 func BoundsOf(limits ProcessLimits) Bounds {
-	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestShare * float64(limits.Memory))}
+	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestMemoryShare * float64(limits.Memory))}
 	if limits.Descriptors > 0 {
-		sockets := float64(limits.Descriptors - otherDescriptors)
-		bounds.CallerConnections = max(int(callerShare*sockets), minConnections)
-		bounds.IdleConnections = max(int(idleShare*sockets), minConnections)
+		socketDescriptors := float64(limits.Descriptors - nonSocketDescriptors)
+		bounds.CallerConnections = max(int(callerConnectionShare*socketDescriptors), minConnections)
+		bounds.IdleConnections = max(int(idleConnectionShare*socketDescriptors), minConnections)
 	}
 	return bounds
 }
 
-// MemoryLimiter reserves memory for requests. It isn't safe for concurrent use. The zero value
-// has no limit.
+// MemoryLimiter counts the memory that is reserved for requests. It isn't safe for concurrent use.
+// The zero value has no limit.
 type MemoryLimiter struct {
 	limit    yuccaid.Bytes
 	reserved yuccaid.Bytes
@@ -82,7 +83,7 @@
 	return true
 }
 
-// Release returns memory that Reserve has reserved.
+// Release ends the reservation of memory by Reserve.
 func (mem *MemoryLimiter) Release(size yuccaid.Bytes) {
 	mem.reserved -= size
 }
--- a/core/yuccaspace/space_test.go
+++ b/core/yuccaspace/space_test.go
@@ -23,7 +23,8 @@
 			bounds := yuccaspace.BoundsOf(yuccaspace.ProcessLimits{Memory: memory, Descriptors: descriptors})
 			Expect(bounds.RequestMemory).To(BeNumerically("<", memory/2))
 			Expect(bounds.RequestMemory / yuccaspace.RequestOverhead).To(BeNumerically(">", 500))
-			// Each caller's request may use a connection to a target.
+			// Each caller's request may use a connection to a target. More than 300 descriptors must remain
+			// for peers, the platform, operators and files.
 			Expect(2*bounds.CallerConnections + bounds.IdleConnections).To(BeNumerically("<", descriptors-300))
 		},
 		Entry("of the usual size", 284*yuccaid.Bytes(1<<20), 4100),
@@ -38,21 +39,21 @@
 })
 
 var _ = Describe("the memory limiter", func() {
-	// A burst of letters with long prompts uses all memory of its rank. An urgent note that
-	// arrives while the letters run must not be refused.
+	// A burst of requests of rank 2 with long prompts uses all memory that this rank may use. An urgent
+	// request that arrives while they run must not be refused.
 	It("has memory left for urgent requests when the other ranks have used theirs", func() {
 		limiter := yuccaspace.New(100 << 20)
-		letters := 0
+		lessUrgent := 0
 		for limiter.Reserve(2, 1<<20) {
-			letters++
+			lessUrgent++
 		}
-		Expect(letters).To(Equal(80))
+		Expect(lessUrgent).To(Equal(80))
 		Expect(limiter.Reserve(1, 1<<20)).To(BeTrue())
-		notes := 0
+		urgent := 0
 		for limiter.Reserve(0, 1<<20) {
-			notes++
+			urgent++
 		}
-		Expect(notes).To(Equal(19))
+		Expect(urgent).To(Equal(19))
 		limiter.Release(1 << 20)
 		Expect(limiter.Reserve(2, 1<<20)).To(BeFalse())
 		Expect(limiter.Reserve(0, 1<<20)).To(BeTrue())
