--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -12,7 +12,7 @@
 
 const (
 	// DefaultMaxTries is the number of other data centres that one request is offered to. Each
-	// offer takes a round trip of the request's remaining time, and when all regions are
+	// offer costs a round trip out of the request's remaining time, and when all regions are
 	// overloaded, more offers would only add messages.
 	DefaultMaxTries = 2
 	// DefaultMaxPrice is the highest price of one request's traffic between regions, in the unit
@@ -24,7 +24,7 @@
 	// sameRegionDelay is the one-way delay between data centres of one region.
 	sameRegionDelay = time.Millisecond
 	// roundTrips is the number of round trips before the first token: offer and grant, then
-	// request and answer. A shorter remaining time can't be met.
+	// request and answer. A request with less remaining time can't be answered in time.
 	roundTrips = 2
 	// bytesPerToken is the size of a token on the wire, with its framing.
 	bytesPerToken = 8
@@ -35,7 +35,8 @@
 type Planner struct {
 	maxTries int
 	maxPrice float64
-	refused  map[refusalKey]time.Time
+	// refusedUntil holds the times until which Next skips a data centre for a pool and rank.
+	refusedUntil map[refusalKey]time.Time
 }
 
 // refusalKey identifies what a refusal applies to. The same data centre may still accept requests
@@ -61,7 +62,7 @@
 
 // New returns a Planner without any recorded refusals.
 func New(options ...Option) *Planner {
-	plan := &Planner{maxTries: DefaultMaxTries, maxPrice: DefaultMaxPrice, refused: make(map[refusalKey]time.Time)}
+	plan := &Planner{maxTries: DefaultMaxTries, maxPrice: DefaultMaxPrice, refusedUntil: make(map[refusalKey]time.Time)}
 	for _, option := range options {
 		option(plan)
 	}
@@ -73,12 +74,13 @@
 	Centre yuccaid.Centre
 	// Delay is the one-way delay to the data centre.
 	Delay time.Duration
+	// Price is the price of the request's traffic between regions, in the unit of the links' prices.
 	Price float64
 }
 
-// Remaining returns the time that the candidate's leader has for a request: the remaining time
-// of the owner less both round trips. The owner subtracts them, because the leader can't know how
-// far away the owner is.
+// Remaining returns the time that the candidate's leader has for a request: the time that remains to
+// the request's owner, minus the round trips between them. The owner subtracts the round trips,
+// because the leader doesn't know the delay to the owner.
 func (candidate Candidate) Remaining(remaining time.Duration) time.Duration {
 	return remaining - roundTrips*2*candidate.Delay
 }
@@ -87,10 +89,10 @@
 // centre and those in tried have refused it. It returns false if there is none.
 //
 // Shifting is meant for a burst or for skewed demand, where one data centre is overloaded while
-// others have free slots: without it an urgent request would be refused although engines
-// elsewhere are idle. A request is offered to a limited number of data centres, and none is
-// offered that exceeds the highest price, whose remaining time is shorter than the round trips,
-// or whose rank was refused there and may not be retried yet.
+// others have free slots. Without shifting, an urgent request would be refused although engines in
+// other data centres are idle. A request is offered to a limited number of data centres. It isn't
+// offered to one to which its traffic would exceed the highest price, to which the round trips would
+// take all of its remaining time, or which has refused its pool and rank and may not be retried yet.
 func (plan *Planner) Next(now time.Time, state *yuccastate.State, request yuccaqueue.Ask, tried []yuccaid.Centre) (Candidate, bool) {
 	if len(tried) >= plan.maxTries {
 		return Candidate{}, false
@@ -115,22 +117,22 @@
 // for the same pool and rank before retryAfter has passed.
 func (plan *Planner) MarkRefused(now time.Time, centre yuccaid.Centre, request yuccaqueue.Ask, retryAfter time.Duration) {
 	plan.removeExpired(now)
-	plan.refused[refusalKey{centre, request.Pool, request.Rank}] = now.Add(retryAfter)
+	plan.refusedUntil[refusalKey{centre, request.Pool, request.Rank}] = now.Add(retryAfter)
 }
 
 func (plan *Planner) acceptable(now time.Time, request yuccaqueue.Ask, candidate Candidate) bool {
 	if candidate.Price > plan.maxPrice || candidate.Remaining(request.Remaining) <= 0 {
 		return false
 	}
-	return !now.Before(plan.refused[refusalKey{candidate.Centre, request.Pool, request.Rank}])
+	return !now.Before(plan.refusedUntil[refusalKey{candidate.Centre, request.Pool, request.Rank}])
 }
 
 // removeExpired removes the refusals that have expired. The map has at most one entry for each
 // data centre, pool and rank.
 func (plan *Planner) removeExpired(now time.Time) {
-	for key, expires := range plan.refused {
+	for key, expires := range plan.refusedUntil {
 		if !now.Before(expires) {
-			delete(plan.refused, key)
+			delete(plan.refusedUntil, key)
 		}
 	}
 }
@@ -146,9 +148,9 @@
 	return centres
 }
 
-// candidateFor returns a data centre with its delay and the price of the request's traffic.
-// The prompt is charged in the owner's region and the answer in the target's region, because
-// traffic is paid for where it leaves.
+// candidateFor returns a data centre with its delay and the price of the request's traffic to it
+// and back. The prompt is charged in the owner's region and the answer in the target's region,
+// because each region charges for the traffic that leaves it.
 func candidateFor(state *yuccastate.State, request yuccaqueue.Ask, centre yuccaid.Centre) Candidate {
 	localRegion, remoteRegion := state.Centres[request.Centre].Region, state.Centres[centre].Region
 	if localRegion == remoteRegion {
@@ -162,6 +164,7 @@
 	return Candidate{Centre: centre, Delay: delay, Price: price}
 }
 
+// trafficPrice returns the price of sending a number of tokens out of the region of a link.
 func trafficPrice(tokens yuccaid.Tokens, link yuccastate.Link) float64 {
 	return float64(tokens*bytesPerToken) / gigabyte * link.PricePerGigabyte
 }
--- a/core/yuccashift/shift_test.go
+++ b/core/yuccashift/shift_test.go
@@ -52,9 +52,9 @@
 
 	DescribeTable("goes to the cheapest data centre that can still serve the request",
 		func(request yuccaqueue.Ask, tried []yuccaid.Centre, expected string) {
-			found, ok := yuccashift.New().Next(now, testState(), request, tried)
+			candidate, ok := yuccashift.New().Next(now, testState(), request, tried)
 			Expect(ok).To(Equal(expected != ""))
-			Expect(string(found.Centre)).To(Equal(expected))
+			Expect(string(candidate.Centre)).To(Equal(expected))
 		},
 		Entry("the same region costs nothing", request, nil, "a2"),
 		Entry("then the cheaper region", request, []yuccaid.Centre{"a2"}, "c1"),
@@ -70,13 +70,13 @@
 		plan := yuccashift.New()
 		state := testState()
 		plan.MarkRefused(now, "a2", request, time.Second)
-		found, _ := plan.Next(now, state, request, nil)
-		Expect(found.Centre).To(Equal(yuccaid.Centre("c1")))
+		candidate, _ := plan.Next(now, state, request, nil)
+		Expect(candidate.Centre).To(Equal(yuccaid.Centre("c1")))
 		lessUrgent := request
 		lessUrgent.Rank = 2
-		found, _ = plan.Next(now, state, lessUrgent, nil)
-		Expect(found.Centre).To(Equal(yuccaid.Centre("a2")))
-		found, _ = plan.Next(now.Add(time.Second), state, request, nil)
-		Expect(found.Centre).To(Equal(yuccaid.Centre("a2")))
+		candidate, _ = plan.Next(now, state, lessUrgent, nil)
+		Expect(candidate.Centre).To(Equal(yuccaid.Centre("a2")))
+		candidate, _ = plan.Next(now.Add(time.Second), state, request, nil)
+		Expect(candidate.Centre).To(Equal(yuccaid.Centre("a2")))
 	})
 })
