--- a/core/yuccaquota/share.go
+++ b/core/yuccaquota/share.go
@@ -10,94 +10,107 @@
 )
 
 const (
-	// ampleShare widens a daemon's share of what an account has left, since demand shifts and
-	// most daemons seldom use theirs. All shares together never reach beyond what is kept free.
-	ampleShare = 2.0
-	// largePart is the part of what is left that one request may take though it is more than
-	// the share, so that long requests aren't always refused in a large fleet.
-	largePart = 0.25
-	// burstKept is the part of what is kept free that shares reach into while an account has much
-	// left, and lotPart widens the chance of a long request that is a daemon's first: few
-	// daemons have one just then.
-	burstKept = 0.4
-	lotPart   = 1.6
-	// besideRequests is how many requests of the usual size each other daemon is taken to let in
-	// beside a long one, and usualWeight the weight of one request in what is usual. With one
-	// request of each, a burst that reached sixty daemons at once let an account of small rate
-	// in for 1.09 times what is tolerated at worst, with two for 1.02.
-	besideRequests = 2.0
-	usualWeight    = 0.1
-	// idlePart is the part of its window that an account has left up to which it counts as idle,
-	// and each daemon may take one such request.
-	idlePart = 0.5
+	// shareFactor enlarges a daemon's share of an account's remaining quota, because demand moves
+	// between daemons and most of them use little of their shares. withinShare limits the enlarged
+	// shares, so that all of them together never exceed the remaining quota plus the reserve.
+	shareFactor = 2.0
+	// maxRequestShare is the fraction of the remaining quota that one request may cost although that
+	// exceeds the daemon's share. It keeps long requests from always being refused by large fleets.
+	maxRequestShare = 0.25
+	// usableReserveShare is the fraction of the reserve that shares may use while much of an account's
+	// quota remains.
+	usableReserveShare = 0.4
+	// firstDrawFactor increases the chance in the lottery of a long request that is the daemon's first
+	// request within the report delay, because few daemons have such a request at the same time.
+	firstDrawFactor = 1.6
+	// assumedPeerRequests is the number of requests of average cost that each other daemon is assumed to
+	// admit at the same time as a long request. A burst that reached sixty daemons at once let an
+	// account with a low rate use at most 1.09 times its tolerated limit when this was 1, and 1.02
+	// times when it was 2.
+	assumedPeerRequests = 2.0
+	// averageCostWeight is the weight of one request in the moving average of the cost.
+	averageCostWeight = 0.1
+	// idleShare is the fraction of its limit that an account must have left to count as idle. Each
+	// daemon may then admit one long request.
+	idleShare = 0.5
 )
 
-// fairly reports whether a cost keeps to this daemon's share of the room, which lies half way
-// between an even share and the one that it had lately of what the account was let in for.
+// withinShare reports whether this daemon may admit a request of the given cost, given its share of
+// the remaining quota and the exceptions for long requests. The share is the mean of an even share
+// and of this daemon's fraction of the account's usage, without the usage of the last report delay.
 //
-// A burst reaches all daemons before any of them has heard of the others. Each takes no more
-// than its share, so that together they let in no more than the room and what is kept free.
-func (led *Ledger) fairly(now time.Time, account yuccaid.Account, win *window, cost, room float64) bool {
-	recent := float64(win.recent.Total())
-	if led.daemons == 1 || win.let.all.Total() == 0 && cost > room {
+// A burst reaches all daemons before any of them has received a report of it. Each daemon keeps to
+// its share, so that together they admit no more than the remaining quota and the reserve.
+func (led *Ledger) withinShare(now time.Time, account yuccaid.Account, win *accountWindow, cost, remaining float64) bool {
+	recent := float64(win.recentLocal.Total())
+	// Only an empty window admits a cost larger than the whole limit; see Admit.
+	if led.daemons == 1 || win.admitted.all.Total() == 0 && cost > remaining {
 		return true
 	}
-	even := 1 / float64(led.daemons)
-	share := even
-	// What this daemon let in lately the others haven't heard of, nor it what they did.
-	if known := float64(win.let.all.Total()) - recent; known > 0 {
-		share = (even + max(float64(win.let.mine.Total())-recent, 0)/known) / 2
+	evenShare := 1 / float64(led.daemons)
+	share := evenShare
+	// The usage of the last report delay is left out. The other daemons don't know yet what this daemon
+	// has admitted in that time, and it doesn't know what they have admitted.
+	if reported := float64(win.admitted.all.Total()) - recent; reported > 0 {
+		share = (evenShare + max(float64(win.admitted.localDaemon.Total())-recent, 0)/reported) / 2
 	}
-	room += recent
-	fair := share * min(ampleShare*room, room+burstKept*led.kept(win))
+	// The share applies to the quota that remained before this daemon admitted recent. In return recent
+	// counts against the share below.
+	remaining += recent
+	fairShare := share * min(shareFactor*remaining, remaining+usableReserveShare*led.reserve(win))
 	switch {
-	case recent+cost <= fair:
+	case recent+cost <= fairShare:
 		return true
-	case recent > fair:
+	case recent > fairShare:
 		return false
-	case 2*recent <= fair && led.fitsBeside(win, cost, room):
+	case 2*recent <= fairShare && led.fitsBesidePeers(win, cost, remaining):
 		return true
-	case cost > largePart*room:
+	case cost > maxRequestShare*remaining:
 		return false
 	}
-	if recent == 0 && room > idlePart*led.limit(now, win) {
+	// The account is idle, see idleShare.
+	if recent == 0 && remaining > idleShare*led.limit(now, win) {
 		return true
 	}
-	return led.drawn(now, account, win, cost, fair-recent)
+	return led.lottery(now, account, win, cost, fairShare-recent)
 }
 
-// fitsBeside reports whether there is room for a long request of a daemon that has used little
-// of its share even if each of the others lets in two of the usual size at the same moment.
+// fitsBesidePeers reports whether there is enough quota left for a long request at a daemon that has
+// used little of its share, even if each other daemon admits assumedPeerRequests requests of
+// average cost at the same moment.
 //
-// On a calm day an account has a quarter of its window left, and a long prompt of it may be
-// a tenth of that window. It is far beyond a share, yet nothing speaks against it; refused, it
-// finds the same at the daemon that it comes back to.
-func (led *Ledger) fitsBeside(win *window, cost, room float64) bool {
-	others := besideRequests * float64(led.daemons-1) * win.usual
-	return cost+others <= room+burstKept*led.kept(win)
+// An account with moderate use typically has a quarter of its window left, and one of its prompts
+// may cost a tenth of the window. That far exceeds a share, although the quota suffices; if it were
+// refused, the retry would be refused by the next daemon for the same reason.
+func (led *Ledger) fitsBesidePeers(win *accountWindow, cost, remaining float64) bool {
+	peerCost := assumedPeerRequests * float64(led.daemons-1) * win.averageCost
+	return cost+peerCost <= remaining+usableReserveShare*led.reserve(win)
 }
 
-// drawn reports whether a request that is larger than what this daemon has left of its share
-// wins a lot, of which there is one for each delay of reports.
+// lottery reports whether a request that exceeds the remaining part of this daemon's share wins a
+// lottery, which is held at most once per account and interval of the length of the report delay.
 //
-// Sixty daemons that see room for four long requests would else let in one each. So many win
-// that all together keep to their shares, as long as each daemon draws once: in a burst that
-// brings each of them many requests, the shorter ones would else win what a longer one lost.
-func (led *Ledger) drawn(now time.Time, account yuccaid.Account, win *window, cost, left float64) bool {
-	turn := now.UnixNano() / int64(led.delay)
-	if win.drawn == turn {
+// Without the lottery, sixty daemons that see enough quota for four long requests would admit one
+// each. The chance to win is such that all daemons together keep to their shares if each daemon draws
+// once. If a daemon drew again for each request of a burst, the quota that was refused to a long
+// request would be used by shorter requests, which have a better chance.
+func (led *Ledger) lottery(now time.Time, account yuccaid.Account, win *accountWindow, cost, remainingShare float64) bool {
+	interval := now.UnixNano() / int64(led.reportDelay)
+	if win.lastLotteryInterval == interval {
 		return false
 	}
-	win.drawn = turn
-	chance := left / cost
-	if win.recent.Total() == 0 {
-		chance *= lotPart
+	win.lastLotteryInterval = interval
+	chance := remainingShare / cost
+	if win.recentLocal.Total() == 0 {
+		chance *= firstDrawFactor
 	}
-	return led.lot(turn, account) < chance
+	return led.draw(interval, account) < chance
 }
 
-// lot draws a number from 0 up to 1 that is the daemon's own.
-func (led *Ledger) lot(turn int64, account yuccaid.Account) float64 {
-	text := fmt.Sprintf("%s/%d/%d", account, turn, led.salt)
+// draw returns a pseudo-random number in [0, 1) that depends on the account, the interval and this
+// daemon's salt. The numbers of different daemons are independent.
+func (led *Ledger) draw(interval int64, account yuccaid.Account) float64 {
+	text := fmt.Sprintf("%s/%d/%d", account, interval, led.salt)
+	// A float64 has a mantissa of 53 bits, so the 11 lowest bits of the hash are dropped.
 	return float64(xxhash.Sum64String(text)>>11) / (1 << 53)
 }
--- a/core/yuccaquota/tally.go
+++ b/core/yuccaquota/tally.go
@@ -7,115 +7,121 @@
 	"yuccacleat/core/yuccawindow"
 )
 
-// tally sums one thing over a window, for all daemons as far as they have reported.
+// tally sums an account's admitted or requested usage over a window and over all daemons whose
+// reports have arrived.
 type tally struct {
+	// all is the amount counted by all daemons of all data centres.
 	all yuccawindow.Sum
-	// mine is what this daemon counted, home what those of its data centre did, and away what
-	// those of the others did.
-	mine yuccawindow.Sum
-	home yuccawindow.Sum
-	away map[yuccaid.Centre]*yuccawindow.Sum
-	// unplaced is what was taken over from another daemon's total without knowing whose it
-	// is. When a data centre tells all that it counted, that is a part of it.
-	unplaced yuccawindow.Sum
-	// ever is all that this daemon counted since it began, and reported what of that it told
-	// the others of its data centre; centre is what its data centre counted and hasn't
-	// reported to the other ones yet.
-	ever     int64
-	reported int64
-	centre   int64
+	// localDaemon is the amount counted by this daemon, localCentre by all daemons of this data
+	// centre, and remote by those of each remote data centre.
+	localDaemon yuccawindow.Sum
+	localCentre yuccawindow.Sum
+	remote      map[yuccaid.Centre]*yuccawindow.Sum
+	// unattributed is the part of all that was copied from another daemon's total without knowing
+	// which data centre counted it. When a remote data centre sends its own total, that total is
+	// assumed to include the unattributed amount, which therefore isn't added to all again.
+	unattributed yuccawindow.Sum
+	// lifetime is what this daemon has counted since it started, and lifetimeReported the value of
+	// lifetime in its last report to the other daemons of its data centre. unreportedToRemote is the
+	// amount counted by this data centre that hasn't been reported to the remote data centres.
+	lifetime           int64
+	lifetimeReported   int64
+	unreportedToRemote int64
 }
 
-// advance drops what has left the window.
+// advance moves the window to now and drops what has left it.
 func (tl *tally) advance(now time.Time, span time.Duration) {
 	tl.all.Advance(now, span)
-	tl.mine.Advance(now, span)
-	tl.home.Advance(now, span)
-	tl.unplaced.Advance(now, span)
+	tl.localDaemon.Advance(now, span)
+	tl.localCentre.Advance(now, span)
+	tl.unattributed.Advance(now, span)
 }
 
-// count adds what this daemon counts.
-func (tl *tally) count(amount int64) {
-	tl.ever += amount
-	tl.mine.Add(amount)
-	tl.near(amount)
+// addLocalDaemon adds an amount that this daemon counts.
+func (tl *tally) addLocalDaemon(amount int64) {
+	tl.lifetime += amount
+	tl.localDaemon.Add(amount)
+	tl.addLocalCentre(amount)
 }
 
-// near adds what a daemon of this data centre counts.
-func (tl *tally) near(amount int64) {
+// addLocalCentre adds an amount that a daemon of this data centre counts.
+func (tl *tally) addLocalCentre(amount int64) {
 	tl.all.Add(amount)
-	tl.home.Add(amount)
-	tl.centre += amount
+	tl.localCentre.Add(amount)
+	tl.unreportedToRemote += amount
 }
 
-// far adds what another data centre counts.
-func (tl *tally) far(now time.Time, span time.Duration, centre yuccaid.Centre, amount int64) {
-	tl.of(now, span, centre).Add(amount)
+// addRemote adds an amount that a remote data centre counts.
+func (tl *tally) addRemote(now time.Time, span time.Duration, centre yuccaid.Centre, amount int64) {
+	tl.remoteSum(now, span, centre).Add(amount)
 	tl.all.Add(amount)
 }
 
-// of returns what is counted of another data centre.
-func (tl *tally) of(now time.Time, span time.Duration, centre yuccaid.Centre) *yuccawindow.Sum {
-	sum := tl.away[centre]
+// remoteSum returns the sum of a remote data centre.
+func (tl *tally) remoteSum(now time.Time, span time.Duration, centre yuccaid.Centre) *yuccawindow.Sum {
+	sum := tl.remote[centre]
 	if sum == nil {
 		sum = &yuccawindow.Sum{}
-		if tl.away == nil {
-			tl.away = make(map[yuccaid.Centre]*yuccawindow.Sum)
+		if tl.remote == nil {
+			tl.remote = make(map[yuccaid.Centre]*yuccawindow.Sum)
 		}
-		tl.away[centre] = sum
+		tl.remote[centre] = sum
 	}
 	sum.Advance(now, span)
 	return sum
 }
 
-// whole takes all that another data centre counted within the window, by age, and adds what
-// of it hasn't been heard.
-func (tl *tally) whole(now time.Time, span time.Duration, centre yuccaid.Centre, theirs []int64) {
-	sum := tl.of(now, span, centre)
-	for _, part := range missing(theirs, sum) {
-		sum.AddAtAge(part.age, part.amount)
-		tl.all.AddAtAge(part.age, part.amount-tl.place(part))
+// raiseRemote raises the sum of a remote data centre to the amounts that it has counted within the
+// window, given by age group, and adds the difference to the sum over all daemons.
+func (tl *tally) raiseRemote(now time.Time, span time.Duration, centre yuccaid.Centre, reported []int64) {
+	sum := tl.remoteSum(now, span, centre)
+	for _, portion := range missingAmounts(reported, sum) {
+		sum.AddAtAge(portion.group, portion.amount)
+		tl.all.AddAtAge(portion.group, portion.amount-tl.attribute(portion))
 	}
 }
 
-// place takes an amount whose data centre is now known out of what is unplaced, as far as it
-// goes, and returns how much that was.
-func (tl *tally) place(part aged) int64 {
-	placed := min(part.amount, max(tl.unplaced.Total(), 0))
-	tl.unplaced.AddAtAge(part.age, -placed)
-	return placed
+// attribute removes an amount from the unattributed sum, because the data centre that counted it is
+// known now. It returns how much was removed, which is less if the sum is smaller.
+func (tl *tally) attribute(portion groupAmount) int64 {
+	attributed := min(portion.amount, max(tl.unattributed.Total(), 0))
+	tl.unattributed.AddAtAge(portion.group, -attributed)
+	return attributed
 }
 
-// raise takes over a higher total, which is given by age.
-func (tl *tally) raise(theirs []int64) {
-	for _, part := range missing(theirs, &tl.all) {
-		tl.all.AddAtAge(part.age, part.amount)
-		tl.unplaced.AddAtAge(part.age, part.amount)
+// raiseAll raises the sum over all daemons to that of another daemon, given by age group, if that is
+// higher.
+func (tl *tally) raiseAll(reported []int64) {
+	for _, portion := range missingAmounts(reported, &tl.all) {
+		tl.all.AddAtAge(portion.group, portion.amount)
+		tl.unattributed.AddAtAge(portion.group, portion.amount)
 	}
 }
 
-// aged is an amount that was counted some time ago.
-type aged struct {
-	age    int
+// groupAmount is an amount with the age group in which it was counted.
+type groupAmount struct {
+	group  int
 	amount int64
 }
 
-// missing returns what a sum lacks of another daemon's, the oldest first.
+// missingAmounts returns the amounts by which a sum is smaller than the reported sum of another
+// daemon, which is given by age group. The oldest amount comes first.
 //
-// Daemons take over one another's sums whenever they meet. Counted anew each time, an amount
-// would be passed to and fro while daemons restart, and never leave the window.
-func missing(theirs []int64, mine *yuccawindow.Sum) []aged {
-	lacks := -mine.Total()
-	for _, amount := range theirs {
-		lacks += amount
+// Daemons copy one another's sums whenever they connect. If the copies were counted as new amounts,
+// daemons that restart in turn would copy them back and forth, and they would never leave the window.
+// Therefore each amount keeps its age group.
+func missingAmounts(reported []int64, sum *yuccawindow.Sum) []groupAmount {
+	deficit := -sum.Total()
+	for _, amount := range reported {
+		deficit += amount
 	}
-	var parts []aged
-	have := mine.Ages()
-	for age := min(len(theirs), len(have)) - 1; age >= 0 && lacks > 0; age-- {
-		if part := min(lacks, theirs[age]-have[age]); part > 0 {
-			parts = append(parts, aged{age, part})
-			lacks -= part
+	var portions []groupAmount
+	ages := sum.Ages()
+	for group := min(len(reported), len(ages)) - 1; group >= 0 && deficit > 0; group-- {
+		if portion := min(deficit, reported[group]-ages[group]); portion > 0 {
+			portions = append(portions, groupAmount{group, portion})
+			deficit -= portion
 		}
 	}
-	return parts
+	return portions
 }
