--- a/core/yuccaid/doc.go
+++ b/core/yuccaid/doc.go
@@ -1,8 +1,8 @@
-// Package yuccaid names the things that yuccacleat's parts speak of: ids of the
-// configuration's objects, of daemons and of requests, and the units they are
-// measured in.
+// Package yuccaid defines the ids and units that all other packages share: names of
+// the objects in the configuration, ids of daemons and requests, and counts such as
+// tokens and bytes.
 //
-// Every id is a type of its own, so that a target can't be passed for a client
-// account, and every count carries its unit in its type. The package depends on
-// nothing else of the project.
+// Each kind of id is a type of its own, so that the compiler rejects a target's name
+// where a client account's is expected, and each count has its unit in its type. The
+// package imports no other package of the project.
 package yuccaid
--- a/core/yuccaid/incarnation.go
+++ b/core/yuccaid/incarnation.go
@@ -6,35 +6,36 @@
 	"strings"
 )
 
-// nonceBytes makes two processes at one address differ: 128 random bits.
+// nonceBytes is the length of a nonce: 128 random bits, so that two processes at one
+// address get different ones.
 const nonceBytes = 16
 
-// Incarnation is one run of a daemon's process: the VM and a nonce drawn at start.
+// Incarnation identifies one process of a daemon: its VM and a nonce drawn at start.
 //
-// A restarted or replaced process has lost its memory of what it dispatched. If it
-// passed for its predecessor, a caller who sends a request again would have it run
-// twice. The nonce makes the successor a stranger to the predecessor's requests.
+// A restarted or replaced process has no record of the requests that its predecessor
+// dispatched. If both had the same id, a request that a caller sends again would run
+// twice. The nonce differs, so the new process doesn't own its predecessor's requests.
 type Incarnation struct {
 	VM    VM
 	Nonce string
 }
 
-// NewIncarnation joins a VM's name with random bytes.
+// NewIncarnation returns the incarnation of a VM with random as its nonce.
 func NewIncarnation(vm VM, random [nonceBytes]byte) Incarnation {
 	return Incarnation{VM: vm, Nonce: hex.EncodeToString(random[:])}
 }
 
-// String returns the form "vm.nonce".
+// String returns "vm.nonce", the nonce in hex.
 func (inc Incarnation) String() string {
 	return string(inc.VM) + "." + inc.Nonce
 }
 
-// IsZero reports whether no daemon is meant.
+// IsZero reports whether inc is the zero value, which identifies no daemon.
 func (inc Incarnation) IsZero() bool {
 	return inc == Incarnation{}
 }
 
-// ParseIncarnation reads the form that String writes.
+// ParseIncarnation parses the result of String.
 func ParseIncarnation(s string) (Incarnation, error) {
 	vm, nonce, found := strings.Cut(s, ".")
 	raw, err := hex.DecodeString(nonce)
@@ -44,7 +45,8 @@
 	return Incarnation{VM: VM(vm), Nonce: nonce}, nil
 }
 
-// MarshalText writes the form of String, also as the value in JSON and msgpack.
+// MarshalText returns the result of String, and nothing for the zero value. JSON and
+// msgpack encode an incarnation as this text.
 func (inc Incarnation) MarshalText() ([]byte, error) {
 	if inc.IsZero() {
 		return nil, nil
@@ -52,7 +54,7 @@
 	return []byte(inc.String()), nil
 }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText parses the result of MarshalText.
 func (inc *Incarnation) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		*inc = Incarnation{}
--- a/core/yuccaid/request.go
+++ b/core/yuccaid/request.go
@@ -12,39 +12,43 @@
 )
 
 const (
+	// requestFields is the number of fields in a request id's text.
 	requestFields = 5
-	macBytes      = 16
+	// macBytes is the length to which the signature is truncated.
+	macBytes = 16
 )
 
-// ErrForged says that a request id was not issued by a daemon of this fleet.
+// ErrForged is returned for a request id that no daemon of this fleet has issued.
 var ErrForged = errors.New("request id is not one of this fleet: open a request and use the id it returns")
 
-// RequestIDFields is a request's id, which names the daemon that owns it.
+// RequestIDFields holds the parts of a request id: the daemon that owns the request,
+// a counter that is unique within that daemon, and the time of issue.
 //
-// Issued is read on the owner's clock and only the owner compares it with the
-// present, so clocks of different VMs are never compared.
+// Issued is a reading of the owner's clock. Only the owner compares it with the current
+// time, so clocks of different VMs are never compared.
 type RequestIDFields struct {
 	Owner   Incarnation
 	Counter uint64
 	Issued  time.Time
 }
 
-// Key signs request ids; every daemon of a fleet has the same.
+// Key is the secret that signs request ids. All daemons of a fleet share it.
 type Key []byte
 
-// Sign returns the id's signed form, "vm.nonce.counter.issued.mac" with the
-// numbers in hex and the time of issue in Unix milliseconds.
-func (req RequestIDFields) Sign(key Key) RequestID {
-	body := req.body()
+// Sign returns the signed id, "vm.nonce.counter.issued.mac", with the numbers in hex
+// and the time of issue in Unix milliseconds.
+func (fields RequestIDFields) Sign(key Key) RequestID {
+	body := fields.body()
 	return RequestID(body + "." + sign(key, body))
 }
 
-// RequestID is a request id as callers and other processes see it.
+// RequestID is the signed text of a request id, the form that callers and other
+// processes get.
 type RequestID string
 
-// Parse checks the signature and returns the id.
-func (text RequestID) Parse(key Key) (RequestIDFields, error) {
-	parts := strings.Split(string(text), ".")
+// Parse checks the signature and returns the id's parts. The error is ErrForged.
+func (id RequestID) Parse(key Key) (RequestIDFields, error) {
+	parts := strings.Split(string(id), ".")
 	if len(parts) != requestFields {
 		return RequestIDFields{}, ErrForged
 	}
@@ -67,10 +71,12 @@
 	return RequestIDFields{Owner: owner, Counter: counter, Issued: time.UnixMilli(issued)}, nil
 }
 
-func (req RequestIDFields) body() string {
-	return fmt.Sprintf("%s.%x.%x", req.Owner, req.Counter, req.Issued.UnixMilli())
+// body returns the part of the id that is signed.
+func (fields RequestIDFields) body() string {
+	return fmt.Sprintf("%s.%x.%x", fields.Owner, fields.Counter, fields.Issued.UnixMilli())
 }
 
+// sign returns the truncated HMAC-SHA-256 of body in hex.
 func sign(key Key, body string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(body))
--- a/core/yuccaid/request_test.go
+++ b/core/yuccaid/request_test.go
@@ -18,27 +18,27 @@
 )
 
 var _ = Describe("a request id", func() {
-	id := yuccaid.RequestIDFields{Owner: owner, Counter: 42, Issued: issued}
+	fields := yuccaid.RequestIDFields{Owner: owner, Counter: 42, Issued: issued}
 
-	It("survives its text form", func() {
-		back, err := id.Sign(fleetKey).Parse(fleetKey)
+	It("keeps its fields when signed and parsed", func() {
+		parsed, err := fields.Sign(fleetKey).Parse(fleetKey)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back.Owner).To(Equal(id.Owner))
-		Expect(back.Counter).To(Equal(id.Counter))
-		Expect(back.Issued.Equal(id.Issued)).To(BeTrue())
+		Expect(parsed.Owner).To(Equal(fields.Owner))
+		Expect(parsed.Counter).To(Equal(fields.Counter))
+		Expect(parsed.Issued.Equal(fields.Issued)).To(BeTrue())
 	})
 
-	DescribeTable("is refused when it was not issued here",
-		func(change func(string) string) {
-			text := yuccaid.RequestID(change(string(id.Sign(fleetKey))))
-			_, err := text.Parse(fleetKey)
+	DescribeTable("is refused when no daemon of this fleet issued it",
+		func(alter func(string) string) {
+			id := yuccaid.RequestID(alter(string(fields.Sign(fleetKey))))
+			_, err := id.Parse(fleetKey)
 			Expect(err).To(MatchError(yuccaid.ErrForged))
 		},
 		Entry("empty", func(string) string { return "" }),
 		Entry("another VM", func(s string) string { return strings.Replace(s, "vm-1", "vm-2", 1) }),
 		Entry("another counter", func(s string) string { return strings.Replace(s, ".2a.", ".2b.", 1) }),
 		Entry("no signature", func(s string) string { return s[:strings.LastIndex(s, ".")+1] }),
-		Entry("another fleet's key", func(string) string { return string(id.Sign(yuccaid.Key("other"))) }),
+		Entry("another fleet's key", func(string) string { return string(fields.Sign(yuccaid.Key("other"))) }),
 	)
 })
 
@@ -46,9 +46,9 @@
 	f.Add(string(yuccaid.RequestIDFields{Owner: owner, Counter: 1, Issued: issued}.Sign(fleetKey)))
 	f.Add("a.b.c.d.e")
 	f.Fuzz(func(t *testing.T, s string) {
-		id, err := yuccaid.RequestID(s).Parse(fleetKey)
-		if err == nil && string(id.Sign(fleetKey)) != s {
-			t.Fatalf("%q was accepted but is written %q", s, id.Sign(fleetKey))
+		fields, err := yuccaid.RequestID(s).Parse(fleetKey)
+		if err == nil && string(fields.Sign(fleetKey)) != s {
+			t.Fatalf("%q was accepted but is written %q", s, fields.Sign(fleetKey))
 		}
 	})
 }
