--- a/core/yuccaroster/entry.go
+++ b/core/yuccaroster/entry.go
@@ -6,27 +6,29 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Revision orders the changes of registrations.
+// Revision is the platform's revision of a registration or its removal. A greater one is
+// newer.
 type Revision uint64
 
-// Entry is what one target says of itself.
+// Entry is the registration of one target, as the target wrote it.
 type Entry struct {
 	Target  yuccaid.Target `msgpack:"target"`
 	Pool    yuccaid.Pool   `msgpack:"pool"`
 	Address string         `msgpack:"address"`
 	Centre  yuccaid.Centre `msgpack:"centre"`
 	Slots   int            `msgpack:"slots"`
-	// Leaving says that the target takes no new work.
+	// Leaving is set once the target accepts no new requests.
 	Leaving bool `msgpack:"leaving"`
-	// ProcessStart is the start of the target's process in Unix milliseconds. A target that
-	// started again under its name holds nothing of what its predecessor held.
+	// ProcessStart is when the target's process started, in Unix milliseconds. If it changes,
+	// the target has restarted under the same name, and the requests and caches of its previous
+	// process are lost.
 	ProcessStart int64 `msgpack:"born"`
-	// WarmAfter is how much longer after the registration the target is slow.
+	// WarmAfter is how long after the registration the target stays slow because it is cold.
 	WarmAfter time.Duration `msgpack:"warmAfter"`
 	Revision  Revision      `msgpack:"revision"`
 }
 
-// Removal says that a target's registration ended at a revision.
+// Removal is the end of a target's registration, at the given revision.
 type Removal struct {
 	Target   yuccaid.Target `msgpack:"target"`
 	Revision Revision       `msgpack:"revision"`
--- a/core/yuccaroster/roster.go
+++ b/core/yuccaroster/roster.go
@@ -9,145 +9,151 @@
 )
 
 const (
-	// grace is how long a target whose registration lapsed during an outage may take to
-	// register again. It renews every second or so, and is back within two when it lives.
-	grace = 2 * time.Second
-	// remember is how long a removal is kept, so that a peer's late news of the same
-	// registration doesn't bring the target back.
-	remember = time.Minute
+	// removalGrace is how long a target whose registration lapsed during an outage may take
+	// to register again. A target renews about every second, so a running one is listed again
+	// within two.
+	removalGrace = 2 * time.Second
+	// removalRetention is how long a removal is kept, so that an older registration that
+	// another daemon forwards late doesn't add the target again.
+	removalRetention = time.Minute
 )
 
-// Roster holds the targets of all pools. It isn't safe for concurrent use.
+// Roster holds the registered targets of all pools. It isn't safe for concurrent use.
 type Roster struct {
-	held map[yuccaid.Target]*record
-	// version counts changes that matter to placing.
+	records map[yuccaid.Target]*record
+	// version counts the changes to the registered targets.
 	version uint64
-	// due is when the first of the removals takes effect or is forgotten, zero if there are
-	// none. Without it each tick would look at every target of the fleet.
-	due time.Time
-	// usable keeps what Usable returned at usableAt.
-	usable   map[yuccaid.Pool][]Entry
-	usableAt uint64
+	// nextDue is the earliest due time of a record, zero if no record has one. It spares
+	// Tick the pass over every target of the fleet.
+	nextDue time.Time
+	// usable caches the results of Usable at usableVersion.
+	usable        map[yuccaid.Pool][]Entry
+	usableVersion uint64
 }
 
-// record is what is known of one target.
+// record is the state of one target's registration.
 type record struct {
 	entry Entry
-	// revision is the newest seen, of the entry or of its removal.
+	// revision is the newest revision received, of the entry or of its removal.
 	revision Revision
-	gone     bool
-	// until is when a tentative removal takes effect or a lasting one is forgotten.
-	until     time.Time
+	removed  bool
+	// due is when a tentative removal takes effect, or when the record of a removed target is
+	// deleted.
+	due       time.Time
 	tentative bool
 }
 
 // New returns an empty roster.
 func New() *Roster {
-	return &Roster{held: make(map[yuccaid.Target]*record)}
+	return &Roster{records: make(map[yuccaid.Target]*record)}
 }
 
-// Version changes whenever Usable may return something else.
+// Version returns a number that changes whenever the result of Usable may have changed.
 func (ros *Roster) Version() uint64 { return ros.version }
 
-// Put takes a registration and reports whether it was news.
+// Put adds or updates a registration. It reports false if the roster already has this
+// revision of it or a newer one.
 func (ros *Roster) Put(_ time.Time, entry Entry) bool {
-	rec, known := ros.held[entry.Target]
+	rec, known := ros.records[entry.Target]
 	if known && rec.revision >= entry.Revision {
 		return false
 	}
 	if !known {
 		rec = &record{}
-		ros.held[entry.Target] = rec
+		ros.records[entry.Target] = rec
 	}
 	*rec = record{entry: entry, revision: entry.Revision}
 	ros.version++
 	return true
 }
 
-// Remove takes the end of a registration and reports whether it was news. Unless it is
-// sure, because the service was away a moment ago, the target stays for the grace.
+// Remove ends a registration and reports whether that changed the roster. Unless sure is
+// set, the removal is tentative and the target stays for removalGrace: the caller isn't sure
+// if the platform's service was down a moment ago.
 func (ros *Roster) Remove(now time.Time, removal Removal, sure bool) bool {
-	rec, known := ros.held[removal.Target]
-	if !known || rec.gone || rec.revision > removal.Revision || rec.tentative && !sure {
+	rec, known := ros.records[removal.Target]
+	if !known || rec.removed || rec.revision > removal.Revision || rec.tentative && !sure {
 		return false
 	}
 	rec.revision = removal.Revision
 	if sure {
-		ros.end(now, rec)
+		ros.confirmRemoval(now, rec)
 		return true
 	}
 	rec.tentative = true
-	ros.expire(rec, now.Add(grace))
+	ros.schedule(rec, now.Add(removalGrace))
 	return true
 }
 
-// ReplaceAll takes a whole list as it was at a revision: what it lacks has been removed.
+// ReplaceAll applies a complete list of the registrations at a revision: it puts the entries
+// and removes all other targets, tentatively unless sure is set.
 func (ros *Roster) ReplaceAll(now time.Time, entries []Entry, at Revision, sure bool) {
 	listed := make(map[yuccaid.Target]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.Target] = true
 		ros.Put(now, entry)
 	}
-	for name, rec := range ros.held {
-		if !listed[name] && !rec.gone {
+	for name, rec := range ros.records {
+		if !listed[name] && !rec.removed {
 			ros.Remove(now, Removal{Target: name, Revision: at}, sure)
 		}
 	}
 }
 
-// Tick ends the tentative removals whose grace has passed and returns the targets that
-// are gone with it.
+// Tick makes the tentative removals whose grace period has passed take effect, and returns
+// the removed targets in the order of their names.
 func (ros *Roster) Tick(now time.Time) []yuccaid.Target {
-	if ros.due.IsZero() || now.Before(ros.due) {
+	if ros.nextDue.IsZero() || now.Before(ros.nextDue) {
 		return nil
 	}
-	ros.due = time.Time{}
-	var gone []yuccaid.Target
-	for name, rec := range ros.held {
+	ros.nextDue = time.Time{}
+	var removed []yuccaid.Target
+	for name, rec := range ros.records {
 		switch {
-		case rec.until.IsZero():
-		case now.Before(rec.until):
-			ros.expire(rec, rec.until)
-		case rec.gone:
-			delete(ros.held, name)
+		case rec.due.IsZero():
+		case now.Before(rec.due):
+			ros.schedule(rec, rec.due)
+		case rec.removed:
+			delete(ros.records, name)
 		default:
-			ros.end(now, rec)
-			gone = append(gone, name)
+			ros.confirmRemoval(now, rec)
+			removed = append(removed, name)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
-// expire sets when a record is to be looked at.
-func (ros *Roster) expire(rec *record, at time.Time) {
-	rec.until = at
-	if ros.due.IsZero() || at.Before(ros.due) {
-		ros.due = at
+// schedule sets when Tick next has to process a record.
+func (ros *Roster) schedule(rec *record, at time.Time) {
+	rec.due = at
+	if ros.nextDue.IsZero() || at.Before(ros.nextDue) {
+		ros.nextDue = at
 	}
 }
 
-func (ros *Roster) end(now time.Time, rec *record) {
-	rec.gone = true
+// confirmRemoval removes a target for good and keeps its record for removalRetention.
+func (ros *Roster) confirmRemoval(now time.Time, rec *record) {
+	rec.removed = true
 	rec.tentative = false
-	ros.expire(rec, now.Add(remember))
+	ros.schedule(rec, now.Add(removalRetention))
 	ros.version++
 }
 
-// Find returns a target that is registered, leaving or not.
+// Find returns the entry of a registered target, which may be leaving.
 func (ros *Roster) Find(name yuccaid.Target) (Entry, bool) {
-	rec, known := ros.held[name]
-	if !known || rec.gone {
+	rec, known := ros.records[name]
+	if !known || rec.removed {
 		return Entry{}, false
 	}
 	return rec.entry, true
 }
 
-// Entries returns all registered targets in the order of their names.
+// Entries returns the entries of all registered targets in the order of their names.
 func (ros *Roster) Entries() []Entry {
-	list := make([]Entry, 0, len(ros.held))
-	for _, rec := range ros.held {
-		if !rec.gone {
+	list := make([]Entry, 0, len(ros.records))
+	for _, rec := range ros.records {
+		if !rec.removed {
 			list = append(list, rec.entry)
 		}
 	}
@@ -155,12 +161,12 @@
 	return list
 }
 
-// Removals returns the registrations that ended lately, for a daemon that may still hold
-// them.
+// Removals returns the registrations that ended within removalRetention, in the order of the
+// targets' names, to be sent to a daemon that may still have them.
 func (ros *Roster) Removals() []Removal {
 	var list []Removal
-	for name, rec := range ros.held {
-		if rec.gone {
+	for name, rec := range ros.records {
+		if rec.removed {
 			list = append(list, Removal{Target: name, Revision: rec.revision})
 		}
 	}
@@ -168,24 +174,25 @@
 	return list
 }
 
-// Usable returns a pool's targets that take new work, in the order of their names. The list
-// is shared: it may be read only.
+// Usable returns the pool's targets that accept new requests, in the order of their names.
+// The slice is shared between callers and must not be modified.
 func (ros *Roster) Usable(pool yuccaid.Pool) []Entry {
-	if ros.usable == nil || ros.usableAt != ros.version {
-		ros.usable, ros.usableAt = make(map[yuccaid.Pool][]Entry), ros.version
+	if ros.usable == nil || ros.usableVersion != ros.version {
+		ros.usable, ros.usableVersion = make(map[yuccaid.Pool][]Entry), ros.version
 	}
 	list, known := ros.usable[pool]
 	if !known {
-		list = ros.list(pool)
+		list = ros.listUsable(pool)
 		ros.usable[pool] = list
 	}
 	return list
 }
 
-func (ros *Roster) list(pool yuccaid.Pool) []Entry {
+// listUsable computes the result of Usable.
+func (ros *Roster) listUsable(pool yuccaid.Pool) []Entry {
 	var list []Entry
-	for _, rec := range ros.held {
-		if !rec.gone && rec.entry.Pool == pool && !rec.entry.Leaving {
+	for _, rec := range ros.records {
+		if !rec.removed && rec.entry.Pool == pool && !rec.entry.Leaving {
 			list = append(list, rec.entry)
 		}
 	}
--- a/core/yuccaroster/roster_test.go
+++ b/core/yuccaroster/roster_test.go
@@ -16,21 +16,21 @@
 	return yuccaroster.Entry{Target: name, Pool: "draft", Address: "10.0.0.1:80", Slots: 6, Revision: revision}
 }
 
-func leaving(one yuccaroster.Entry) yuccaroster.Entry {
-	one.Leaving = true
-	return one
+func leaving(reg yuccaroster.Entry) yuccaroster.Entry {
+	reg.Leaving = true
+	return reg
 }
 
 func names(entries []yuccaroster.Entry) []yuccaid.Target {
 	list := make([]yuccaid.Target, 0, len(entries))
-	for _, one := range entries {
-		list = append(list, one.Target)
+	for _, reg := range entries {
+		list = append(list, reg.Target)
 	}
 	return list
 }
 
 var _ = Describe("a roster", func() {
-	It("takes the newer of two registrations, in whichever order they come", func() {
+	It("keeps the newer of two registrations, in whichever order they arrive", func() {
 		ros := yuccaroster.New()
 		Expect(ros.Put(start, leaving(entry("a", 7)))).To(BeTrue())
 		Expect(ros.Put(start, entry("a", 5))).To(BeFalse())
@@ -40,8 +40,8 @@
 		Expect(found.Leaving).To(BeTrue())
 	})
 
-	// A target leaves for good while everything works. A daemon that went on sending there
-	// would have requests refused or lost once the process has ended.
+	// A target ends its registration while the platform's service works. A daemon that keeps it
+	// for the grace period sends it requests that are refused or lost once its process has ended.
 	It("drops a target at once when its removal is sure", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
@@ -49,8 +49,8 @@
 		Expect(ros.Usable("draft")).To(BeEmpty())
 	})
 
-	// A peer that was slow passes on a registration that has been removed since.
-	It("isn't brought back by late news", func() {
+	// A slow daemon forwards a registration that has been removed in the meantime.
+	It("doesn't add a target again on a registration older than its removal", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		ros.Remove(start, yuccaroster.Removal{Target: "a", Revision: 3}, true)
@@ -60,10 +60,10 @@
 		Expect(names(ros.Usable("draft"))).To(Equal([]yuccaid.Target{"a"}))
 	})
 
-	// The platform's service was down for longer than registrations live, and the first list
-	// after it is empty, although every target works. Believing it would refuse all callers
-	// until the targets have registered again.
-	It("keeps what an untrusted list lacks for the grace, and longer if it comes back", func() {
+	// The platform's service was down for longer than the lifetime of a registration, so the
+	// first list after the outage is empty although every target works. If the roster applied
+	// it at once, all requests would be refused until the targets have registered again.
+	It("keeps a target that an unsure list lacks for the grace period, and for good if it registers again", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		ros.Put(start, entry("b", 2))
@@ -75,7 +75,7 @@
 		Expect(names(ros.Usable("draft"))).To(Equal([]yuccaid.Target{"b"}))
 	})
 
-	It("doesn't start the grace anew with each untrusted list", func() {
+	It("doesn't restart the grace period with each unsure list", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		for at := range 10 {
@@ -84,14 +84,14 @@
 		Expect(ros.Tick(start.Add(2 * time.Second))).To(Equal([]yuccaid.Target{"a"}))
 	})
 
-	It("takes a trusted list for the truth", func() {
+	It("removes at once the targets that a sure list lacks", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		ros.ReplaceAll(start, []yuccaroster.Entry{entry("b", 4)}, 5, true)
 		Expect(names(ros.Entries())).To(Equal([]yuccaid.Target{"b"}))
 	})
 
-	It("forgets a removal after a while", func() {
+	It("deletes the record of a removal after a minute", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
 		ros.Remove(start, yuccaroster.Removal{Target: "a", Revision: 2}, true)
