--- a/core/yuccaroster/roster.go
+++ b/core/yuccaroster/roster.go
@@ -182,14 +182,14 @@
 	}
 	list, known := ros.usable[pool]
 	if !known {
-		list = ros.listUsable(pool)
+		list = ros.list(pool)
 		ros.usable[pool] = list
 	}
 	return list
 }
 
-// listUsable computes the result of Usable.
-func (ros *Roster) listUsable(pool yuccaid.Pool) []Entry {
+// list computes the result of Usable.
+func (ros *Roster) list(pool yuccaid.Pool) []Entry {
 	var list []Entry
 	for _, rec := range ros.records {
 		if !rec.removed && rec.entry.Pool == pool && !rec.entry.Leaving {
