--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -9,22 +9,22 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// maxTold bounds what peers may tell of candidates: ten times the VMs of a large fleet.
-const maxTold = 4096
+// maxReceivedListings bounds what peers may tell of candidates: ten times the VMs of a large fleet.
+const maxReceivedListings = 4096
 
-// hearsay is a candidate that a peer told of.
-type hearsay struct {
+// receivedListing is a candidate that a peer told of.
+type receivedListing struct {
 	Listing
-	until time.Time
+	expires time.Time
 }
 
 // SetListings replaces what the platform's list says. The list only names candidates: it
 // lags, by a different time on each daemon, so a view that took members from it would
 // differ from the others' for as long.
 func (peers *Peers) SetListings(_ time.Time, listings []Listing) {
-	peers.changed()
+	peers.invalidate()
 	clear(peers.listed)
-	clear(peers.told)
+	clear(peers.received)
 	peers.self.Unlisted = false
 	for _, listing := range listings {
 		peers.listed[listing.VM] = listing
@@ -44,11 +44,11 @@
 		return
 	}
 	for _, listing := range listings {
-		if peers.told[listing.VM].Listing != listing {
-			peers.changed()
+		if peers.received[listing.VM].Listing != listing {
+			peers.invalidate()
 		}
-		if len(peers.told) < maxTold {
-			peers.told[listing.VM] = hearsay{Listing: listing, until: now.Add(peers.timing.ForgetAfter)}
+		if len(peers.received) < maxReceivedListings {
+			peers.received[listing.VM] = receivedListing{Listing: listing, expires: now.Add(peers.timing.ForgetAfter)}
 		}
 	}
 }
@@ -63,23 +63,23 @@
 // of what they do.
 const rosterSenders = 8
 
-// owesRoster reports whether this daemon sends its roster to an unlisted peer.
+// sendsRosterTo reports whether this daemon sends its roster to an unlisted peer.
 //
 // In a fleet of three hundred each newcomer got a hundred rosters of three hundred names, more
 // than everything else that is told. One that knows little gets the roster of whoever meets
 // it. Later ones differ in what came about meanwhile: for that the rosters of a few are
 // enough, and those of the seeds, whom everybody asks, so that no two daemons that start
 // together miss each other.
-func (peers *Peers) owesRoster(beat *Heartbeat) bool {
+func (peers *Peers) sendsRosterTo(beat *Heartbeat) bool {
 	own := peers.self.Centre
-	if beat.Centre != own || 2*beat.Knows < peers.known(own) || slices.Contains(peers.seeds, peers.self.Address) {
+	if beat.Centre != own || 2*beat.Knows < peers.candidateCount(own) || slices.Contains(peers.seeds, peers.self.Address) {
 		return true
 	}
 	topic := "roster for " + string(beat.Incarnation.VM)
-	mine := weigh(topic, string(peers.self.Incarnation.VM))
+	mine := hashWeight(topic, string(peers.self.Incarnation.VM))
 	better := 0
 	for _, member := range peers.Live(own) {
-		if member.VM != beat.Incarnation.VM && weigh(topic, string(member.VM)) > mine {
+		if member.VM != beat.Incarnation.VM && hashWeight(topic, string(member.VM)) > mine {
 			better++
 		}
 	}
@@ -89,17 +89,17 @@
 // Candidates returns the VMs of a data centre that may run a daemon, live or not, in
 // the order of their names. The list is the callers' to read, not to change.
 func (peers *Peers) Candidates(centre yuccaid.Centre) []Listing {
-	return lookUp(&peers.derived.candidates, centre, func() []Listing {
+	return cached(&peers.cache.candidates, centre, func() []Listing {
 		return slices.DeleteFunc(peers.Roster(), func(listing Listing) bool {
 			return listing.Centre != centre
 		})
 	})
 }
 
-// known is how many candidates a data centre has. Each greeting tells it, so it is counted
+// candidateCount is how many candidates a data centre has. Each greeting tells it, so it is counted
 // without the sorted list.
-func (peers *Peers) known(centre yuccaid.Centre) int {
-	return lookUp(&peers.derived.known, centre, func() int {
+func (peers *Peers) candidateCount(centre yuccaid.Centre) int {
+	return cached(&peers.cache.candidateCounts, centre, func() int {
 		count := 0
 		for _, listing := range peers.candidates() {
 			if listing.Centre == centre {
@@ -113,11 +113,11 @@
 // candidates joins the platform's list, what peers told, and who is heard.
 func (peers *Peers) candidates() map[yuccaid.VM]Listing {
 	all := maps.Clone(peers.listed)
-	for vm, heard := range peers.told {
+	for vm, heard := range peers.received {
 		all[vm] = heard.Listing
 	}
 	for vm, other := range peers.peers {
-		if other.known {
+		if other.inView {
 			all[vm] = listingOf(other.member)
 		}
 	}
--- a/core/yuccapeer/derived_test.go
+++ b/core/yuccapeer/derived_test.go
@@ -47,7 +47,7 @@
 				now = now.Add(300 * time.Millisecond)
 				view.Tick(now)
 				said := answers(view)
-				view.Forget()
+				view.ClearCache()
 				Expect(answers(view)).To(Equal(said))
 			}
 		})
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -9,8 +9,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// wish is the VM of another data centre that this daemon wants a connection to.
-type wish struct {
+// gatewayLink is the VM of another data centre that this daemon wants a connection to.
+type gatewayLink struct {
 	vm    yuccaid.VM
 	since time.Time
 	// tried are VMs that did not answer in time; they come last.
@@ -30,10 +30,10 @@
 			addresses[peers.listed[vm].Address] = true
 		}
 	}
-	for _, wanted := range peers.wishes {
+	for _, wanted := range peers.gatewayLinks {
 		addresses[candidates[wanted.vm].Address] = true
 	}
-	for _, seed := range peers.unmetSeeds(candidates) {
+	for _, seed := range peers.unknownSeeds(candidates) {
 		addresses[seed] = true
 	}
 	delete(addresses, peers.self.Address)
@@ -41,11 +41,11 @@
 	return slices.Sorted(maps.Keys(addresses))
 }
 
-// unmetSeeds returns the seeds that nobody has named as a daemon's address, as long as there
+// unknownSeeds returns the seeds that nobody has named as a daemon's address, as long as there
 // is no list. They lead to the daemons of other data centres too: a data centre whose
 // daemons stopped at the first of their own would never learn that there are others. Seeds
 // that were always dialled would end up with a connection from every daemon.
-func (peers *Peers) unmetSeeds(candidates map[yuccaid.VM]Listing) []string {
+func (peers *Peers) unknownSeeds(candidates map[yuccaid.VM]Listing) []string {
 	if !peers.self.Unlisted {
 		return nil
 	}
@@ -56,32 +56,32 @@
 	return slices.DeleteFunc(slices.Clone(peers.seeds), func(seed string) bool { return met[seed] })
 }
 
-// reaches reports whether this daemon has a connection to the one on a VM.
-func (peers *Peers) reaches(vm yuccaid.VM) bool {
+// isConnectedToVM reports whether this daemon has a connection to the one on a VM.
+func (peers *Peers) isConnectedToVM(vm yuccaid.VM) bool {
 	other := peers.peers[vm]
-	return other != nil && other.known && peers.isLinked(other.member.Incarnation)
+	return other != nil && other.inView && peers.isConnected(other.member.Incarnation)
 }
 
-// reconsider decides anew which other data centres this daemon is a gateway to. The
+// updateGatewayLinks decides anew which other data centres this daemon is a gateway to. The
 // plan is made only when the candidates or the view have changed: with 400 VMs it takes
 // half a millisecond, and small VMs have better to do at each heartbeat.
-func (peers *Peers) reconsider(now time.Time) {
-	if settled := peers.Settled(); peers.plan == nil || peers.stale || peers.plannedSettled != settled {
-		peers.plan = peers.makePlan()
-		peers.stale = false
-		peers.plannedSettled = settled
-	}
-	maps.DeleteFunc(peers.wishes, func(centre yuccaid.Centre, _ *wish) bool {
-		return peers.plan[centre] == nil
+func (peers *Peers) updateGatewayLinks(now time.Time) {
+	if settled := peers.Settled(); peers.dialPlan == nil || peers.dialPlanStale || peers.dialPlanSettled != settled {
+		peers.dialPlan = peers.makeDialPlan()
+		peers.dialPlanStale = false
+		peers.dialPlanSettled = settled
+	}
+	maps.DeleteFunc(peers.gatewayLinks, func(centre yuccaid.Centre, _ *gatewayLink) bool {
+		return peers.dialPlan[centre] == nil
 	})
-	for centre, order := range peers.plan {
-		peers.want(now, centre, order)
+	for centre, order := range peers.dialPlan {
+		peers.updateGatewayLink(now, centre, order)
 	}
 }
 
-// makePlan returns, for each data centre that this daemon is a gateway to, the VMs there
+// makeDialPlan returns, for each data centre that this daemon is a gateway to, the VMs there
 // in the order in which they should be dialled.
-func (peers *Peers) makePlan() map[yuccaid.Centre][]yuccaid.VM {
+func (peers *Peers) makeDialPlan() map[yuccaid.Centre][]yuccaid.VM {
 	byCentre := make(map[yuccaid.Centre][]yuccaid.VM)
 	for vm, listing := range peers.candidates() {
 		if listing.Centre != "" && !listing.Leaving {
@@ -94,14 +94,14 @@
 		byCentre[own] = vmsOf(peers.Live(own))
 	}
 	plan := make(map[yuccaid.Centre][]yuccaid.VM)
-	clear(peers.bridges)
-	peers.derived.gateways = nil
-	for centre, gateways := range peers.assign(byCentre, own) {
+	clear(peers.gatewayVMs)
+	peers.cache.gateways = nil
+	for centre, gateways := range peers.assignGateways(byCentre, own) {
 		for _, vm := range gateways {
-			peers.bridges[vm] = true
+			peers.gatewayVMs[vm] = true
 		}
 		if slot := slices.Index(gateways, peers.self.Incarnation.VM); slot >= 0 {
-			plan[centre] = peers.preferred(byCentre, centre, slot)
+			plan[centre] = peers.dialOrder(byCentre, centre, slot)
 		}
 	}
 	return plan
@@ -111,20 +111,20 @@
 // others, as this daemon sees it. Where views differ for a moment one may be missing.
 func (peers *Peers) Gateways() []Member {
 	own := peers.self.Centre
-	return lookUp(&peers.derived.gateways, own, func() []Member {
+	return cached(&peers.cache.gateways, own, func() []Member {
 		return peers.members(func(member Member) bool {
-			return member.Centre == own && peers.bridges[member.Incarnation.VM]
+			return member.Centre == own && peers.gatewayVMs[member.Incarnation.VM]
 		})
 	})
 }
 
-// assign returns a data centre's gateways to each of the others.
+// assignGateways returns a data centre's gateways to each of the others.
 //
 // Rendezvous hashing makes the choice alike everywhere and keeps it when others come
 // and go. It alone would give some daemons several times the links of others, and each
 // link costs heartbeats; so nobody is picked more often than an even share, as long as
 // others are left.
-func (peers *Peers) assign(byCentre map[yuccaid.Centre][]yuccaid.VM, from yuccaid.Centre) map[yuccaid.Centre][]yuccaid.VM {
+func (peers *Peers) assignGateways(byCentre map[yuccaid.Centre][]yuccaid.VM, from yuccaid.Centre) map[yuccaid.Centre][]yuccaid.VM {
 	vms := byCentre[from]
 	others := slices.DeleteFunc(slices.Sorted(maps.Keys(byCentre)), func(centre yuccaid.Centre) bool {
 		return centre == from
@@ -133,14 +133,14 @@
 	if len(vms) == 0 {
 		return assigned
 	}
-	share := (peers.gateways*len(others) + len(vms) - 1) / len(vms)
+	share := (peers.gatewayCount*len(others) + len(vms) - 1) / len(vms)
 	load := make(map[yuccaid.VM]int, len(vms))
 	for _, centre := range others {
-		ranked := rank(vms, "gateway to "+string(centre))
+		ranked := sortByHash(vms, "gateway to "+string(centre))
 		slices.SortStableFunc(ranked, func(a, b yuccaid.VM) int {
 			return cmp.Compare(max(load[a]+1, share), max(load[b]+1, share))
 		})
-		picked := ranked[:min(peers.gateways, len(ranked))]
+		picked := ranked[:min(peers.gatewayCount, len(ranked))]
 		for _, vm := range picked {
 			load[vm]++
 		}
@@ -149,15 +149,15 @@
 	return assigned
 }
 
-// preferred orders another data centre's VMs by who should be dialled first from a
+// dialOrder orders another data centre's VMs by who should be dialled first from a
 // slot: the gateway that it has in the same slot, which then dials the same way and
 // shares the connection, then its other gateways, then all.
-func (peers *Peers) preferred(byCentre map[yuccaid.Centre][]yuccaid.VM, centre yuccaid.Centre, slot int) []yuccaid.VM {
-	theirs := slices.Clone(peers.assign(byCentre, centre)[peers.self.Centre])
+func (peers *Peers) dialOrder(byCentre map[yuccaid.Centre][]yuccaid.VM, centre yuccaid.Centre, slot int) []yuccaid.VM {
+	theirs := slices.Clone(peers.assignGateways(byCentre, centre)[peers.self.Centre])
 	if slot < len(theirs) {
 		theirs[0], theirs[slot] = theirs[slot], theirs[0]
 	}
-	for _, vm := range rank(byCentre[centre], "gateway to "+string(peers.self.Centre)) {
+	for _, vm := range sortByHash(byCentre[centre], "gateway to "+string(peers.self.Centre)) {
 		if !slices.Contains(theirs, vm) {
 			theirs = append(theirs, vm)
 		}
@@ -165,16 +165,16 @@
 	return theirs
 }
 
-// want keeps the wish for a VM of another data centre while it answers, and else moves
+// updateGatewayLink keeps the wish for a VM of another data centre while it answers, and else moves
 // on to the next that was not tried yet.
-func (peers *Peers) want(now time.Time, centre yuccaid.Centre, order []yuccaid.VM) {
-	wanted := peers.wishes[centre]
+func (peers *Peers) updateGatewayLink(now time.Time, centre yuccaid.Centre, order []yuccaid.VM) {
+	wanted := peers.gatewayLinks[centre]
 	if wanted == nil {
-		wanted = &wish{tried: make(map[yuccaid.VM]bool)}
-		peers.wishes[centre] = wanted
+		wanted = &gatewayLink{tried: make(map[yuccaid.VM]bool)}
+		peers.gatewayLinks[centre] = wanted
 	}
 	if slices.Contains(order, wanted.vm) {
-		if peers.reaches(wanted.vm) {
+		if peers.isConnectedToVM(wanted.vm) {
 			wanted.since = now
 			clear(wanted.tried)
 			return
@@ -184,12 +184,12 @@
 		}
 	}
 	wanted.tried[wanted.vm] = true
-	wanted.vm = wanted.next(order)
+	wanted.vm = wanted.nextVM(order)
 	wanted.since = now
 }
 
-// next returns the first VM that was not tried, and begins again when all were.
-func (wanted *wish) next(order []yuccaid.VM) yuccaid.VM {
+// nextVM returns the first VM that was not tried, and begins again when all were.
+func (wanted *gatewayLink) nextVM(order []yuccaid.VM) yuccaid.VM {
 	for _, vm := range order {
 		if !wanted.tried[vm] {
 			return vm
@@ -202,11 +202,11 @@
 	return order[0]
 }
 
-// rank sorts VMs by their weight for the topic, the greatest first.
-func rank(vms []yuccaid.VM, topic string) []yuccaid.VM {
+// sortByHash sorts VMs by their weight for the topic, the greatest first.
+func sortByHash(vms []yuccaid.VM, topic string) []yuccaid.VM {
 	weights := make(map[yuccaid.VM]uint64, len(vms))
 	for _, vm := range vms {
-		weights[vm] = weigh(topic, string(vm))
+		weights[vm] = hashWeight(topic, string(vm))
 	}
 	return slices.SortedFunc(slices.Values(vms), func(a, b yuccaid.VM) int {
 		return cmp.Or(cmp.Compare(weights[b], weights[a]), cmp.Compare(a, b))
--- a/core/yuccapeer/guess.go
+++ b/core/yuccapeer/guess.go
@@ -12,5 +12,5 @@
 			candidates = append(candidates, listing.member())
 		}
 	}
-	return highest(candidates, string(pool)), len(candidates) > 0
+	return highestWeight(candidates, string(pool)), len(candidates) > 0
 }
--- a/core/yuccapeer/leader.go
+++ b/core/yuccapeer/leader.go
@@ -17,31 +17,31 @@
 	if !peers.Settled() {
 		return Member{}, false
 	}
-	return lookUp(&peers.derived.leaders, pool, func() Member {
+	return cached(&peers.cache.leaders, pool, func() Member {
 		staying := peers.Live(peers.self.Centre)
 		if len(staying) == 0 {
 			staying = peers.members(func(member Member) bool {
 				return member.Centre == peers.self.Centre
 			})
 		}
-		return highest(staying, string(pool))
+		return highestWeight(staying, string(pool))
 	}), true
 }
 
-// highest returns the member with the greatest weight for the topic.
-func highest(members []Member, topic string) Member {
+// highestWeight returns the member with the greatest weight for the topic.
+func highestWeight(members []Member, topic string) Member {
 	var best Member
 	var top uint64
 	for i, member := range members {
-		if weight := weigh(topic, string(member.VM)); i == 0 || weight > top {
+		if weight := hashWeight(topic, string(member.VM)); i == 0 || weight > top {
 			best, top = member, weight
 		}
 	}
 	return best
 }
 
-// weigh hashes a topic and a name; the zero byte stands in neither.
-func weigh(topic, name string) uint64 {
+// hashWeight hashes a topic and a name; the zero byte stands in neither.
+func hashWeight(topic, name string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	digest.WriteString(topic)
--- a/core/yuccapeer/option.go
+++ b/core/yuccapeer/option.go
@@ -58,7 +58,7 @@
 
 // WithGateways sets how many daemons of a data centre dial into each other one.
 func WithGateways(count int) Option {
-	return func(peers *Peers) { peers.gateways = count }
+	return func(peers *Peers) { peers.gatewayCount = count }
 }
 
 // WithSeeds gives addresses to dial while nothing else names a peer.
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -9,43 +9,43 @@
 
 // Peers is one daemon's view of the others.
 type Peers struct {
-	self     Heartbeat
-	timing   Timing
-	gateways int
-	seeds    []string
+	self         Heartbeat
+	timing       Timing
+	gatewayCount int
+	seeds        []string
 
-	listed map[yuccaid.VM]Listing
-	told   map[yuccaid.VM]hearsay
-	peers  map[yuccaid.VM]*peer
-	gone   map[yuccaid.Incarnation]time.Time
-	linked map[yuccaid.Incarnation]Member
-	// rostered are the peers that got a roster on their present connection. One for each
+	listed    map[yuccaid.VM]Listing
+	received  map[yuccaid.VM]receivedListing
+	peers     map[yuccaid.VM]*peer
+	departed  map[yuccaid.Incarnation]time.Time
+	connected map[yuccaid.Incarnation]Member
+	// rosterSent are the peers that got a roster on their present connection. One for each
 	// whole heartbeat would grow with the square of the daemons at every change.
-	rostered map[yuccaid.Incarnation]bool
-	// plan is who to dial in other data centres, stale that it has to be made anew,
+	rosterSent map[yuccaid.Incarnation]bool
+	// dialPlan is who to dial in other data centres, stale that it has to be made anew,
 	// plannedSettled whether the view had settled when it was made.
-	plan map[yuccaid.Centre][]yuccaid.VM
-	// bridges are the VMs of this data centre that the plan has as gateways.
-	bridges        map[yuccaid.VM]bool
-	stale          bool
-	derived        derived
-	plannedSettled bool
-	wishes         map[yuccaid.Centre]*wish
-	ticked         time.Time
-	settled        time.Time
-	beaten         time.Time
+	dialPlan map[yuccaid.Centre][]yuccaid.VM
+	// gatewayVMs are the VMs of this data centre that the plan has as gateways.
+	gatewayVMs      map[yuccaid.VM]bool
+	dialPlanStale   bool
+	cache           viewCache
+	dialPlanSettled bool
+	gatewayLinks    map[yuccaid.Centre]*gatewayLink
+	lastTick        time.Time
+	settledAt       time.Time
+	lastHeartbeats  time.Time
 }
 
 // peer is the present incarnation on one VM.
 type peer struct {
 	member   Member
-	source   PeerConfig
+	config   PeerConfig
 	sequence uint64
 	version  uint64
-	// known says that the peer is in the view: a whole heartbeat has come, and
+	// inView says that the peer is in the view: a whole heartbeat has come, and
 	// neither silence nor a pause of our own has ended it since. The rest stays
 	// when it ends, so that a late heartbeat is still seen to be late.
-	known bool
+	inView bool
 	// expires is when the peer goes out of the view unless it is heard again.
 	expires time.Time
 }
@@ -61,16 +61,16 @@
 			Version:     1,
 			Unlisted:    true,
 		},
-		timing:   DefaultTiming(),
-		gateways: DefaultGateways,
-		listed:   make(map[yuccaid.VM]Listing),
-		told:     make(map[yuccaid.VM]hearsay),
-		peers:    make(map[yuccaid.VM]*peer),
-		gone:     make(map[yuccaid.Incarnation]time.Time),
-		linked:   make(map[yuccaid.Incarnation]Member),
-		rostered: make(map[yuccaid.Incarnation]bool),
-		wishes:   make(map[yuccaid.Centre]*wish),
-		bridges:  make(map[yuccaid.VM]bool),
+		timing:       DefaultTiming(),
+		gatewayCount: DefaultGateways,
+		listed:       make(map[yuccaid.VM]Listing),
+		received:     make(map[yuccaid.VM]receivedListing),
+		peers:        make(map[yuccaid.VM]*peer),
+		departed:     make(map[yuccaid.Incarnation]time.Time),
+		connected:    make(map[yuccaid.Incarnation]Member),
+		rosterSent:   make(map[yuccaid.Incarnation]bool),
+		gatewayLinks: make(map[yuccaid.Centre]*gatewayLink),
+		gatewayVMs:   make(map[yuccaid.VM]bool),
 	}
 	for _, option := range options {
 		option(peers)
@@ -84,7 +84,7 @@
 // Heartbeat returns what this daemon tells the others now.
 func (peers *Peers) Heartbeat() Heartbeat {
 	beat := peers.self
-	beat.Knows = peers.known(peers.self.Centre)
+	beat.Knows = peers.candidateCount(peers.self.Centre)
 	return beat
 }
 
@@ -96,7 +96,7 @@
 	}
 	peers.self.Number = number
 	peers.self.Digest = digest
-	return Change{Messages: peers.announce(now), NewerConfig: peers.NewerConfig()}
+	return Change{Messages: peers.heartbeatsToAll(now), NewerConfig: peers.NewerConfig()}
 }
 
 // Leave notes that this daemon is leaving and returns the heartbeats that tell the
@@ -106,27 +106,27 @@
 		return Change{}
 	}
 	peers.self.Leaving = true
-	peers.changed()
-	return Change{Messages: peers.announce(now)}
+	peers.invalidate()
+	return Change{Messages: peers.heartbeatsToAll(now)}
 }
 
 // HandleConnect notes that a connection to the member is up and returns the heartbeat that
 // greets it. The member joins the view with its own first heartbeat. One that names
 // this daemon's own VM is its predecessor, or its successor, and counts for nothing.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
-	_, gone := peers.gone[member.Incarnation]
+	_, gone := peers.departed[member.Incarnation]
 	if gone || member.VM == peers.self.Incarnation.VM {
 		return Change{}
 	}
-	peers.linked[member.Incarnation] = member
-	return Change{Messages: []Message{peers.whole(member.Incarnation)}}
+	peers.connected[member.Incarnation] = member
+	return Change{Messages: []Message{peers.heartbeatTo(member.Incarnation)}}
 }
 
 // HandleDisconnect notes that the last connection to an incarnation is gone. The member stays in
 // the view for LostGrace, for a broken connection alone is no death.
 func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
-	delete(peers.linked, inc)
-	delete(peers.rostered, inc)
+	delete(peers.connected, inc)
+	delete(peers.rosterSent, inc)
 	other := peers.peers[inc.VM]
 	if other == nil || other.member.Incarnation != inc {
 		return
@@ -140,11 +140,11 @@
 // for nothing: Linked comes before it and Lost after.
 func (peers *Peers) HandleHeartbeat(now time.Time, beat Heartbeat) Change {
 	var change Change
-	other := peers.admit(now, beat.Incarnation, beat.Sequence, &change)
+	other := peers.accept(now, beat.Incarnation, beat.Sequence, &change)
 	if other == nil {
 		return change
 	}
-	if other.known && other.version > beat.Version {
+	if other.inView && other.version > beat.Version {
 		return change
 	}
 	peers.update(other, beat, &change)
@@ -154,13 +154,13 @@
 		// every daemon of the fleet.
 		peers.AddListings(now, []Listing{listingOf(beat.member())})
 	}
-	if beat.Unlisted && !peers.rostered[beat.Incarnation] && peers.owesRoster(&beat) {
-		peers.rostered[beat.Incarnation] = true
+	if beat.Unlisted && !peers.rosterSent[beat.Incarnation] && peers.sendsRosterTo(&beat) {
+		peers.rosterSent[beat.Incarnation] = true
 		change.RosterRecipients = append(change.RosterRecipients, beat.Incarnation)
 	}
 	change.NewerConfig = peers.NewerConfig()
 	if beat.Number == peers.self.Number && beat.Digest != peers.self.Digest {
-		change.Diverged = append(change.Diverged, other.source)
+		change.Diverged = append(change.Diverged, other.config)
 	}
 	return change
 }
@@ -169,15 +169,15 @@
 // never heard whole, the change holds a pulse that asks for it.
 func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
-	other := peers.admit(now, from, pulse.Sequence, &change)
-	if pulse.RequestHeartbeat && peers.isLinked(from) {
-		change.Messages = append(change.Messages, peers.whole(from))
+	other := peers.accept(now, from, pulse.Sequence, &change)
+	if pulse.RequestHeartbeat && peers.isConnected(from) {
+		change.Messages = append(change.Messages, peers.heartbeatTo(from))
 	}
 	if other == nil {
 		return change
 	}
-	if !other.known || other.version != pulse.Version {
-		change.Messages = append(change.Messages, peers.pulse(from, true))
+	if !other.inView || other.version != pulse.Version {
+		change.Messages = append(change.Messages, peers.pulseTo(from, true))
 	}
 	return change
 }
@@ -189,21 +189,21 @@
 // end, go on as the leader that it was. So its view expires before anything else and
 // it listens again before it names a leader.
 func (peers *Peers) Tick(now time.Time) Change {
-	if peers.ticked.IsZero() {
-		peers.settled = now.Add(peers.timing.SettleFor)
+	if peers.lastTick.IsZero() {
+		peers.settledAt = now.Add(peers.timing.SettleFor)
 	}
-	gap := now.Sub(peers.ticked)
-	paused := !peers.ticked.IsZero() && gap > peers.timing.PauseLimit
-	peers.ticked = now
+	gap := now.Sub(peers.lastTick)
+	paused := !peers.lastTick.IsZero() && gap > peers.timing.PauseLimit
+	peers.lastTick = now
 	var change Change
 	if paused {
-		change = peers.wake(now, gap)
+		change = peers.resume(now, gap)
 	}
-	peers.expire(now, &change)
-	peers.forget(now)
-	if now.Sub(peers.beaten) >= peers.timing.HeartbeatEvery {
-		peers.reconsider(now)
-		change.Messages = append(change.Messages, peers.pulses(now)...)
+	peers.expireSilent(now, &change)
+	peers.deleteOld(now)
+	if now.Sub(peers.lastHeartbeats) >= peers.timing.HeartbeatEvery {
+		peers.updateGatewayLinks(now)
+		change.Messages = append(change.Messages, peers.pulsesToAll(now)...)
 	}
 	change.NewerConfig = peers.NewerConfig()
 	return change
@@ -214,7 +214,7 @@
 // clock, and every gap that Tick can see, may have stood still.
 func (peers *Peers) CheckClocks(now time.Time, monotonic, wall time.Duration) Change {
 	if ahead := wall - monotonic; ahead > peers.timing.PauseLimit {
-		return peers.wake(now, ahead)
+		return peers.resume(now, ahead)
 	}
 	return Change{}
 }
@@ -225,7 +225,7 @@
 //
 // The list is the callers' to read, not to change: all get the same one.
 func (peers *Peers) Live(centre yuccaid.Centre) []Member {
-	return lookUp(&peers.derived.live, centre, func() []Member {
+	return cached(&peers.cache.live, centre, func() []Member {
 		return peers.members(func(member Member) bool {
 			return member.Centre == centre && !member.Leaving
 		})
@@ -240,7 +240,7 @@
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
 	}
-	if other := peers.peers[vm]; other != nil && other.known {
+	if other := peers.peers[vm]; other != nil && other.inView {
 		return other.member, true
 	}
 	listing, ok := peers.candidates()[vm]
@@ -249,11 +249,11 @@
 
 // Settled reports whether this daemon has listened long enough to name leaders.
 func (peers *Peers) Settled() bool {
-	return !peers.ticked.IsZero() && !peers.ticked.Before(peers.settled)
+	return !peers.lastTick.IsZero() && !peers.lastTick.Before(peers.settledAt)
 }
 
-func (peers *Peers) isLinked(inc yuccaid.Incarnation) bool {
-	_, ok := peers.linked[inc]
+func (peers *Peers) isConnected(inc yuccaid.Incarnation) bool {
+	_, ok := peers.connected[inc]
 	return ok
 }
 
@@ -264,7 +264,7 @@
 		all = append(all, self)
 	}
 	for _, other := range peers.peers {
-		if other.known && take(other.member) {
+		if other.inView && take(other.member) {
 			all = append(all, other.member)
 		}
 	}
--- a/core/yuccapeer/share.go
+++ b/core/yuccapeer/share.go
@@ -13,22 +13,22 @@
 // part until the list catches up.
 type TargetShare struct {
 	whole      bool
-	live       map[yuccaid.VM]bool
+	liveVMs    map[yuccaid.VM]bool
 	candidates []Member
 }
 
 // TargetShare returns the part that holds in the present view.
 func (peers *Peers) TargetShare() TargetShare {
-	share := TargetShare{live: make(map[yuccaid.VM]bool)}
+	share := TargetShare{liveVMs: make(map[yuccaid.VM]bool)}
 	for _, listing := range peers.Candidates(peers.self.Centre) {
 		if !listing.Leaving {
 			share.candidates = append(share.candidates, listing.member())
 		}
 	}
 	for _, member := range peers.Live(peers.self.Centre) {
-		share.live[member.VM] = true
+		share.liveVMs[member.VM] = true
 	}
-	share.whole = 2*len(share.live) > len(share.candidates)
+	share.whole = 2*len(share.liveVMs) > len(share.candidates)
 	return share
 }
 
@@ -39,7 +39,7 @@
 
 // Contains reports whether a target is in the share.
 func (share TargetShare) Contains(tgt yuccaid.Target) bool {
-	return share.whole || share.live[highest(share.candidates, string(tgt)).VM]
+	return share.whole || share.liveVMs[highestWeight(share.candidates, string(tgt)).VM]
 }
 
 // Select returns which of a pool's targets are used. A side whose part is empty uses all:
--- a/core/yuccapeer/status.go
+++ b/core/yuccapeer/status.go
@@ -38,7 +38,7 @@
 		}
 		centre.Live++
 	}
-	for centre := range peers.wishes {
+	for centre := range peers.gatewayLinks {
 		status.centre(centre).Gateway = true
 	}
 	return status
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -7,7 +7,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// admit returns the peer that a message with the sequence number comes from, or nil
+// accept returns the peer that a message with the sequence number comes from, or nil
 // for one that is late, doubled, our own, of an incarnation that left or of one that
 // has no connection to us.
 //
@@ -15,19 +15,19 @@
 // replaced and wakes up with its connections and its address. If the last one heard won,
 // they would take turns; so the one that holds a connection stays, unless the platform's
 // list names the other's address.
-func (peers *Peers) admit(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
-	if _, gone := peers.gone[inc]; gone || !peers.isLinked(inc) {
+func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
+	if _, gone := peers.departed[inc]; gone || !peers.isConnected(inc) {
 		return nil
 	}
 	other := peers.peers[inc.VM]
 	if other != nil && other.member.Incarnation != inc {
-		if !peers.yields(now, other, peers.linked[inc], change) {
+		if !peers.replaces(now, other, peers.connected[inc], change) {
 			return nil
 		}
 		other = nil
 	}
 	if other == nil {
-		other = &peer{member: peers.linked[inc]}
+		other = &peer{member: peers.connected[inc]}
 		peers.peers[inc.VM] = other
 	}
 	if other.sequence >= sequence && other.sequence > 0 {
@@ -40,12 +40,12 @@
 
 // update takes over what a whole heartbeat says.
 func (peers *Peers) update(other *peer, beat Heartbeat, change *Change) {
-	before, known := other.member, other.known
+	before, known := other.member, other.inView
 	after := beat.member()
 	other.member = after
 	other.version = beat.Version
-	other.source = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
-	other.known = true
+	other.config = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
+	other.inView = true
 	if known && before == after {
 		return
 	}
@@ -53,78 +53,78 @@
 		change.Removed = append(change.Removed, before)
 	}
 	change.Joined = append(change.Joined, after)
-	peers.changed()
+	peers.invalidate()
 }
 
-// yields takes an incarnation out if the newcomer has the better claim to the VM. It is
+// replaces takes an incarnation out if the newcomer has the better claim to the VM. It is
 // out for good, unless the list speaks for it: then it may only have been cut off while
 // its predecessor turned up.
-func (peers *Peers) yields(now time.Time, other *peer, newcomer Member, change *Change) bool {
+func (peers *Peers) replaces(now time.Time, other *peer, newcomer Member, change *Change) bool {
 	inc := other.member.Incarnation
 	listed := peers.listed[inc.VM].Address
 	stays := listed == other.member.Address && listed != newcomer.Address
 	comes := listed == newcomer.Address && listed != other.member.Address
-	if peers.isLinked(inc) && !comes {
+	if peers.isConnected(inc) && !comes {
 		return false
 	}
 	if !stays {
-		peers.gone[inc] = now.Add(peers.timing.ForgetAfter)
-		delete(peers.linked, inc)
+		peers.departed[inc] = now.Add(peers.timing.ForgetAfter)
+		delete(peers.connected, inc)
 	}
 	delete(peers.peers, inc.VM)
-	peers.drop(other, change)
+	peers.remove(other, change)
 	return true
 }
 
-// drop takes a peer out of the view until it is heard whole again.
-func (peers *Peers) drop(other *peer, change *Change) {
-	if other.known {
+// remove takes a peer out of the view until it is heard whole again.
+func (peers *Peers) remove(other *peer, change *Change) {
+	if other.inView {
 		change.Removed = append(change.Removed, other.member)
-		other.known = false
-		peers.changed()
+		other.inView = false
+		peers.invalidate()
 	}
 }
 
-// expire drops the silent. Silence ends nobody for good, not even one that is leaving:
+// expireSilent drops the silent. Silence ends nobody for good, not even one that is leaving:
 // it may have been cut off and still be finishing its work, and if some took it for
 // gone while it counts them as live, it would ask the wrong leader from then on.
-func (peers *Peers) expire(now time.Time, change *Change) {
+func (peers *Peers) expireSilent(now time.Time, change *Change) {
 	for _, other := range peers.peers {
 		if !now.Before(other.expires) {
-			peers.drop(other, change)
+			peers.remove(other, change)
 		}
 	}
 	slices.SortFunc(change.Removed, compareMembers)
 }
 
-// wake expires the whole view after a pause.
-func (peers *Peers) wake(now time.Time, slept time.Duration) Change {
+// resume expires the whole view after a pause.
+func (peers *Peers) resume(now time.Time, slept time.Duration) Change {
 	change := Change{Resumed: true, PausedFor: slept}
 	for _, other := range peers.peers {
-		peers.drop(other, &change)
+		peers.remove(other, &change)
 	}
 	slices.SortFunc(change.Removed, compareMembers)
-	peers.settled = now.Add(peers.timing.SettleFor)
-	change.Messages = peers.pulses(now)
+	peers.settledAt = now.Add(peers.timing.SettleFor)
+	change.Messages = peers.pulsesToAll(now)
 	return change
 }
 
-// forget bounds the memory of who was here: VMs are replaced all the time.
-func (peers *Peers) forget(now time.Time) {
+// deleteOld bounds the memory of who was here: VMs are replaced all the time.
+func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.peers {
 		if now.Sub(other.expires) > peers.timing.ForgetAfter {
 			delete(peers.peers, vm)
 		}
 	}
-	for vm, heard := range peers.told {
-		if !now.Before(heard.until) {
-			delete(peers.told, vm)
-			peers.changed()
+	for vm, heard := range peers.received {
+		if !now.Before(heard.expires) {
+			delete(peers.received, vm)
+			peers.invalidate()
 		}
 	}
-	for inc, until := range peers.gone {
+	for inc, until := range peers.departed {
 		if !now.Before(until) {
-			delete(peers.gone, inc)
+			delete(peers.departed, inc)
 		}
 	}
 }
@@ -134,11 +134,11 @@
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.peers {
-		source := other.source
+		source := other.config
 		higher := source.Number > best.Number
 		earlier := source.Number == best.Number && source.Number > peers.self.Number &&
 			source.Peer.String() < best.Peer.String()
-		if other.known && (higher || earlier) {
+		if other.inView && (higher || earlier) {
 			best = source
 		}
 	}
