--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -13,9 +13,9 @@
 	peers.self.Version++
 	peers.self.Sequence++
 	peers.lastHeartbeats = now
-	whole := peers.Heartbeat()
+	heartbeat := peers.Heartbeat()
 	return peers.messagesToAll(func(to yuccaid.Incarnation) Message {
-		return Message{To: to, Heartbeat: &whole}
+		return Message{To: to, Heartbeat: &heartbeat}
 	})
 }
 
@@ -29,15 +29,15 @@
 	})
 }
 
-// heartbeatTo is the heartbeat for one peer that lacks it.
-func (peers *Peers) heartbeatTo(to yuccaid.Incarnation) Message {
+// fullHeartbeat is the heartbeat for one peer that lacks it.
+func (peers *Peers) fullHeartbeat(to yuccaid.Incarnation) Message {
 	peers.self.Sequence++
-	whole := peers.Heartbeat()
-	return Message{To: to, Heartbeat: &whole}
+	fullHeartbeat := peers.Heartbeat()
+	return Message{To: to, Heartbeat: &fullHeartbeat}
 }
 
-// pulseTo is a pulseTo for one peer out of turn.
-func (peers *Peers) pulseTo(to yuccaid.Incarnation, ask bool) Message {
+// pulse is a pulse for one peer out of turn.
+func (peers *Peers) pulse(to yuccaid.Incarnation, ask bool) Message {
 	peers.self.Sequence++
 	return Message{To: to, Pulse: peers.newPulse(ask)}
 }
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -89,7 +89,7 @@
 // Candidates returns the VMs of a data centre that may run a daemon, live or not, in
 // the order of their names. The list is the callers' to read, not to change.
 func (peers *Peers) Candidates(centre yuccaid.Centre) []Listing {
-	return cached(&peers.cache.candidates, centre, func() []Listing {
+	return cached(&peers.viewCache.candidates, centre, func() []Listing {
 		return slices.DeleteFunc(peers.Roster(), func(listing Listing) bool {
 			return listing.Centre != centre
 		})
@@ -99,7 +99,7 @@
 // candidateCount is how many candidates a data centre has. Each greeting tells it, so it is counted
 // without the sorted list.
 func (peers *Peers) candidateCount(centre yuccaid.Centre) int {
-	return cached(&peers.cache.candidateCounts, centre, func() int {
+	return cached(&peers.viewCache.candidateCount, centre, func() int {
 		count := 0
 		for _, listing := range peers.candidates() {
 			if listing.Centre == centre {
--- a/core/yuccapeer/derived.go
+++ b/core/yuccapeer/derived.go
@@ -12,18 +12,18 @@
 // for each request. Sorted and hashed anew each time, that took a daemon of a fleet of 400
 // more processor time than all its messages.
 type viewCache struct {
-	live            map[yuccaid.Centre][]Member
-	candidates      map[yuccaid.Centre][]Listing
-	candidateCounts map[yuccaid.Centre]int
-	leaders         map[yuccaid.Pool]Member
-	gateways        map[yuccaid.Centre][]Member
+	live           map[yuccaid.Centre][]Member
+	candidates     map[yuccaid.Centre][]Listing
+	candidateCount map[yuccaid.Centre]int
+	leaders        map[yuccaid.Pool]Member
+	gateways       map[yuccaid.Centre][]Member
 }
 
 // invalidate notes that the view, or who might be in it, is no longer what it was. Whoever
 // changes one of these calls it.
 func (peers *Peers) invalidate() {
 	peers.dialPlanStale = true
-	peers.cache = viewCache{}
+	peers.viewCache = viewCache{}
 }
 
 // cached returns what is kept under a key, or works it out.
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -95,7 +95,7 @@
 	}
 	plan := make(map[yuccaid.Centre][]yuccaid.VM)
 	clear(peers.gatewayVMs)
-	peers.cache.gateways = nil
+	peers.viewCache.gateways = nil
 	for centre, gateways := range peers.assignGateways(byCentre, own) {
 		for _, vm := range gateways {
 			peers.gatewayVMs[vm] = true
@@ -111,7 +111,7 @@
 // others, as this daemon sees it. Where views differ for a moment one may be missing.
 func (peers *Peers) Gateways() []Member {
 	own := peers.self.Centre
-	return cached(&peers.cache.gateways, own, func() []Member {
+	return cached(&peers.viewCache.gateways, own, func() []Member {
 		return peers.members(func(member Member) bool {
 			return member.Centre == own && peers.gatewayVMs[member.Incarnation.VM]
 		})
--- a/core/yuccapeer/leader.go
+++ b/core/yuccapeer/leader.go
@@ -17,7 +17,7 @@
 	if !peers.Settled() {
 		return Member{}, false
 	}
-	return cached(&peers.cache.leaders, pool, func() Member {
+	return cached(&peers.viewCache.leaders, pool, func() Member {
 		staying := peers.Live(peers.self.Centre)
 		if len(staying) == 0 {
 			staying = peers.members(func(member Member) bool {
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -28,7 +28,7 @@
 	// gatewayVMs are the VMs of this data centre that the plan has as gateways.
 	gatewayVMs      map[yuccaid.VM]bool
 	dialPlanStale   bool
-	cache           viewCache
+	viewCache       viewCache
 	dialPlanSettled bool
 	gatewayLinks    map[yuccaid.Centre]*gatewayLink
 	lastTick        time.Time
@@ -114,12 +114,12 @@
 // greets it. The member joins the view with its own first heartbeat. One that names
 // this daemon's own VM is its predecessor, or its successor, and counts for nothing.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
-	_, gone := peers.departed[member.Incarnation]
-	if gone || member.VM == peers.self.Incarnation.VM {
+	_, departed := peers.departed[member.Incarnation]
+	if departed || member.VM == peers.self.Incarnation.VM {
 		return Change{}
 	}
 	peers.connected[member.Incarnation] = member
-	return Change{Messages: []Message{peers.heartbeatTo(member.Incarnation)}}
+	return Change{Messages: []Message{peers.fullHeartbeat(member.Incarnation)}}
 }
 
 // HandleDisconnect notes that the last connection to an incarnation is gone. The member stays in
@@ -171,13 +171,13 @@
 	var change Change
 	other := peers.accept(now, from, pulse.Sequence, &change)
 	if pulse.RequestHeartbeat && peers.isConnected(from) {
-		change.Messages = append(change.Messages, peers.heartbeatTo(from))
+		change.Messages = append(change.Messages, peers.fullHeartbeat(from))
 	}
 	if other == nil {
 		return change
 	}
 	if !other.inView || other.version != pulse.Version {
-		change.Messages = append(change.Messages, peers.pulseTo(from, true))
+		change.Messages = append(change.Messages, peers.pulse(from, true))
 	}
 	return change
 }
@@ -225,7 +225,7 @@
 //
 // The list is the callers' to read, not to change: all get the same one.
 func (peers *Peers) Live(centre yuccaid.Centre) []Member {
-	return cached(&peers.cache.live, centre, func() []Member {
+	return cached(&peers.viewCache.live, centre, func() []Member {
 		return peers.members(func(member Member) bool {
 			return member.Centre == centre && !member.Leaving
 		})
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -16,7 +16,7 @@
 // they would take turns; so the one that holds a connection stays, unless the platform's
 // list names the other's address.
 func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
-	if _, gone := peers.departed[inc]; gone || !peers.isConnected(inc) {
+	if _, departed := peers.departed[inc]; departed || !peers.isConnected(inc) {
 		return nil
 	}
 	other := peers.peers[inc.VM]
@@ -40,16 +40,16 @@
 
 // update takes over what a whole heartbeat says.
 func (peers *Peers) update(other *peer, beat Heartbeat, change *Change) {
-	before, known := other.member, other.inView
+	before, inView := other.member, other.inView
 	after := beat.member()
 	other.member = after
 	other.version = beat.Version
 	other.config = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
 	other.inView = true
-	if known && before == after {
+	if inView && before == after {
 		return
 	}
-	if known {
+	if inView {
 		change.Removed = append(change.Removed, before)
 	}
 	change.Joined = append(change.Joined, after)
@@ -122,8 +122,8 @@
 			peers.invalidate()
 		}
 	}
-	for inc, until := range peers.departed {
-		if !now.Before(until) {
+	for inc, expires := range peers.departed {
+		if !now.Before(expires) {
 			delete(peers.departed, inc)
 		}
 	}
@@ -134,12 +134,12 @@
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.peers {
-		source := other.config
-		higher := source.Number > best.Number
-		earlier := source.Number == best.Number && source.Number > peers.self.Number &&
-			source.Peer.String() < best.Peer.String()
+		config := other.config
+		higher := config.Number > best.Number
+		earlier := config.Number == best.Number && config.Number > peers.self.Number &&
+			config.Peer.String() < best.Peer.String()
 		if other.inView && (higher || earlier) {
-			best = source
+			best = config
 		}
 	}
 	if best.Peer.IsZero() {
