--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -15,7 +15,7 @@
 // receivedListing is a candidate that a peer told of.
 type receivedListing struct {
 	Listing
-	expires time.Time
+	forgetAt time.Time
 }
 
 // SetListings replaces what the platform's list says. The list only names candidates: it
@@ -48,7 +48,7 @@
 			peers.invalidate()
 		}
 		if len(peers.received) < maxReceivedListings {
-			peers.received[listing.VM] = receivedListing{Listing: listing, expires: now.Add(peers.timing.ForgetAfter)}
+			peers.received[listing.VM] = receivedListing{Listing: listing, forgetAt: now.Add(peers.timing.ForgetAfter)}
 		}
 	}
 }
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -117,13 +117,13 @@
 		}
 	}
 	for vm, heard := range peers.received {
-		if !now.Before(heard.expires) {
+		if !now.Before(heard.forgetAt) {
 			delete(peers.received, vm)
 			peers.invalidate()
 		}
 	}
-	for inc, expires := range peers.departed {
-		if !now.Before(expires) {
+	for inc, forgetAt := range peers.departed {
+		if !now.Before(forgetAt) {
 			delete(peers.departed, inc)
 		}
 	}
