--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -8,7 +8,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// heartbeatsToAll raises the version and returns the whole heartbeat for everybody.
+// heartbeatsToAll increments the version and returns a full heartbeat for each connected
+// peer.
 func (peers *Peers) heartbeatsToAll(now time.Time) []Message {
 	peers.self.Version++
 	peers.self.Sequence++
@@ -19,8 +20,8 @@
 	})
 }
 
-// pulsesToAll is the round that says we are alive; it asks those for their whole heartbeat
-// whom we don't know, or no longer since a pause.
+// pulsesToAll returns a pulse for each connected peer. The pulse requests a full heartbeat
+// from each peer that isn't in the view.
 func (peers *Peers) pulsesToAll(now time.Time) []Message {
 	peers.self.Sequence++
 	peers.lastHeartbeats = now
@@ -29,36 +30,39 @@
 	})
 }
 
-// fullHeartbeat is the heartbeat for one peer that lacks it.
+// fullHeartbeat returns a full heartbeat for one peer.
 func (peers *Peers) fullHeartbeat(to yuccaid.Incarnation) Message {
 	peers.self.Sequence++
 	fullHeartbeat := peers.Heartbeat()
 	return Message{To: to, Heartbeat: &fullHeartbeat}
 }
 
-// pulse is a pulse for one peer out of turn.
-func (peers *Peers) pulse(to yuccaid.Incarnation, ask bool) Message {
+// pulse returns a pulse for one peer, sent between two rounds of pulsesToAll.
+func (peers *Peers) pulse(to yuccaid.Incarnation, requestHeartbeat bool) Message {
 	peers.self.Sequence++
-	return Message{To: to, Pulse: peers.newPulse(ask)}
+	return Message{To: to, Pulse: peers.newPulse(requestHeartbeat)}
 }
 
-func (peers *Peers) newPulse(ask bool) Pulse {
-	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, RequestHeartbeat: ask}
+// newPulse returns a pulse with the current sequence number and version.
+func (peers *Peers) newPulse(requestHeartbeat bool) Pulse {
+	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, RequestHeartbeat: requestHeartbeat}
 }
 
+// isInView reports whether an incarnation is in the view.
 func (peers *Peers) isInView(inc yuccaid.Incarnation) bool {
 	other := peers.peers[inc.VM]
 	return other != nil && other.inView && other.member.Incarnation == inc
 }
 
-// messagesToAll makes one beat for each connected peer, in the order of their names.
-func (peers *Peers) messagesToAll(beat func(yuccaid.Incarnation) Message) []Message {
-	beats := make([]Message, 0, len(peers.connected))
+// messagesToAll calls newMessage for each connected peer and returns the messages in the
+// order of the peers' names.
+func (peers *Peers) messagesToAll(newMessage func(yuccaid.Incarnation) Message) []Message {
+	messages := make([]Message, 0, len(peers.connected))
 	for inc := range peers.connected {
-		beats = append(beats, beat(inc))
+		messages = append(messages, newMessage(inc))
 	}
-	slices.SortFunc(beats, func(a, b Message) int {
+	slices.SortFunc(messages, func(a, b Message) int {
 		return strings.Compare(a.To.String(), b.To.String())
 	})
-	return beats
+	return messages
 }
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -9,18 +9,19 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// maxReceivedListings bounds what peers may tell of candidates: ten times the VMs of a large fleet.
+// maxReceivedListings bounds the candidates received from peers. It is ten times the
+// number of VMs of a large fleet.
 const maxReceivedListings = 4096
 
-// receivedListing is a candidate that a peer told of.
+// receivedListing is a candidate received from a peer, which is forgotten at forgetAt.
 type receivedListing struct {
 	Listing
 	forgetAt time.Time
 }
 
-// SetListings replaces what the platform's list says. The list only names candidates: it
-// lags, by a different time on each daemon, so a view that took members from it would
-// differ from the others' for as long.
+// SetListings replaces the platform's list of VMs and deletes the candidates received from
+// peers. The list only names candidates. It lags behind by a different time on each daemon,
+// so if members were taken from it, the views of two daemons would differ for as long.
 func (peers *Peers) SetListings(_ time.Time, listings []Listing) {
 	peers.invalidate()
 	clear(peers.listed)
@@ -31,14 +32,16 @@
 	}
 }
 
-// ListedLeaving reports whether the platform says that this daemon's own VM is leaving.
-// The daemon that calls Leave then tells the others itself, so that all agree on it.
+// ListedLeaving reports whether the platform's list has this daemon's own VM as leaving.
+// The caller then calls Leave, so that this daemon's heartbeats report it and all views
+// agree on it.
 func (peers *Peers) ListedLeaving() bool {
 	return peers.listed[peers.self.Incarnation.VM].Leaving
 }
 
-// AddListings adds candidates that a peer knows, for a daemon that can't read the platform's
-// list. They are forgotten after Remember, since nobody says when such a VM is gone.
+// AddListings adds candidates received from a peer. It has no effect once this daemon has
+// read the platform's list. The candidates are forgotten after ForgetAfter, because no
+// message reports that such a VM has been removed.
 func (peers *Peers) AddListings(now time.Time, listings []Listing) {
 	if !peers.self.Unlisted {
 		return
@@ -53,41 +56,42 @@
 	}
 }
 
-// Roster returns every candidate this daemon knows, itself included, for a peer that
-// can't read the platform's list.
+// Roster returns all candidates that this daemon knows, itself included, in the order of
+// their VMs' names. It is sent to peers that can't read the platform's list.
 func (peers *Peers) Roster() []Listing {
 	return slices.SortedFunc(maps.Values(peers.candidates()), compareListings)
 }
 
-// rosterSenders is how many daemons of a data centre send their roster to one that knows most
-// of what they do.
+// rosterSenders is how many daemons of a data centre send their roster to a peer that already
+// knows at least half of their candidates.
 const rosterSenders = 8
 
-// sendsRosterTo reports whether this daemon sends its roster to an unlisted peer.
+// sendsRosterTo reports whether this daemon sends its roster to the sender of a heartbeat,
+// which hasn't read the platform's list.
 //
-// In a fleet of three hundred each newcomer got a hundred rosters of three hundred names, more
-// than everything else that is told. One that knows little gets the roster of whoever meets
-// it. Later ones differ in what came about meanwhile: for that the rosters of a few are
-// enough, and those of the seeds, whom everybody asks, so that no two daemons that start
-// together miss each other.
-func (peers *Peers) sendsRosterTo(beat *Heartbeat) bool {
+// If all daemons sent theirs, each new daemon in a fleet of 300 would get 100 rosters of 300
+// names, more traffic than all other messages. A daemon that knows less than half of the
+// candidates gets the roster of each daemon that it connects to. Later rosters only add what
+// has changed meanwhile, so rosterSenders of them are enough, plus those of the seeds. All
+// daemons dial the seeds, so two daemons that start together always learn of each other.
+func (peers *Peers) sendsRosterTo(heartbeat *Heartbeat) bool {
 	own := peers.self.Centre
-	if beat.Centre != own || 2*beat.Knows < peers.candidateCount(own) || slices.Contains(peers.seeds, peers.self.Address) {
+	if heartbeat.Centre != own || 2*heartbeat.Knows < peers.candidateCount(own) || slices.Contains(peers.seeds, peers.self.Address) {
 		return true
 	}
-	topic := "roster for " + string(beat.Incarnation.VM)
-	mine := hashWeight(topic, string(peers.self.Incarnation.VM))
-	better := 0
+	topic := "roster for " + string(heartbeat.Incarnation.VM)
+	ownWeight := hashWeight(topic, string(peers.self.Incarnation.VM))
+	heavier := 0
 	for _, member := range peers.Live(own) {
-		if member.VM != beat.Incarnation.VM && hashWeight(topic, string(member.VM)) > mine {
-			better++
+		if member.VM != heartbeat.Incarnation.VM && hashWeight(topic, string(member.VM)) > ownWeight {
+			heavier++
 		}
 	}
-	return better < rosterSenders
+	return heavier < rosterSenders
 }
 
-// Candidates returns the VMs of a data centre that may run a daemon, live or not, in
-// the order of their names. The list is the callers' to read, not to change.
+// Candidates returns the VMs of a data centre that may run a daemon, live or not, in the
+// order of their names. The slice is shared between callers and must not be modified.
 func (peers *Peers) Candidates(centre yuccaid.Centre) []Listing {
 	return cached(&peers.viewCache.candidates, centre, func() []Listing {
 		return slices.DeleteFunc(peers.Roster(), func(listing Listing) bool {
@@ -96,8 +100,8 @@
 	})
 }
 
-// candidateCount is how many candidates a data centre has. Each greeting tells it, so it is counted
-// without the sorted list.
+// candidateCount returns the number of a data centre's candidates. Each full heartbeat
+// contains it, so it is counted without building the sorted list.
 func (peers *Peers) candidateCount(centre yuccaid.Centre) int {
 	return cached(&peers.viewCache.candidateCount, centre, func() int {
 		count := 0
@@ -110,11 +114,12 @@
 	})
 }
 
-// candidates joins the platform's list, what peers told, and who is heard.
+// candidates merges the platform's list, the listings received from peers and the members
+// in the view. A later one of these replaces an earlier one of the same VM.
 func (peers *Peers) candidates() map[yuccaid.VM]Listing {
 	all := maps.Clone(peers.listed)
-	for vm, heard := range peers.received {
-		all[vm] = heard.Listing
+	for vm, recv := range peers.received {
+		all[vm] = recv.Listing
 	}
 	for vm, other := range peers.peers {
 		if other.inView {
@@ -125,10 +130,12 @@
 	return all
 }
 
+// listingOf returns a member without its incarnation.
 func listingOf(member Member) Listing {
 	return Listing{VM: member.VM, Centre: member.Centre, Address: member.Address, Leaving: member.Leaving}
 }
 
+// member returns the listing as a member of unknown incarnation.
 func (listing Listing) member() Member {
 	return Member{VM: listing.VM, Centre: listing.Centre, Address: listing.Address, Leaving: listing.Leaving}
 }
--- a/core/yuccapeer/change.go
+++ b/core/yuccapeer/change.go
@@ -6,33 +6,34 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Change is what one event did to the view, and what has to be sent for it.
+// Change is how one event changed the view, and what the caller has to send because of it.
 type Change struct {
-	// Joined and Removed are the members that came into and went out of the view. One
-	// that was replaced or changed its address stands in both.
+	// Joined and Removed are the members that were added to and removed from the view. A
+	// member that was replaced, or whose fields changed, is in both.
 	Joined, Removed []Member
-	// Resumed says that this process was paused for about Slept: the view, and all
-	// that rests on it, expired before anything else was done.
+	// Resumed is set if this process was paused, for about PausedFor. The whole view has
+	// expired, and with it everything that depends on the view.
 	Resumed   bool
 	PausedFor time.Duration
-	// NewerConfig is the peer with the highest configuration number above our own.
+	// NewerConfig is the result of Peers.NewerConfig.
 	NewerConfig PeerConfig
-	// Diverged are peers with our configuration number and another digest.
+	// Diverged are the configurations with this daemon's number and another digest.
 	Diverged []PeerConfig
-	// RosterRecipients are peers that can't read the platform's list and need ours.
+	// RosterRecipients are the peers that this daemon's Roster has to be sent to, because
+	// they can't read the platform's list.
 	RosterRecipients []yuccaid.Incarnation
-	// Messages are the heartbeats to send now.
+	// Messages are the heartbeats and pulses to send now.
 	Messages []Message
 }
 
-// PeerConfig is a peer's accepted configuration as its heartbeat told it.
+// PeerConfig is the configuration that a peer has accepted, as its heartbeat reports it.
 type PeerConfig struct {
 	Peer   yuccaid.Incarnation
 	Number yuccaid.ConfigNumber
 	Digest yuccaid.Digest
 }
 
-// Message is one message to one peer: the whole heartbeat, or the pulse if it is nil.
+// Message is one message to one peer: Heartbeat, or Pulse if Heartbeat is nil.
 type Message struct {
 	To        yuccaid.Incarnation
 	Heartbeat *Heartbeat
--- a/core/yuccapeer/derived.go
+++ b/core/yuccapeer/derived.go
@@ -2,15 +2,15 @@
 
 import "yuccacleat/core/yuccaid"
 
-// maxCachedPerKind bounds what is kept of each kind. Pools are named by requests too, so a daemon
-// that is asked for many that don't exist must not remember them all.
+// maxCachedPerKind bounds the entries of each map of a viewCache. Pools are also named by
+// requests, so requests for many pools that don't exist must not fill the memory.
 const maxCachedPerKind = 1024
 
-// viewCache keeps what was worked out from the view until the view changes.
+// viewCache holds results computed from the view until the view changes.
 //
-// A daemon asks who is live and who leads many times in each turn of its control loop and
-// for each request. Sorted and hashed anew each time, that took a daemon of a fleet of 400
-// more processor time than all its messages.
+// A daemon needs the live members and the leaders many times in each turn of its control
+// loop and for each request. If they were sorted and hashed each time, a daemon in a fleet of
+// 400 would spend more processor time on that than on all its messages.
 type viewCache struct {
 	live           map[yuccaid.Centre][]Member
 	candidates     map[yuccaid.Centre][]Listing
@@ -19,22 +19,22 @@
 	gateways       map[yuccaid.Centre][]Member
 }
 
-// invalidate notes that the view, or who might be in it, is no longer what it was. Whoever
-// changes one of these calls it.
+// invalidate clears the cache and marks the dial plan as stale. It must be called after
+// each change of the view or of the candidates.
 func (peers *Peers) invalidate() {
 	peers.dialPlanStale = true
 	peers.viewCache = viewCache{}
 }
 
-// cached returns what is kept under a key, or works it out.
-func cached[K comparable, V any](kept *map[K]V, key K, work func() V) V {
-	if value, found := (*kept)[key]; found {
+// cached returns the cached value of a key, or computes and caches it.
+func cached[K comparable, V any](values *map[K]V, key K, compute func() V) V {
+	if value, found := (*values)[key]; found {
 		return value
 	}
-	value := work()
-	if *kept == nil || len(*kept) >= maxCachedPerKind {
-		*kept = make(map[K]V)
+	value := compute()
+	if *values == nil || len(*values) >= maxCachedPerKind {
+		*values = make(map[K]V)
 	}
-	(*kept)[key] = value
+	(*values)[key] = value
 	return value
 }
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -9,29 +9,33 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// gatewayLink is the VM of another data centre that this daemon wants a connection to.
+// gatewayLink is the VM of another data centre to which this daemon, as a gateway, keeps or
+// tries to make a connection.
 type gatewayLink struct {
-	vm    yuccaid.VM
+	vm yuccaid.VM
+	// since is when the connection was last up, or when this daemon began to dial the VM.
 	since time.Time
-	// tried are VMs that did not answer in time; they come last.
+	// tried are the VMs that could not be reached within GatewayConnectTimeout. They are
+	// dialled again once all VMs of the data centre have been tried.
 	tried map[yuccaid.VM]bool
 }
 
-// Dial returns the addresses that this daemon wants control connections to: all of
-// its own data centre, and of each other data centre one, if it is a gateway there.
+// Dial returns the addresses that this daemon must have a control connection to: those of
+// all candidates of its own data centre, one in each data centre that it is a gateway to,
+// and the seeds that are still to be dialled.
 func (peers *Peers) Dial() []string {
 	candidates := peers.candidates()
 	addresses := make(map[string]bool)
 	for vm, listing := range candidates {
 		if listing.Centre == peers.self.Centre {
 			addresses[listing.Address] = true
-			// Where the list names another address, a replaced process may have been
-			// heard at the one we know, and its successor waits at the other.
+			// If the list has another address, the candidate's may be that of a replaced
+			// process, while its successor listens at the address in the list.
 			addresses[peers.listed[vm].Address] = true
 		}
 	}
-	for _, wanted := range peers.gatewayLinks {
-		addresses[candidates[wanted.vm].Address] = true
+	for _, link := range peers.gatewayLinks {
+		addresses[candidates[link.vm].Address] = true
 	}
 	for _, seed := range peers.unknownSeeds(candidates) {
 		addresses[seed] = true
@@ -41,30 +45,35 @@
 	return slices.Sorted(maps.Keys(addresses))
 }
 
-// unknownSeeds returns the seeds that nobody has named as a daemon's address, as long as there
-// is no list. They lead to the daemons of other data centres too: a data centre whose
-// daemons stopped at the first of their own would never learn that there are others. Seeds
-// that were always dialled would end up with a connection from every daemon.
+// unknownSeeds returns the seeds that aren't the address of any candidate, until the
+// platform's list has been read.
+//
+// Seeds are dialled even when a candidate of this data centre is known, because they also
+// lead to other data centres: if daemons stopped dialling after the first daemon of their
+// own, data centres would never learn of one another. Seeds that are candidates are left
+// out, because otherwise each seed would have a connection from every daemon.
 func (peers *Peers) unknownSeeds(candidates map[yuccaid.VM]Listing) []string {
 	if !peers.self.Unlisted {
 		return nil
 	}
-	met := make(map[string]bool, len(candidates))
+	known := make(map[string]bool, len(candidates))
 	for _, listing := range candidates {
-		met[listing.Address] = true
+		known[listing.Address] = true
 	}
-	return slices.DeleteFunc(slices.Clone(peers.seeds), func(seed string) bool { return met[seed] })
+	return slices.DeleteFunc(slices.Clone(peers.seeds), func(seed string) bool { return known[seed] })
 }
 
-// isConnectedToVM reports whether this daemon has a connection to the one on a VM.
+// isConnectedToVM reports whether the daemon on a VM is in the view and connected to this
+// daemon.
 func (peers *Peers) isConnectedToVM(vm yuccaid.VM) bool {
 	other := peers.peers[vm]
 	return other != nil && other.inView && peers.isConnected(other.member.Incarnation)
 }
 
-// updateGatewayLinks decides anew which other data centres this daemon is a gateway to. The
-// plan is made only when the candidates or the view have changed: with 400 VMs it takes
-// half a millisecond, and small VMs have better to do at each heartbeat.
+// updateGatewayLinks updates which other data centres this daemon is a gateway to, and the VM
+// that it dials in each. The dial plan is only made again when the candidates or the view
+// have changed, because with 400 VMs that takes half a millisecond, too much for a small VM
+// to spend at each heartbeat.
 func (peers *Peers) updateGatewayLinks(now time.Time) {
 	if settled := peers.Settled(); peers.dialPlan == nil || peers.dialPlanStale || peers.dialPlanSettled != settled {
 		peers.dialPlan = peers.makeDialPlan()
@@ -80,7 +89,7 @@
 }
 
 // makeDialPlan returns, for each data centre that this daemon is a gateway to, the VMs there
-// in the order in which they should be dialled.
+// in the order in which they should be dialled. It also sets gatewayVMs.
 func (peers *Peers) makeDialPlan() map[yuccaid.Centre][]yuccaid.VM {
 	byCentre := make(map[yuccaid.Centre][]yuccaid.VM)
 	for vm, listing := range peers.candidates() {
@@ -90,7 +99,8 @@
 	}
 	own := peers.self.Centre
 	if peers.Settled() {
-		// Before that this daemon sees only itself and would dial everywhere.
+		// Until it has settled, the view may hold this daemon alone, which would make it a
+		// gateway to every data centre, so the candidates are used.
 		byCentre[own] = vmsOf(peers.Live(own))
 	}
 	plan := make(map[yuccaid.Centre][]yuccaid.VM)
@@ -100,15 +110,15 @@
 		for _, vm := range gateways {
 			peers.gatewayVMs[vm] = true
 		}
-		if slot := slices.Index(gateways, peers.self.Incarnation.VM); slot >= 0 {
-			plan[centre] = peers.dialOrder(byCentre, centre, slot)
+		if index := slices.Index(gateways, peers.self.Incarnation.VM); index >= 0 {
+			plan[centre] = peers.dialOrder(byCentre, centre, index)
 		}
 	}
 	return plan
 }
 
-// Gateways returns the live daemons of this data centre that hold the connections to the
-// others, as this daemon sees it. Where views differ for a moment one may be missing.
+// Gateways returns the live daemons of this data centre that hold the connections to other
+// data centres, according to this daemon's view. While views differ one may be missing.
 func (peers *Peers) Gateways() []Member {
 	own := peers.self.Centre
 	return cached(&peers.viewCache.gateways, own, func() []Member {
@@ -118,12 +128,12 @@
 	})
 }
 
-// assignGateways returns a data centre's gateways to each of the others.
+// assignGateways returns a data centre's gateways to each other data centre.
 //
-// Rendezvous hashing makes the choice alike everywhere and keeps it when others come
-// and go. It alone would give some daemons several times the links of others, and each
-// link costs heartbeats; so nobody is picked more often than an even share, as long as
-// others are left.
+// With rendezvous hashing all daemons make the same choice, and it stays the same when
+// other daemons join or leave. Hashing alone would give some daemons several times the
+// links of others, and each link costs heartbeats. So a daemon with an even share of the
+// links is only picked when all have theirs.
 func (peers *Peers) assignGateways(byCentre map[yuccaid.Centre][]yuccaid.VM, from yuccaid.Centre) map[yuccaid.Centre][]yuccaid.VM {
 	vms := byCentre[from]
 	others := slices.DeleteFunc(slices.Sorted(maps.Keys(byCentre)), func(centre yuccaid.Centre) bool {
@@ -133,76 +143,79 @@
 	if len(vms) == 0 {
 		return assigned
 	}
-	share := (peers.gatewayCount*len(others) + len(vms) - 1) / len(vms)
-	load := make(map[yuccaid.VM]int, len(vms))
+	evenShare := (peers.gatewayCount*len(others) + len(vms) - 1) / len(vms)
+	links := make(map[yuccaid.VM]int, len(vms))
 	for _, centre := range others {
 		ranked := sortByHash(vms, "gateway to "+string(centre))
 		slices.SortStableFunc(ranked, func(a, b yuccaid.VM) int {
-			return cmp.Compare(max(load[a]+1, share), max(load[b]+1, share))
+			return cmp.Compare(max(links[a]+1, evenShare), max(links[b]+1, evenShare))
 		})
 		picked := ranked[:min(peers.gatewayCount, len(ranked))]
 		for _, vm := range picked {
-			load[vm]++
+			links[vm]++
 		}
 		assigned[centre] = picked
 	}
 	return assigned
 }
 
-// dialOrder orders another data centre's VMs by who should be dialled first from a
-// slot: the gateway that it has in the same slot, which then dials the same way and
-// shares the connection, then its other gateways, then all.
-func (peers *Peers) dialOrder(byCentre map[yuccaid.Centre][]yuccaid.VM, centre yuccaid.Centre, slot int) []yuccaid.VM {
-	theirs := slices.Clone(peers.assignGateways(byCentre, centre)[peers.self.Centre])
-	if slot < len(theirs) {
-		theirs[0], theirs[slot] = theirs[slot], theirs[0]
+// dialOrder returns another data centre's VMs in the order in which this daemon dials them,
+// given its index among this data centre's gateways. The other data centre's gateway with
+// the same index comes first: it dials this daemon too, so both need only one connection.
+// Then come its other gateways, then all other VMs.
+func (peers *Peers) dialOrder(byCentre map[yuccaid.Centre][]yuccaid.VM, centre yuccaid.Centre, index int) []yuccaid.VM {
+	order := slices.Clone(peers.assignGateways(byCentre, centre)[peers.self.Centre])
+	if index < len(order) {
+		order[0], order[index] = order[index], order[0]
 	}
 	for _, vm := range sortByHash(byCentre[centre], "gateway to "+string(peers.self.Centre)) {
-		if !slices.Contains(theirs, vm) {
-			theirs = append(theirs, vm)
+		if !slices.Contains(order, vm) {
+			order = append(order, vm)
 		}
 	}
-	return theirs
+	return order
 }
 
-// updateGatewayLink keeps the wish for a VM of another data centre while it answers, and else moves
-// on to the next that was not tried yet.
+// updateGatewayLink keeps the VM that is dialled in another data centre while it is connected
+// or within GatewayConnectTimeout, and otherwise switches to the next VM of the order that
+// wasn't tried yet.
 func (peers *Peers) updateGatewayLink(now time.Time, centre yuccaid.Centre, order []yuccaid.VM) {
-	wanted := peers.gatewayLinks[centre]
-	if wanted == nil {
-		wanted = &gatewayLink{tried: make(map[yuccaid.VM]bool)}
-		peers.gatewayLinks[centre] = wanted
-	}
-	if slices.Contains(order, wanted.vm) {
-		if peers.isConnectedToVM(wanted.vm) {
-			wanted.since = now
-			clear(wanted.tried)
+	link := peers.gatewayLinks[centre]
+	if link == nil {
+		link = &gatewayLink{tried: make(map[yuccaid.VM]bool)}
+		peers.gatewayLinks[centre] = link
+	}
+	if slices.Contains(order, link.vm) {
+		if peers.isConnectedToVM(link.vm) {
+			link.since = now
+			clear(link.tried)
 			return
 		}
-		if now.Sub(wanted.since) < peers.timing.GatewayConnectTimeout {
+		if now.Sub(link.since) < peers.timing.GatewayConnectTimeout {
 			return
 		}
 	}
-	wanted.tried[wanted.vm] = true
-	wanted.vm = wanted.nextVM(order)
-	wanted.since = now
+	link.tried[link.vm] = true
+	link.vm = link.nextVM(order)
+	link.since = now
 }
 
-// nextVM returns the first VM that was not tried, and begins again when all were.
-func (wanted *gatewayLink) nextVM(order []yuccaid.VM) yuccaid.VM {
+// nextVM returns the first VM that wasn't tried. Once all were, it starts again at the
+// first.
+func (link *gatewayLink) nextVM(order []yuccaid.VM) yuccaid.VM {
 	for _, vm := range order {
-		if !wanted.tried[vm] {
+		if !link.tried[vm] {
 			return vm
 		}
 	}
-	clear(wanted.tried)
+	clear(link.tried)
 	if len(order) == 0 {
 		return ""
 	}
 	return order[0]
 }
 
-// sortByHash sorts VMs by their weight for the topic, the greatest first.
+// sortByHash returns the VMs sorted by their hash weight for the topic, the greatest first.
 func sortByHash(vms []yuccaid.VM, topic string) []yuccaid.VM {
 	weights := make(map[yuccaid.VM]uint64, len(vms))
 	for _, vm := range vms {
@@ -213,6 +226,7 @@
 	})
 }
 
+// vmsOf returns the VMs of members.
 func vmsOf(members []Member) []yuccaid.VM {
 	vms := make([]yuccaid.VM, 0, len(members))
 	for _, member := range members {
--- a/core/yuccapeer/guess.go
+++ b/core/yuccapeer/guess.go
@@ -3,8 +3,9 @@
 import "yuccacleat/core/yuccaid"
 
 // LikelyLeader returns the daemon of another data centre that most likely leads a pool
-// there, for which only the candidates are known; whoever is asked wrongly names the
-// leader that it sees.
+// there, and false if that data centre has no candidate. It chooses among candidates,
+// because this daemon doesn't know which daemons are live there. A daemon that gets a
+// request but doesn't lead the pool replies with the leader in its own view.
 func (peers *Peers) LikelyLeader(centre yuccaid.Centre, pool yuccaid.Pool) (Member, bool) {
 	var candidates []Member
 	for _, listing := range peers.Candidates(centre) {
--- a/core/yuccapeer/leader.go
+++ b/core/yuccapeer/leader.go
@@ -7,12 +7,12 @@
 )
 
 // Leader returns the member of this daemon's data centre that leads a pool, and false
-// while this daemon hasn't settled.
+// until this daemon has settled.
 //
-// Rendezvous hashing over the live members gives every daemon with the same view the
-// same leader without a message, and moves only the pools of the member that came or
-// went. Leaving members lead only when no other is left: a data centre that drains as
-// a whole still has to end what waits.
+// Rendezvous hashing over the live members gives every daemon with the same view the same
+// leader without any message. When a member joins or leaves, only the pools that it gains
+// or loses change their leader. Leaving members lead only if there is no other member,
+// because a data centre of which all daemons leave must still process its queued requests.
 func (peers *Peers) Leader(pool yuccaid.Pool) (Member, bool) {
 	if !peers.Settled() {
 		return Member{}, false
@@ -28,7 +28,7 @@
 	}), true
 }
 
-// highestWeight returns the member with the greatest weight for the topic.
+// highestWeight returns the member whose VM has the greatest hash weight for the topic.
 func highestWeight(members []Member, topic string) Member {
 	var best Member
 	var top uint64
@@ -40,7 +40,8 @@
 	return best
 }
 
-// hashWeight hashes a topic and a name; the zero byte stands in neither.
+// hashWeight returns the rendezvous hash of a topic and a name. The zero byte separates
+// them, because neither contains one.
 func hashWeight(topic, name string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -10,7 +10,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Member is one daemon as others know it.
+// Member is one daemon of the fleet.
 type Member struct {
 	VM          yuccaid.VM          `json:"vm"`
 	Centre      yuccaid.Centre      `json:"centre"`
@@ -19,8 +19,8 @@
 	Leaving     bool                `json:"leaving"`
 }
 
-// Listing is one VM of the platform's list. VM and Centre are empty for an address
-// that is known from the settings alone.
+// Listing is one VM of the platform's list. VM and Centre are empty if only the address is
+// known, from the settings.
 type Listing struct {
 	VM      yuccaid.VM     `msgpack:"vm"`
 	Centre  yuccaid.Centre `msgpack:"centre"`
@@ -28,7 +28,7 @@
 	Leaving bool           `msgpack:"leaving"`
 }
 
-// Heartbeat is all that a daemon tells the others about itself.
+// Heartbeat is the full state that a daemon reports to the others.
 type Heartbeat struct {
 	Incarnation yuccaid.Incarnation  `msgpack:"incarnation"`
 	Centre      yuccaid.Centre       `msgpack:"centre"`
@@ -38,25 +38,26 @@
 	Leaving     bool                 `msgpack:"leaving"`
 	Sequence    uint64               `msgpack:"sequence"`
 	Version     uint64               `msgpack:"version"`
-	// Unlisted says that the sender has no list from the platform yet, and Knows how many
-	// daemons of its data centre it has heard of meanwhile, itself included.
+	// Unlisted is set until the sender has read the platform's list. Knows is the number of
+	// candidates in its data centre that it knows, itself included.
 	Unlisted bool `msgpack:"unlisted"`
 	Knows    int  `msgpack:"knows"`
 }
 
-// Pulse is a heartbeat that says nothing has changed since the whole one of that
-// version; Ask wants the receiver's whole one back.
+// Pulse is a short heartbeat, which reports that nothing has changed since the full
+// heartbeat of the given version. If RequestHeartbeat is set, the receiver replies with its
+// own full heartbeat.
 type Pulse struct {
 	Sequence         uint64
 	Version          uint64
 	RequestHeartbeat bool
 }
 
-// pulseFields is the length of a pulse's array.
+// pulseFields is the number of elements in an encoded pulse.
 const pulseFields = 3
 
-// EncodeMsgpack writes an array without keys: a pulse is sent hundreds of times more
-// often than a whole heartbeat, and keys would make up most of it.
+// EncodeMsgpack writes an array without keys, because a pulse is sent hundreds of times more
+// often than a full heartbeat and keys would be most of its length.
 func (pulse Pulse) EncodeMsgpack(enc *msgpack.Encoder) error {
 	return errors.Join(
 		enc.EncodeArrayLen(pulseFields),
@@ -78,17 +79,18 @@
 	return dec.DecodeMulti(&pulse.Sequence, &pulse.Version, &pulse.RequestHeartbeat)
 }
 
-// member returns what the heartbeat says of its sender.
-func (beat Heartbeat) member() Member {
+// member returns the sender of the heartbeat.
+func (heartbeat Heartbeat) member() Member {
 	return Member{
-		VM:          beat.Incarnation.VM,
-		Centre:      beat.Centre,
-		Address:     beat.Address,
-		Incarnation: beat.Incarnation,
-		Leaving:     beat.Leaving,
+		VM:          heartbeat.Incarnation.VM,
+		Centre:      heartbeat.Centre,
+		Address:     heartbeat.Address,
+		Incarnation: heartbeat.Incarnation,
+		Leaving:     heartbeat.Leaving,
 	}
 }
 
+// compareMembers orders members by their VM's name, then by their nonce.
 func compareMembers(a, b Member) int {
 	return cmp.Or(cmp.Compare(a.VM, b.VM), cmp.Compare(a.Incarnation.Nonce, b.Incarnation.Nonce))
 }
--- a/core/yuccapeer/option.go
+++ b/core/yuccapeer/option.go
@@ -2,35 +2,40 @@
 
 import "time"
 
-// Timing holds the intervals of membership. They belong together: a view can't expire
-// faster than heartbeats come.
+// Timing holds the intervals of membership. They depend on each other: peers must not
+// expire faster than their heartbeats arrive.
 type Timing struct {
-	// HeartbeatEvery is how often each connected peer hears from us. At 1.5 s a
-	// daemon with 27 peers in its data centre and a few beyond stays under 3 KB/s
-	// with all headers counted; shorter would exceed it.
+	// HeartbeatEvery is how often this daemon sends a heartbeat or a pulse to each
+	// connected peer. At 1.5 s a daemon with 27 peers in its data centre and a few
+	// in others stays under 3 KB/s including all headers; a shorter interval would
+	// exceed that.
 	HeartbeatEvery time.Duration
 	// ExpireAfter is how long a peer stays live without a heartbeat: three may be
-	// lost or late. Shorter takes a short stall for a death and moves its pools
-	// for nothing; longer leaves a dead leader's queue standing.
+	// lost or late. If it is shorter, a brief stall counts as a death and the
+	// peer's pools change leaders needlessly; if it is longer, the queue of a dead
+	// leader waits longer for the next one.
 	ExpireAfter time.Duration
-	// DisconnectGrace replaces ExpireAfter once the peer's last connection broke: time
-	// to dial again, so that one cut connection moves no pool.
+	// DisconnectGrace replaces ExpireAfter once the last connection to a peer has
+	// broken. It is long enough to dial again, so that one broken connection
+	// doesn't change the leader of any pool.
 	DisconnectGrace time.Duration
-	// PauseLimit is the longest gap between two ticks, and the longest jump of the
-	// wall clock ahead of the monotonic one, that isn't taken for a pause.
+	// PauseLimit bounds the gap between two ticks, and the time that the wall clock
+	// gains on the monotonic one. Beyond it this process counts as paused.
 	PauseLimit time.Duration
-	// SettleFor is how long a daemon listens after a start or a pause before it
-	// names leaders: everybody alive has sent a heartbeat by then.
+	// SettleFor is how long a daemon receives heartbeats after a start or a pause
+	// before it names leaders: each live daemon has sent one by then.
 	SettleFor time.Duration
-	// ForgetAfter is how long an incarnation that left stays known, so that its late
-	// heartbeats, or the process itself waking up from a pause, don't bring it back.
+	// ForgetAfter is how long a replaced incarnation is remembered, so that late
+	// heartbeats of it, or its process when it resumes after a pause, don't add it
+	// to the view again. Listings from other daemons are kept as long.
 	ForgetAfter time.Duration
-	// GatewayConnectTimeout is how long a VM of another data centre may leave a wish for a
-	// connection unmet before the next one is wished for instead.
+	// GatewayConnectTimeout is how long a gateway tries to connect to a VM of
+	// another data centre before it tries the next one.
 	GatewayConnectTimeout time.Duration
 }
 
-// DefaultTiming returns the intervals that the cost test measures.
+// DefaultTiming returns the default intervals. TestHeartbeatsStayCheap checks what they
+// cost.
 func DefaultTiming() Timing {
 	return Timing{
 		HeartbeatEvery:        1500 * time.Millisecond,
@@ -43,25 +48,25 @@
 	}
 }
 
-// DefaultGateways is how many daemons of a data centre dial into each other one. Two,
-// so that news crosses while one of them is being replaced; each more is paid for by
-// volume between regions.
+// DefaultGateways is how many daemons of a data centre dial into each other data centre.
+// Two let updates through while one of them is being replaced; each further one adds to
+// the traffic between regions, which is paid for by volume.
 const DefaultGateways = 2
 
-// Option changes how Peers behaves.
+// Option sets an option of New.
 type Option func(*Peers)
 
-// WithTiming sets the intervals.
+// WithTiming replaces DefaultTiming.
 func WithTiming(timing Timing) Option {
 	return func(peers *Peers) { peers.timing = timing }
 }
 
-// WithGateways sets how many daemons of a data centre dial into each other one.
+// WithGateways sets how many daemons of a data centre dial into each other data centre.
 func WithGateways(count int) Option {
 	return func(peers *Peers) { peers.gatewayCount = count }
 }
 
-// WithSeeds gives addresses to dial while nothing else names a peer.
+// WithSeeds sets the addresses of daemons to dial until the platform's list is read.
 func WithSeeds(addresses ...string) Option {
 	return func(peers *Peers) { peers.seeds = addresses }
 }
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -7,50 +7,60 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Peers is one daemon's view of the others.
+// Peers is one daemon's view of the other daemons. It isn't safe for concurrent use.
 type Peers struct {
 	self         Heartbeat
 	timing       Timing
 	gatewayCount int
 	seeds        []string
 
-	listed    map[yuccaid.VM]Listing
-	received  map[yuccaid.VM]receivedListing
-	peers     map[yuccaid.VM]*peer
-	departed  map[yuccaid.Incarnation]time.Time
+	// listed is the platform's list.
+	listed map[yuccaid.VM]Listing
+	// received are the candidates received from peers, while there is no list.
+	received map[yuccaid.VM]receivedListing
+	// peers has the peer on each VM, in the view or not.
+	peers map[yuccaid.VM]*peer
+	// departed are the incarnations that were replaced, with when each is forgotten.
+	departed map[yuccaid.Incarnation]time.Time
+	// connected are the incarnations with a connection to this daemon.
 	connected map[yuccaid.Incarnation]Member
-	// rosterSent are the peers that got a roster on their present connection. One for each
-	// whole heartbeat would grow with the square of the daemons at every change.
+	// rosterSent are the peers that were sent a roster on their current connection. If one
+	// were sent for each full heartbeat, each change would cause as many rosters as the
+	// square of the number of daemons.
 	rosterSent map[yuccaid.Incarnation]bool
-	// dialPlan is who to dial in other data centres, stale that it has to be made anew,
-	// plannedSettled whether the view had settled when it was made.
+	// dialPlan has the VMs to dial in each data centre that this daemon is a gateway to, in
+	// order. It has to be made again if dialPlanStale is set, or if Settled no longer
+	// returns dialPlanSettled.
 	dialPlan map[yuccaid.Centre][]yuccaid.VM
-	// gatewayVMs are the VMs of this data centre that the plan has as gateways.
+	// gatewayVMs are the VMs of this data centre that are gateways according to the plan.
 	gatewayVMs      map[yuccaid.VM]bool
 	dialPlanStale   bool
 	viewCache       viewCache
 	dialPlanSettled bool
 	gatewayLinks    map[yuccaid.Centre]*gatewayLink
-	lastTick        time.Time
-	settledAt       time.Time
-	lastHeartbeats  time.Time
+	// lastTick is the time of the last Tick.
+	lastTick time.Time
+	// settledAt is when this daemon may name leaders.
+	settledAt time.Time
+	// lastHeartbeats is when heartbeats or pulses were last sent to all peers.
+	lastHeartbeats time.Time
 }
 
-// peer is the present incarnation on one VM.
+// peer is the current incarnation on one VM.
 type peer struct {
 	member   Member
 	config   PeerConfig
 	sequence uint64
 	version  uint64
-	// inView says that the peer is in the view: a whole heartbeat has come, and
-	// neither silence nor a pause of our own has ended it since. The rest stays
-	// when it ends, so that a late heartbeat is still seen to be late.
+	// inView is set by a full heartbeat, and reset when the peer's heartbeats are overdue
+	// or this process was paused. The other fields are kept then, so that a late message
+	// can still be recognised by its sequence number.
 	inView bool
-	// expires is when the peer goes out of the view unless it is heard again.
+	// expires is when the peer is removed from the view unless it sends a message.
 	expires time.Time
 }
 
-// New returns a view that holds only this daemon.
+// New returns a view that contains only this daemon.
 func New(self Member, options ...Option) *Peers {
 	peers := &Peers{
 		self: Heartbeat{
@@ -78,18 +88,18 @@
 	return peers
 }
 
-// Self returns this daemon as the others see it.
+// Self returns this daemon as a member.
 func (peers *Peers) Self() Member { return peers.self.member() }
 
-// Heartbeat returns what this daemon tells the others now.
+// Heartbeat returns this daemon's current full heartbeat.
 func (peers *Peers) Heartbeat() Heartbeat {
-	beat := peers.self
-	beat.Knows = peers.candidateCount(peers.self.Centre)
-	return beat
+	heartbeat := peers.self
+	heartbeat.Knows = peers.candidateCount(peers.self.Centre)
+	return heartbeat
 }
 
-// SetConfig notes the configuration that this daemon has accepted and returns the
-// heartbeats that tell the others.
+// SetConfig sets the configuration that this daemon has accepted and returns the
+// heartbeats that report it.
 func (peers *Peers) SetConfig(now time.Time, number yuccaid.ConfigNumber, digest yuccaid.Digest) Change {
 	if peers.self.Number == number && peers.self.Digest == digest {
 		return Change{}
@@ -99,8 +109,7 @@
 	return Change{Messages: peers.heartbeatsToAll(now), NewerConfig: peers.NewerConfig()}
 }
 
-// Leave notes that this daemon is leaving and returns the heartbeats that tell the
-// others.
+// Leave marks this daemon as leaving and returns the heartbeats that report it.
 func (peers *Peers) Leave(now time.Time) Change {
 	if peers.self.Leaving {
 		return Change{}
@@ -110,9 +119,9 @@
 	return Change{Messages: peers.heartbeatsToAll(now)}
 }
 
-// HandleConnect notes that a connection to the member is up and returns the heartbeat that
-// greets it. The member joins the view with its own first heartbeat. One that names
-// this daemon's own VM is its predecessor, or its successor, and counts for nothing.
+// HandleConnect records that a connection to the member is up and returns the full heartbeat
+// to send to it. The member joins the view with its own first heartbeat. A member on this
+// daemon's own VM, its predecessor or its successor, is ignored.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
 	_, departed := peers.departed[member.Incarnation]
 	if departed || member.VM == peers.self.Incarnation.VM {
@@ -122,8 +131,8 @@
 	return Change{Messages: []Message{peers.fullHeartbeat(member.Incarnation)}}
 }
 
-// HandleDisconnect notes that the last connection to an incarnation is gone. The member stays in
-// the view for LostGrace, for a broken connection alone is no death.
+// HandleDisconnect records that the last connection to an incarnation has closed. The member
+// stays in the view for DisconnectGrace, because its daemon may still be running.
 func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
 	delete(peers.connected, inc)
 	delete(peers.rosterSent, inc)
@@ -136,37 +145,37 @@
 	}
 }
 
-// HandleHeartbeat takes a whole heartbeat. One that came on no connection of its sender's counts
-// for nothing: Linked comes before it and Lost after.
-func (peers *Peers) HandleHeartbeat(now time.Time, beat Heartbeat) Change {
+// HandleHeartbeat applies a full heartbeat. It is ignored if its sender isn't connected, that
+// is, unless HandleConnect was called for the sender and HandleDisconnect wasn't since.
+func (peers *Peers) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Change {
 	var change Change
-	other := peers.accept(now, beat.Incarnation, beat.Sequence, &change)
+	other := peers.accept(now, heartbeat.Incarnation, heartbeat.Sequence, &change)
 	if other == nil {
 		return change
 	}
-	if other.inView && other.version > beat.Version {
+	if other.inView && other.version > heartbeat.Version {
 		return change
 	}
-	peers.update(other, beat, &change)
-	if beat.Centre != peers.self.Centre {
-		// A daemon that isn't a gateway lets go of a seed elsewhere once it has met it, often
-		// before a roster has come back. Forgotten, the seed would be dialled anew at once, by
-		// every daemon of the fleet.
-		peers.AddListings(now, []Listing{listingOf(beat.member())})
+	peers.update(other, heartbeat, &change)
+	if heartbeat.Centre != peers.self.Centre {
+		// A daemon that isn't a gateway closes its connection to a seed in another data centre
+		// after the first heartbeat, often before a roster has arrived. If the seed weren't
+		// kept as a candidate, every daemon of the fleet would dial it again at once.
+		peers.AddListings(now, []Listing{listingOf(heartbeat.member())})
 	}
-	if beat.Unlisted && !peers.rosterSent[beat.Incarnation] && peers.sendsRosterTo(&beat) {
-		peers.rosterSent[beat.Incarnation] = true
-		change.RosterRecipients = append(change.RosterRecipients, beat.Incarnation)
+	if heartbeat.Unlisted && !peers.rosterSent[heartbeat.Incarnation] && peers.sendsRosterTo(&heartbeat) {
+		peers.rosterSent[heartbeat.Incarnation] = true
+		change.RosterRecipients = append(change.RosterRecipients, heartbeat.Incarnation)
 	}
 	change.NewerConfig = peers.NewerConfig()
-	if beat.Number == peers.self.Number && beat.Digest != peers.self.Digest {
+	if heartbeat.Number == peers.self.Number && heartbeat.Digest != peers.self.Digest {
 		change.Diverged = append(change.Diverged, other.config)
 	}
 	return change
 }
 
-// HandlePulse takes a pulse that came from an incarnation. If the version it names was
-// never heard whole, the change holds a pulse that asks for it.
+// HandlePulse applies a pulse from an incarnation. If the full heartbeat of its version
+// hasn't been received, the change contains a pulse that requests it.
 func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
 	other := peers.accept(now, from, pulse.Sequence, &change)
@@ -182,12 +191,12 @@
 	return change
 }
 
-// Tick expires who fell silent, returns the heartbeats that are due, and notices by
-// the gap since the last tick that this process was paused.
+// Tick removes the peers whose heartbeats are overdue and returns the pulses that are due.
+// It detects by the gap since the last tick that this process was paused.
 //
-// A paused process would take the whole world for silent, or, having missed its own
-// end, go on as the leader that it was. So its view expires before anything else and
-// it listens again before it names a leader.
+// After a pause a process would find the heartbeats of all peers overdue, or would act as
+// the leader that it was although it has been replaced. So the whole view expires first, and
+// the daemon names no leader until it has received heartbeats for SettleFor.
 func (peers *Peers) Tick(now time.Time) Change {
 	if peers.lastTick.IsZero() {
 		peers.settledAt = now.Add(peers.timing.SettleFor)
@@ -209,9 +218,10 @@
 	return change
 }
 
-// CheckClocks compares how far the monotonic and the wall clock have gone since the last
-// call. A VM that was suspended has a wall clock that ran ahead, while the monotonic
-// clock, and every gap that Tick can see, may have stood still.
+// CheckClocks expires the whole view if this VM was suspended. It compares the time that has
+// passed since the last call by the monotonic and by the wall clock. After a suspension the
+// wall clock is ahead, while the monotonic clock, and with it the gap between two ticks, may
+// not have advanced.
 func (peers *Peers) CheckClocks(now time.Time, monotonic, wall time.Duration) Change {
 	if ahead := wall - monotonic; ahead > peers.timing.PauseLimit {
 		return peers.resume(now, ahead)
@@ -219,11 +229,11 @@
 	return Change{}
 }
 
-// Live returns the members of a data centre that are live and not leaving, this
-// daemon included, in the order of their names. Of other data centres these are the
-// few that this daemon holds connections to.
+// Live returns the members of a data centre that are live and not leaving, this daemon
+// included, in the order of their names. In other data centres it only includes the few
+// members that this daemon is connected to.
 //
-// The list is the callers' to read, not to change: all get the same one.
+// The slice is shared between callers and must not be modified.
 func (peers *Peers) Live(centre yuccaid.Centre) []Member {
 	return cached(&peers.viewCache.live, centre, func() []Member {
 		return peers.members(func(member Member) bool {
@@ -232,10 +242,11 @@
 	})
 }
 
-// SetSeeds changes where other daemons may be met.
+// SetSeeds replaces the addresses of daemons to dial until the platform's list is read.
 func (peers *Peers) SetSeeds(addresses []string) { peers.seeds = addresses }
 
-// Find returns the live member on a VM, else the VM's candidate, without incarnation.
+// Find returns the live member on a VM, or else the VM's candidate, whose incarnation is
+// unknown.
 func (peers *Peers) Find(vm yuccaid.VM) (Member, bool) {
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
@@ -247,24 +258,27 @@
 	return listing.member(), ok
 }
 
-// Settled reports whether this daemon has listened long enough to name leaders.
+// Settled reports whether this daemon has received heartbeats for long enough to name
+// leaders.
 func (peers *Peers) Settled() bool {
 	return !peers.lastTick.IsZero() && !peers.lastTick.Before(peers.settledAt)
 }
 
+// isConnected reports whether an incarnation has a connection to this daemon.
 func (peers *Peers) isConnected(inc yuccaid.Incarnation) bool {
 	_, ok := peers.connected[inc]
 	return ok
 }
 
-// members returns the live ones that the filter takes, this daemon among them.
-func (peers *Peers) members(take func(Member) bool) []Member {
+// members returns the live members that match, this daemon included, ordered by
+// compareMembers.
+func (peers *Peers) members(match func(Member) bool) []Member {
 	var all []Member
-	if self := peers.Self(); take(self) {
+	if self := peers.Self(); match(self) {
 		all = append(all, self)
 	}
 	for _, other := range peers.peers {
-		if other.inView && take(other.member) {
+		if other.inView && match(other.member) {
 			all = append(all, other.member)
 		}
 	}
--- a/core/yuccapeer/share.go
+++ b/core/yuccapeer/share.go
@@ -2,22 +2,23 @@
 
 import "yuccacleat/core/yuccaid"
 
-// TargetShare is the part of a data centre's targets that this daemon's side of a cut uses.
+// TargetShare is the share of a data centre's targets that this daemon's side of a network
+// partition uses.
 //
-// A cut inside a data centre leaves a leader on each side, and each would fill every
-// target to the brim: engines would hold twice the work that keeps their own queues
-// short, and urgent requests would wait behind bulk ones there. So the side that sees
-// more than half of the candidates uses all targets, and a smaller side only those
-// that rendezvous hashing over the candidates gives to daemons it sees. Candidates come
-// from the platform's lagging list, so after many deaths at once the survivors use a
-// part until the list catches up.
+// A partition inside a data centre leaves a leader on each side. If both used all slots of
+// every target, engines would get twice the requests that keep their own queues short, and
+// urgent requests would wait behind bulk ones there. So a side with more than half of the
+// candidates live uses all targets. A smaller side uses only those that rendezvous hashing
+// over the candidates assigns to one of its live daemons. Candidates come from the
+// platform's list, which lags behind, so if most daemons die at once, the others use a
+// share of the targets until the list is up to date.
 type TargetShare struct {
 	whole      bool
 	liveVMs    map[yuccaid.VM]bool
 	candidates []Member
 }
 
-// TargetShare returns the part that holds in the present view.
+// TargetShare returns the share according to the current view.
 func (peers *Peers) TargetShare() TargetShare {
 	share := TargetShare{liveVMs: make(map[yuccaid.VM]bool)}
 	for _, listing := range peers.Candidates(peers.self.Centre) {
@@ -32,27 +33,28 @@
 	return share
 }
 
-// Whole reports whether all targets are in the share.
+// Whole reports whether the share contains all targets.
 func (share TargetShare) Whole() bool {
 	return share.whole
 }
 
-// Contains reports whether a target is in the share.
+// Contains reports whether the share contains a target.
 func (share TargetShare) Contains(tgt yuccaid.Target) bool {
 	return share.whole || share.liveVMs[highestWeight(share.candidates, string(tgt)).VM]
 }
 
-// Select returns which of a pool's targets are used. A side whose part is empty uses all:
-// serving late behind the other side's work is better than not serving.
+// Select returns those of a pool's targets that are in the share, or all of them if none
+// is: requests that wait behind those of the other side are better than requests that
+// can't run at all.
 func (share TargetShare) Select(targets []yuccaid.Target) []yuccaid.Target {
-	var part []yuccaid.Target
+	var selected []yuccaid.Target
 	for _, tgt := range targets {
 		if share.Contains(tgt) {
-			part = append(part, tgt)
+			selected = append(selected, tgt)
 		}
 	}
-	if len(part) == 0 {
+	if len(selected) == 0 {
 		return targets
 	}
-	return part
+	return selected
 }
--- a/core/yuccapeer/status.go
+++ b/core/yuccapeer/status.go
@@ -7,15 +7,17 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Status is the view as operators and metrics see it.
+// Status summarises the view for operators and metrics. Behind is set if another daemon has
+// a higher configuration number.
 type Status struct {
 	Settled bool           `json:"settled"`
 	Behind  bool           `json:"behind"`
 	Centres []CentreStatus `json:"centres"`
 }
 
-// CentreStatus counts one data centre's daemons. Of other data centres a daemon only
-// hears the few that it is connected to.
+// CentreStatus counts the daemons of one data centre. In other data centres, Live and
+// Leaving include only daemons that this daemon is connected to. Gateway is set if this
+// daemon is a gateway to the data centre.
 type CentreStatus struct {
 	Centre     yuccaid.Centre `json:"centre"`
 	Candidates int            `json:"candidates"`
@@ -24,7 +26,7 @@
 	Gateway    bool           `json:"gateway"`
 }
 
-// Status returns the view in numbers, in the order of the data centres' names.
+// Status returns a summary of the view, with the data centres in the order of their names.
 func (peers *Peers) Status() Status {
 	status := Status{Settled: peers.Settled(), Behind: peers.NewerConfig() != PeerConfig{}}
 	for _, listing := range peers.Roster() {
@@ -44,13 +46,13 @@
 	return status
 }
 
-// centre returns the entry of a data centre and makes it in its place.
+// centre returns the entry of a data centre, which it inserts in order if there is none.
 func (status *Status) centre(name yuccaid.Centre) *CentreStatus {
-	place, found := slices.BinarySearchFunc(status.Centres, name, func(one CentreStatus, name yuccaid.Centre) int {
-		return cmp.Compare(one.Centre, name)
+	index, found := slices.BinarySearchFunc(status.Centres, name, func(entry CentreStatus, name yuccaid.Centre) int {
+		return cmp.Compare(entry.Centre, name)
 	})
 	if !found {
-		status.Centres = slices.Insert(status.Centres, place, CentreStatus{Centre: name})
+		status.Centres = slices.Insert(status.Centres, index, CentreStatus{Centre: name})
 	}
-	return &status.Centres[place]
+	return &status.Centres[index]
 }
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -7,14 +7,14 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// accept returns the peer that a message with the sequence number comes from, or nil
-// for one that is late, doubled, our own, of an incarnation that left or of one that
-// has no connection to us.
+// accept returns the peer that sent a message with a sequence number. It returns nil for a
+// message that is late or a duplicate, that comes from this daemon's own VM, from a departed
+// incarnation or from one that isn't connected.
 //
-// Two incarnations of one VM may both be heard: the old one was paused while its VM was
-// replaced and wakes up with its connections and its address. If the last one heard won,
-// they would take turns; so the one that holds a connection stays, unless the platform's
-// list names the other's address.
+// Two incarnations of one VM may both send messages: the old one was paused while its VM was
+// replaced, and resumes with its connections and its address. If the latest message decided,
+// they would replace each other in turn. So the one in the view stays while it is connected,
+// unless the platform's list has the address of the other.
 func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
 	if _, departed := peers.departed[inc]; departed || !peers.isConnected(inc) {
 		return nil
@@ -38,13 +38,13 @@
 	return other
 }
 
-// update takes over what a whole heartbeat says.
-func (peers *Peers) update(other *peer, beat Heartbeat, change *Change) {
+// update applies a full heartbeat to its sender.
+func (peers *Peers) update(other *peer, heartbeat Heartbeat, change *Change) {
 	before, inView := other.member, other.inView
-	after := beat.member()
+	after := heartbeat.member()
 	other.member = after
-	other.version = beat.Version
-	other.config = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
+	other.version = heartbeat.Version
+	other.config = PeerConfig{Peer: heartbeat.Incarnation, Number: heartbeat.Number, Digest: heartbeat.Digest}
 	other.inView = true
 	if inView && before == after {
 		return
@@ -56,18 +56,19 @@
 	peers.invalidate()
 }
 
-// replaces takes an incarnation out if the newcomer has the better claim to the VM. It is
-// out for good, unless the list speaks for it: then it may only have been cut off while
-// its predecessor turned up.
+// replaces reports whether the newcomer replaces the current incarnation on its VM, and if
+// so removes the current one. The removed incarnation counts as departed, unless the
+// platform's list has its address: then it may only have been cut off while its predecessor
+// sent messages, and may return.
 func (peers *Peers) replaces(now time.Time, other *peer, newcomer Member, change *Change) bool {
 	inc := other.member.Incarnation
 	listed := peers.listed[inc.VM].Address
-	stays := listed == other.member.Address && listed != newcomer.Address
-	comes := listed == newcomer.Address && listed != other.member.Address
-	if peers.isConnected(inc) && !comes {
+	currentListed := listed == other.member.Address && listed != newcomer.Address
+	newcomerListed := listed == newcomer.Address && listed != other.member.Address
+	if peers.isConnected(inc) && !newcomerListed {
 		return false
 	}
-	if !stays {
+	if !currentListed {
 		peers.departed[inc] = now.Add(peers.timing.ForgetAfter)
 		delete(peers.connected, inc)
 	}
@@ -76,7 +77,7 @@
 	return true
 }
 
-// remove takes a peer out of the view until it is heard whole again.
+// remove removes a peer from the view until its next full heartbeat.
 func (peers *Peers) remove(other *peer, change *Change) {
 	if other.inView {
 		change.Removed = append(change.Removed, other.member)
@@ -85,9 +86,10 @@
 	}
 }
 
-// expireSilent drops the silent. Silence ends nobody for good, not even one that is leaving:
-// it may have been cut off and still be finishing its work, and if some took it for
-// gone while it counts them as live, it would ask the wrong leader from then on.
+// expireSilent removes the peers whose heartbeats are overdue from the view. They don't
+// count as departed, even when they were leaving: such a daemon may have been cut off while
+// it finishes its requests. If other daemons then ignored it while it still has them in its
+// view, it would send requests to the wrong leader from then on.
 func (peers *Peers) expireSilent(now time.Time, change *Change) {
 	for _, other := range peers.peers {
 		if !now.Before(other.expires) {
@@ -97,9 +99,9 @@
 	slices.SortFunc(change.Removed, compareMembers)
 }
 
-// resume expires the whole view after a pause.
-func (peers *Peers) resume(now time.Time, slept time.Duration) Change {
-	change := Change{Resumed: true, PausedFor: slept}
+// resume expires the whole view after a pause of this process.
+func (peers *Peers) resume(now time.Time, pausedFor time.Duration) Change {
+	change := Change{Resumed: true, PausedFor: pausedFor}
 	for _, other := range peers.peers {
 		peers.remove(other, &change)
 	}
@@ -109,15 +111,16 @@
 	return change
 }
 
-// deleteOld bounds the memory of who was here: VMs are replaced all the time.
+// deleteOld deletes what is older than ForgetAfter. VMs are replaced all the time, so the
+// maps would grow without bound.
 func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.peers {
 		if now.Sub(other.expires) > peers.timing.ForgetAfter {
 			delete(peers.peers, vm)
 		}
 	}
-	for vm, heard := range peers.received {
-		if !now.Before(heard.forgetAt) {
+	for vm, recv := range peers.received {
+		if !now.Before(recv.forgetAt) {
 			delete(peers.received, vm)
 			peers.invalidate()
 		}
@@ -129,8 +132,9 @@
 	}
 }
 
-// NewerConfig returns the peer with the highest configuration above our own, the first by
-// name among equals so that the choice is the same each time.
+// NewerConfig returns the configuration with the highest number among the peers in the view,
+// or the zero value if no number is above this daemon's. If several peers have it, the first
+// by name is returned, so that the choice is stable.
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.peers {
