--- a/core/yuccapeer/bench_test.go
+++ b/core/yuccapeer/bench_test.go
@@ -9,15 +9,15 @@
 	"yuccacleat/core/yuccapeer"
 )
 
-// BenchmarkTurn measures what a daemon asks of its view in one turn of its control loop, in
-// a fleet of three data centres.
+// BenchmarkTurn measures the calls that a daemon makes to its view in one turn of its control
+// loop, in a fleet of three data centres.
 func BenchmarkTurn(b *testing.B) {
 	for _, daemons := range []int{7, 30, 100, 400} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			view := yuccapeer.New(benchMember(0))
-			for at := 1; at < daemons; at++ {
-				other := benchMember(at)
+			for index := 1; index < daemons; index++ {
+				other := benchMember(index)
 				view.HandleConnect(now, other)
 				view.HandleHeartbeat(now, yuccapeer.Heartbeat{
 					Incarnation: other.Incarnation, Centre: other.Centre, Address: other.Address, Sequence: 1, Version: 1, Unlisted: true,
@@ -37,10 +37,11 @@
 	}
 }
 
-func benchMember(at int) yuccapeer.Member {
-	vm := yuccaid.VM(fmt.Sprintf("vm-%03d", at))
+// benchMember returns the member with an index, in one of three data centres.
+func benchMember(index int) yuccapeer.Member {
+	vm := yuccaid.VM(fmt.Sprintf("vm-%03d", index))
 	return yuccapeer.Member{
-		VM: vm, Centre: yuccaid.Centre(fmt.Sprintf("centre-%d", at%3)), Address: fmt.Sprintf("10.0.%d.%d:1", at/250, at%250),
-		Incarnation: yuccaid.NewIncarnation(vm, [16]byte{byte(at), byte(at >> 8)}),
+		VM: vm, Centre: yuccaid.Centre(fmt.Sprintf("centre-%d", index%3)), Address: fmt.Sprintf("10.0.%d.%d:1", index/250, index%250),
+		Incarnation: yuccaid.NewIncarnation(vm, [16]byte{byte(index), byte(index >> 8)}),
 	}
 }
--- a/core/yuccapeer/derived_test.go
+++ b/core/yuccapeer/derived_test.go
@@ -11,9 +11,9 @@
 )
 
 var _ = Describe("what was worked out from the view", func() {
-	// Daemons come, fall silent, leave and come back, the list and other daemons tell of VMs,
-	// and this daemon is paused. A leader or a member that is remembered from before such a
-	// change would be asked though it is gone.
+	// Daemons join, stop sending, leave and return, listings arrive from the platform and from
+	// other daemons, and this daemon is paused. If a leader or a member were cached from
+	// before such a change, requests would be sent to a daemon that no longer runs.
 	It("is never older than the view", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := time.Unix(1000, 0)
@@ -46,16 +46,16 @@
 				}
 				now = now.Add(300 * time.Millisecond)
 				view.Tick(now)
-				said := answers(view)
+				cached := results(view)
 				view.ClearCache()
-				Expect(answers(view)).To(Equal(said))
+				Expect(results(view)).To(Equal(cached))
 			}
 		})
 	})
 })
 
-// answers are all that is asked of a view.
-func answers(view *yuccapeer.Peers) []any {
+// results returns the results of all methods of a view that are cached.
+func results(view *yuccapeer.Peers) []any {
 	leader, found := view.Leader("pool")
 	return []any{
 		view.Live("centre-0"), view.Live("centre-1"), view.Candidates("centre-0"), view.Candidates("centre-2"),
--- a/core/yuccapeer/export_test.go
+++ b/core/yuccapeer/export_test.go
@@ -1,4 +1,4 @@
 package yuccapeer
 
-// ClearCache drops what was worked out from the view, so that a test sees it worked out anew.
+// ClearCache clears the cache, so that a test sees the results computed again.
 func (peers *Peers) ClearCache() { peers.viewCache = viewCache{} }
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -16,163 +16,166 @@
 
 func poolNamed(i int) yuccaid.Pool { return yuccaid.Pool(fmt.Sprintf("pool-%d", i)) }
 
-// leaders returns whom a process takes for the leaders of some pools.
-func leaders(one *run) []yuccaid.Incarnation {
+// leaders returns the leaders of some pools in a process's view.
+func leaders(proc *process) []yuccaid.Incarnation {
 	var all []yuccaid.Incarnation
 	for i := range 8 {
-		if leader, ok := one.peers.Leader(poolNamed(i)); ok {
+		if leader, ok := proc.peers.Leader(poolNamed(i)); ok {
 			all = append(all, leader.Incarnation)
 		}
 	}
 	return all
 }
 
-// disagreement compares the views of the processes that can reach each other with the
-// truth, which only the world knows.
+// disagreement compares the views of the processes that can reach each other with one
+// another and with the actual state of the world. It describes the first difference, and is
+// empty if there is none.
 func (wld *world) disagreement() string {
-	for _, one := range wld.alive() {
-		for _, member := range one.peers.Live(one.Centre) {
-			age := wld.now.Sub(one.heard[member.Incarnation])
-			if member.Incarnation != one.Incarnation && age > yuccapeer.DefaultTiming().ExpireAfter+wld.step {
-				return fmt.Sprintf("%s holds %s for live after %s", one.VM, member.VM, age)
+	for _, proc := range wld.current() {
+		for _, member := range proc.peers.Live(proc.Centre) {
+			age := wld.now.Sub(proc.received[member.Incarnation])
+			if member.Incarnation != proc.Incarnation && age > yuccapeer.DefaultTiming().ExpireAfter+wld.step {
+				return fmt.Sprintf("%s holds %s for live after %s", proc.VM, member.VM, age)
 			}
 		}
 	}
 	if !wld.quiet() {
 		return ""
 	}
-	for _, one := range wld.alive() {
-		if wld.haunted(one.side) {
+	for _, proc := range wld.current() {
+		if wld.hasOnlySuperseded(proc.partition) {
 			continue
 		}
 		var top yuccaid.ConfigNumber
-		for _, other := range wld.alive() {
-			if one.side != other.side {
+		for _, other := range wld.current() {
+			if proc.partition != other.partition {
 				continue
 			}
 			top = max(top, other.number)
-			if slices.ContainsFunc(leaders(one), func(inc yuccaid.Incarnation) bool { return wld.ended[inc] }) {
-				return fmt.Sprintf("%s names a leader that was replaced", one.VM)
+			if slices.ContainsFunc(leaders(proc), func(inc yuccaid.Incarnation) bool { return wld.superseded[inc] }) {
+				return fmt.Sprintf("%s names a leader that was replaced", proc.VM)
 			}
-			if ours, theirs := leaders(one), leaders(other); !slices.Equal(ours, theirs) {
-				return fmt.Sprintf("%s names %v and %s names %v", one.VM, ours, other.VM, theirs)
+			if ours, theirs := leaders(proc), leaders(other); !slices.Equal(ours, theirs) {
+				return fmt.Sprintf("%s names %v and %s names %v", proc.VM, ours, other.VM, theirs)
 			}
 		}
-		if !one.peers.Settled() {
-			return fmt.Sprintf("%s names no leaders", one.VM)
+		if !proc.peers.Settled() {
+			return fmt.Sprintf("%s names no leaders", proc.VM)
 		}
-		if found := one.peers.NewerConfig().Number; top > one.number && found != top {
-			return fmt.Sprintf("%s has %d and takes %d for the highest, not %d", one.VM, one.number, found, top)
+		if found := proc.peers.NewerConfig().Number; top > proc.number && found != top {
+			return fmt.Sprintf("%s has %d and takes %d for the highest, not %d", proc.VM, proc.number, found, top)
 		}
 	}
 	return ""
 }
 
-// haunted reports whether a process that was replaced still answers on a side where its
-// successor doesn't: nobody there can tell, and views may differ on it.
-func (wld *world) haunted(side int) bool {
-	return slices.ContainsFunc(wld.runs, func(old *run) bool {
-		return old.side == side && !old.dead && wld.ended[old.Incarnation] &&
-			!slices.ContainsFunc(wld.alive(), func(one *run) bool { return one.VM == old.VM && one.side == side })
+// hasOnlySuperseded reports whether a replaced process still runs on a side of the partition
+// that its successor can't be reached from. The daemons there can't know that it was
+// replaced, so their views may differ.
+func (wld *world) hasOnlySuperseded(partition int) bool {
+	return slices.ContainsFunc(wld.processes, func(old *process) bool {
+		return old.partition == partition && !old.dead && wld.superseded[old.Incarnation] &&
+			!slices.ContainsFunc(wld.current(), func(successor *process) bool { return successor.VM == old.VM && successor.partition == partition })
 	})
 }
 
-// Data centres are cut in two, processes are paused, die, come back as others or leave,
-// and messages are lost, late or doubled, in any order and at once. If an old process
-// could come back, or two leaders last, a target would be given twice the work for as
-// long, and urgent requests would wait behind it.
+// A data centre is partitioned, processes are paused, die, are replaced or leave, and
+// messages are lost, late or duplicated, in any order and at the same time. If a replaced
+// process were added to a view again, or if two daemons went on leading the same pool, a
+// target would get twice the requests and urgent ones would wait.
 func TestMembersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wld := newWorld(rapid.Uint64().Draw(t, "seed"), 100*time.Millisecond, 1, 5)
-		pick := func() *run { return rapid.SampledFrom(wld.runs).Draw(t, "run") }
-		disturb := func(act func(one *run)) func(*rapid.T) {
+		pick := func() *process { return rapid.SampledFrom(wld.processes).Draw(t, "run") }
+		disturb := func(act func(proc *process)) func(*rapid.T) {
 			return func(*rapid.T) {
-				if one := pick(); !one.dead {
-					act(one)
+				if proc := pick(); !proc.dead {
+					act(proc)
 					wld.disturbed(wld.now)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) { wld.advance(rapid.IntRange(1, 100).Draw(t, "steps")) },
-			"cut":  disturb(func(one *run) { one.side = 1 }),
-			"heal": disturb(func(*run) {
-				for _, one := range wld.runs {
-					one.side = 0
+			"cut":  disturb(func(proc *process) { proc.partition = 1 }),
+			"heal": disturb(func(*process) {
+				for _, proc := range wld.processes {
+					proc.partition = 0
 				}
 			}),
-			"pause": disturb(func(one *run) { one.paused = true }),
-			"wake": disturb(func(one *run) {
-				one.paused = false
-				wld.turn(one)
+			"pause": disturb(func(proc *process) { proc.paused = true }),
+			"wake": disturb(func(proc *process) {
+				proc.paused = false
+				wld.runOnce(proc)
 			}),
-			"noise": disturb(func(*run) { wld.noisy = !wld.noisy }),
-			"restart": disturb(func(one *run) {
-				if !wld.ended[one.Incarnation] {
-					wld.replace(one, rapid.Bool().Draw(t, "died"))
+			"noise": disturb(func(*process) { wld.noisy = !wld.noisy }),
+			"restart": disturb(func(proc *process) {
+				if !wld.superseded[proc.Incarnation] {
+					wld.replace(proc, rapid.Bool().Draw(t, "died"))
 				}
 			}),
-			"leave": disturb(func(one *run) {
-				if !one.paused {
-					wld.apply(one, one.peers.Leave(wld.now))
+			"leave": disturb(func(proc *process) {
+				if !proc.paused {
+					wld.apply(proc, proc.peers.Leave(wld.now))
 				}
 			}),
-			"accept": disturb(func(one *run) {
-				if !one.paused {
-					one.number++
-					digest := yuccaid.Digest(fmt.Sprint(one.number))
-					wld.apply(one, one.peers.SetConfig(wld.now, one.number, digest))
+			"accept": disturb(func(proc *process) {
+				if !proc.paused {
+					proc.number++
+					digest := yuccaid.Digest(fmt.Sprint(proc.number))
+					wld.apply(proc, proc.peers.SetConfig(wld.now, proc.number, digest))
 				}
 			}),
 			"": func(t *rapid.T) {
-				if broken := wld.broken + wld.disagreement(); broken != "" {
-					t.Fatal(broken)
+				if violation := wld.violation + wld.disagreement(); violation != "" {
+					t.Fatal(violation)
 				}
 			},
 		})
 		wld.noisy = false
 		wld.advance(200)
-		if broken := wld.broken + wld.disagreement(); broken != "" {
-			t.Fatalf("after 20 quiet seconds: %s", broken)
+		if violation := wld.violation + wld.disagreement(); violation != "" {
+			t.Fatalf("after 20 quiet seconds: %s", violation)
 		}
 	})
 }
 
-// Any VMs may be gone, and one data centre may be cut off from all others. News of a
-// configuration that only one daemon has read would then not reach some data centre,
-// and withdrawn targets would go on being used there.
+// Any VMs may be down, and one data centre may be cut off from all others. If no connections
+// led to a data centre, a configuration that only one daemon has read would not reach it,
+// and withdrawn targets would still be used there.
 func TestNewsReachesEveryCentre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const centres, count = 6, 4
 		wld := newWorld(1, 500*time.Millisecond, centres, count)
 		wld.advance(20)
-		for _, one := range wld.runs {
-			one.dead = rapid.Float64Range(0, 1).Draw(t, one.Address) < 0.6
+		for _, proc := range wld.processes {
+			proc.dead = rapid.Float64Range(0, 1).Draw(t, proc.Address) < 0.6
 		}
 		if rapid.Bool().Draw(t, "cut") {
-			for _, one := range wld.runs[:count] {
-				one.side = 1
+			for _, proc := range wld.processes[:count] {
+				proc.partition = 1
 			}
 		}
-		// Long enough for a gateway to try every VM of another data centre.
+		// This is long enough for a gateway to try every VM of another data centre.
 		wld.advance(2 * int((count+3)*yuccapeer.DefaultTiming().GatewayConnectTimeout/time.Second))
-		alive := wld.alive()
-		for _, one := range alive {
-			for _, other := range alive {
-				if one.side == other.side && !reached(one)[other.Incarnation] {
-					t.Fatalf("nothing leads from %s to %s", one.Address, other.Address)
+		current := wld.current()
+		for _, proc := range current {
+			for _, other := range current {
+				if proc.partition == other.partition && !reachable(proc)[other.Incarnation] {
+					t.Fatalf("no connections lead from %s to %s", proc.Address, other.Address)
 				}
 			}
 		}
 	})
 }
 
-// reached walks over connections from one process.
-func reached(from *run) map[yuccaid.Incarnation]bool {
+// reachable returns the incarnations that connections lead to from a process, directly or
+// over others.
+func reachable(from *process) map[yuccaid.Incarnation]bool {
 	seen := map[yuccaid.Incarnation]bool{from.Incarnation: true}
-	for queue := []*run{from}; len(queue) > 0; queue = queue[1:] {
-		for _, between := range queue[0].bonds {
-			for _, end := range between.ends {
+	for queue := []*process{from}; len(queue) > 0; queue = queue[1:] {
+		for _, conn := range queue[0].links {
+			for _, end := range conn.ends {
 				if !seen[end.Incarnation] {
 					seen[end.Incarnation] = true
 					queue = append(queue, end)
@@ -185,16 +188,16 @@
 
 var _ = Describe("a view", func() {
 	var wld *world
-	var first, second *run
+	var first, second *process
 	BeforeEach(func() {
 		wld = newWorld(1, 100*time.Millisecond, 1, 3)
 		wld.advance(100)
-		first, second = wld.runs[0], wld.runs[1]
+		first, second = wld.processes[0], wld.processes[1]
 	})
 
-	// A process is paused, or its whole VM is suspended, and wakes up minutes later. If
-	// it went on as the leader that it was, it would grant work that its successor has
-	// long given to others.
+	// A process is paused, or its whole VM is suspended, and resumes minutes later. If it
+	// still acted as the leader that it was, it would grant slots that its successor has
+	// already granted to other requests.
 	DescribeTable("expires before anything else after a pause",
 		func(wake func() yuccapeer.Change) {
 			change := wake()
@@ -225,107 +228,108 @@
 		Expect(first.peers.Tick(wld.now.Add(1100 * time.Millisecond)).Removed).To(ConsistOf(second.Member))
 	})
 
-	It("takes nothing that came on no connection of its sender", func() {
+	It("ignores messages whose sender isn't connected", func() {
 		first.peers.HandleDisconnect(wld.now, second.Incarnation)
 		wld.now = wld.now.Add(time.Second)
 		Expect(first.peers.HandlePulse(wld.now, second.Incarnation, yuccapeer.Pulse{Sequence: 1e6, Version: 1})).To(BeZero())
 		Expect(first.peers.Tick(wld.now).Removed).To(ConsistOf(second.Member))
 	})
 
-	It("has leaving members lead only when nobody else is left", func() {
-		for _, one := range wld.runs[:2] {
-			wld.apply(one, one.peers.Leave(wld.now))
+	It("has leaving members lead only when there is no other member", func() {
+		for _, proc := range wld.processes[:2] {
+			wld.apply(proc, proc.peers.Leave(wld.now))
 		}
 		wld.advance(10)
 		for i := range 8 {
 			leader, _ := first.peers.Leader(poolNamed(i))
-			Expect(leader).To(Equal(wld.runs[2].Member))
+			Expect(leader).To(Equal(wld.processes[2].Member))
 		}
-		wld.runs[2].dead = true
+		wld.processes[2].dead = true
 		wld.advance(100)
 		leader, ok := first.peers.Leader("drafts")
 		Expect(ok).To(BeTrue())
 		Expect(leader.Leaving).To(BeTrue())
 	})
 
-	It("names peers with another content under our number", func() {
+	It("reports peers that have another configuration under the same number", func() {
 		wld.apply(first, first.peers.SetConfig(wld.now, 1, "a"))
 		beat := second.peers.Heartbeat()
 		beat.Sequence, beat.Version, beat.Number, beat.Digest = 1e6, 1e6, 1, "b"
 		Expect(first.peers.HandleHeartbeat(wld.now, beat).Diverged).To(HaveLen(1))
 	})
 
-	It("hears from the platform that its own VM is leaving", func() {
+	It("reports that the platform lists its own VM as leaving", func() {
 		wld.listings[0].Leaving = true
 		first.peers.SetListings(wld.now, wld.listings)
 		Expect(first.peers.ListedLeaving()).To(BeTrue())
 		Expect(second.peers.ListedLeaving()).To(BeFalse())
 	})
 
-	// The platform's service is down while a VM is replaced. The new daemon knows the
-	// addresses from its settings alone and has to find all others through them.
-	It("grows from one seed when the platform is down", func() {
+	// The platform's service is down while a VM is replaced. The new daemon only knows the
+	// seeds from its settings and has to find all other daemons through them.
+	It("finds all daemons through one seed when the platform is down", func() {
 		self := first.Member
 		self.VM, self.Address = "vm-9", "10.0.0.9:7400"
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
-		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address))
-		fresh.Tick(wld.now)
-		Expect(fresh.Dial()).To(Equal([]string{second.Address}))
+		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address))
+		newcomer.Tick(wld.now)
+		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
 		second.peers.HandleConnect(wld.now, self)
-		Expect(second.peers.HandleHeartbeat(wld.now, fresh.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
-		fresh.AddListings(wld.now, second.peers.Roster())
-		Expect(fresh.Dial()).To(HaveLen(3))
-		fresh.Tick(wld.now.Add(2 * time.Hour))
-		Expect(fresh.Dial()).To(Equal([]string{second.Address}))
+		Expect(second.peers.HandleHeartbeat(wld.now, newcomer.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
+		newcomer.AddListings(wld.now, second.peers.Roster())
+		Expect(newcomer.Dial()).To(HaveLen(3))
+		newcomer.Tick(wld.now.Add(2 * time.Hour))
+		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
 	})
 
-	// A fleet without a list starts, and the first seed that a daemon reaches is one of its own
-	// data centre. If it asked no further, data centres would never hear of one another:
-	// accounts would get their quota in each of them.
-	It("asks the seeds of other data centres too, until somebody has named them", func() {
-		far := yuccapeer.Member{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"}
-		far.Incarnation = yuccaid.NewIncarnation("far", [16]byte{7})
+	// A fleet starts while the platform's list can't be read, and the first seed that a daemon
+	// reaches is in its own data centre. If it dialled no other seed, data centres would never
+	// learn of one another, and each would admit requests for the whole quota of an account.
+	It("dials the seeds of other data centres too, until they are candidates", func() {
+		remote := yuccapeer.Member{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"}
+		remote.Incarnation = yuccaid.NewIncarnation("far", [16]byte{7})
 		self := first.Member
 		self.VM, self.Address = "vm-9", "10.0.0.9:7400"
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
-		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, far.Address, "10.2.0.1:7400", self.Address))
-		fresh.Tick(wld.now)
-		fresh.HandleConnect(wld.now, second.Member)
-		fresh.HandleHeartbeat(wld.now, second.peers.Heartbeat())
-		Expect(fresh.Dial()).To(Equal([]string{second.Address, far.Address, "10.2.0.1:7400"}))
-		fresh.AddListings(wld.now, []yuccapeer.Listing{{VM: far.VM, Centre: far.Centre, Address: far.Address}})
-		Expect(fresh.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
+		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, remote.Address, "10.2.0.1:7400", self.Address))
+		newcomer.Tick(wld.now)
+		newcomer.HandleConnect(wld.now, second.Member)
+		newcomer.HandleHeartbeat(wld.now, second.peers.Heartbeat())
+		Expect(newcomer.Dial()).To(Equal([]string{second.Address, remote.Address, "10.2.0.1:7400"}))
+		newcomer.AddListings(wld.now, []yuccapeer.Listing{{VM: remote.VM, Centre: remote.Centre, Address: remote.Address}})
+		Expect(newcomer.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
 	})
 
-	// A hundred daemons start and each asks the seeds elsewhere. Those that aren't gateways let
-	// go as soon as they have met, before a roster has come back over the long way. If they
-	// forgot whom they met, they would dial again and again, and the seeds would do nothing
-	// but greet.
-	It("doesn't dial a seed elsewhere again once it has heard it", func() {
-		far := yuccapeer.Member{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"}
-		far.Incarnation = yuccaid.NewIncarnation("far", [16]byte{7})
-		there := yuccapeer.New(far)
+	// A hundred daemons start and each dials the seeds in other data centres. Those that aren't
+	// gateways close the connection after the first heartbeat, before a roster has arrived. If
+	// they didn't keep the seed as a candidate, they would dial it again and again, and the
+	// seeds would do nothing but accept connections.
+	It("doesn't dial a seed in another data centre again after its first heartbeat", func() {
+		remote := yuccapeer.Member{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"}
+		remote.Incarnation = yuccaid.NewIncarnation("far", [16]byte{7})
+		remotePeers := yuccapeer.New(remote)
 		self := first.Member
 		self.VM, self.Address = "vm-9", "10.0.0.9:7400"
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
-		fresh := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, far.Address))
-		fresh.Tick(wld.now)
-		fresh.HandleConnect(wld.now, second.Member)
-		fresh.HandleHeartbeat(wld.now, second.peers.Heartbeat())
-		fresh.HandleConnect(wld.now, far)
-		fresh.HandleHeartbeat(wld.now, there.Heartbeat())
-		fresh.HandleDisconnect(wld.now, far.Incarnation)
+		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, remote.Address))
+		newcomer.Tick(wld.now)
+		newcomer.HandleConnect(wld.now, second.Member)
+		newcomer.HandleHeartbeat(wld.now, second.peers.Heartbeat())
+		newcomer.HandleConnect(wld.now, remote)
+		newcomer.HandleHeartbeat(wld.now, remotePeers.Heartbeat())
+		newcomer.HandleDisconnect(wld.now, remote.Incarnation)
 		later := wld.now.Add(5 * time.Second)
-		fresh.Tick(later)
-		Expect(fresh.Live("milano")).To(BeEmpty(), "it isn't heard any more")
-		Expect(fresh.Candidates("milano")).To(HaveLen(1))
-		fresh.Tick(wld.now.Add(2 * time.Hour))
-		Expect(fresh.Candidates("milano")).To(BeEmpty())
-		Expect(fresh.Dial()).To(ContainElement(far.Address), "nobody remembers it")
+		newcomer.Tick(later)
+		Expect(newcomer.Live("milano")).To(BeEmpty(), "it isn't in the view any more")
+		Expect(newcomer.Candidates("milano")).To(HaveLen(1))
+		newcomer.Tick(wld.now.Add(2 * time.Hour))
+		Expect(newcomer.Candidates("milano")).To(BeEmpty())
+		Expect(newcomer.Dial()).To(ContainElement(remote.Address), "it was forgotten")
 	})
 
-	// Without a list, a roster answers every whole heartbeat, and each change of configuration
-	// brings one from every peer: a hundred daemons would send each other ten thousand.
+	// While the platform's list can't be read, full heartbeats are answered by a roster. Each
+	// change of the configuration causes a full heartbeat from every peer, so if each were
+	// answered, a hundred daemons would send one another ten thousand rosters.
 	It("sends a roster once for each connection", func() {
 		unlisted := second.peers.Heartbeat()
 		unlisted.Unlisted = true
@@ -357,12 +361,12 @@
 })
 
 var _ = Describe("leaders", func() {
-	It("are spread, and move only for the member that came or went", func() {
+	It("are spread evenly, and change only for the member that joined or left", func() {
 		const members, pools = 28, 1000
 		wld := newWorld(1, 500*time.Millisecond, 1, members)
 		wld.advance(20)
-		watcher, going := wld.runs[0], wld.runs[5]
-		led := func() []yuccaid.VM {
+		watcher, departing := wld.processes[0], wld.processes[5]
+		leaderVMs := func() []yuccaid.VM {
 			var vms []yuccaid.VM
 			for i := range pools {
 				leader, ok := watcher.peers.Leader(poolNamed(i))
@@ -371,25 +375,25 @@
 			}
 			return vms
 		}
-		before := led()
+		before := leaderVMs()
 		share := make(map[yuccaid.VM]int)
 		for _, vm := range before {
 			share[vm]++
 		}
 		Expect(share).To(HaveLen(members))
 		Expect(share).To(HaveEach(And(BeNumerically(">", pools/members/3), BeNumerically("<", 3*pools/members))))
-		going.dead = true
+		departing.dead = true
 		wld.advance(20)
 		moved := 0
-		for i, vm := range led() {
+		for i, vm := range leaderVMs() {
 			if vm != before[i] {
 				moved++
-				Expect(before[i]).To(Equal(going.VM))
+				Expect(before[i]).To(Equal(departing.VM))
 			}
 		}
-		Expect(moved).To(Equal(share[going.VM]))
-		wld.start(yuccapeer.Listing{VM: going.VM, Centre: going.Centre, Address: going.Address})
+		Expect(moved).To(Equal(share[departing.VM]))
+		wld.start(yuccapeer.Listing{VM: departing.VM, Centre: departing.Centre, Address: departing.Address})
 		wld.advance(20)
-		Expect(led()).To(Equal(before))
+		Expect(leaderVMs()).To(Equal(before))
 	})
 })
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -12,145 +12,155 @@
 	"yuccacleat/core/yuccapeer"
 )
 
-// crowd is daemons of one data centre that start together and know some seeds. Connections
-// come up and messages arrive in any order, but those of one connection in theirs.
-type crowd struct {
-	// pick chooses what happens next among so many things.
-	pick    func(count int) int
-	now     time.Time
-	members []yuccapeer.Member
-	peers   []*yuccapeer.Peers
-	at      map[string]int
-	linked  map[[2]int]bool
-	// ways holds what is on its way from one daemon to another.
-	ways    map[[2]int][]any
+// coldStart simulates daemons of one data centre that start at the same time and know some
+// seeds. Connections open and messages arrive in any order, except that messages from one
+// daemon to another arrive in the order in which they were sent.
+type coldStart struct {
+	// pick returns the index of the event that happens next among count possible ones.
+	pick      func(count int) int
+	now       time.Time
+	members   []yuccapeer.Member
+	peers     []*yuccapeer.Peers
+	byAddress map[string]int
+	linked    map[[2]int]bool
+	// queues has the messages that were sent from one daemon to another and haven't arrived,
+	// by the indices of the two.
+	queues map[[2]int][]any
+	// rosters counts the rosters that were sent.
 	rosters int
 }
 
-func newCrowd(pick func(int) int, count, alive int) *crowd {
-	crd := &crowd{pick: pick, now: time.Unix(1e6, 0), at: make(map[string]int), linked: make(map[[2]int]bool), ways: make(map[[2]int][]any)}
+// newColdStart creates count daemons. The seeds are the first seedCount of them, and one
+// address at which no daemon listens.
+func newColdStart(pick func(int) int, count, seedCount int) *coldStart {
+	cold := &coldStart{pick: pick, now: time.Unix(1e6, 0), byAddress: make(map[string]int), linked: make(map[[2]int]bool), queues: make(map[[2]int][]any)}
 	for i := range count {
 		vm := yuccaid.VM(fmt.Sprintf("vm-%d", i))
 		member := yuccapeer.Member{VM: vm, Centre: "odessa", Address: fmt.Sprintf("10.0.0.%d:7400", i), Incarnation: yuccaid.NewIncarnation(vm, [16]byte{byte(i)})}
-		crd.members = append(crd.members, member)
-		crd.at[member.Address] = i
+		cold.members = append(cold.members, member)
+		cold.byAddress[member.Address] = i
 	}
 	seeds := []string{"10.9.0.1:7400"}
-	for i := range alive {
-		seeds = append(seeds, crd.members[i].Address)
+	for i := range seedCount {
+		seeds = append(seeds, cold.members[i].Address)
 	}
-	for _, member := range crd.members {
-		crd.peers = append(crd.peers, yuccapeer.New(member, yuccapeer.WithSeeds(seeds...)))
+	for _, member := range cold.members {
+		cold.peers = append(cold.peers, yuccapeer.New(member, yuccapeer.WithSeeds(seeds...)))
 	}
-	return crd
+	return cold
 }
 
-// step lets one thing happen, and reports whether there was any.
-func (crd *crowd) step() bool {
-	var can []func()
-	for i, from := range crd.peers {
+// step performs one of the possible events, and reports whether there was any.
+func (cold *coldStart) step() bool {
+	var possible []func()
+	for i, from := range cold.peers {
 		for _, address := range from.Dial() {
-			j, exists := crd.at[address]
-			if exists && !crd.linked[[2]int{i, j}] {
-				can = append(can, func() { crd.link(i, j) })
+			j, exists := cold.byAddress[address]
+			if exists && !cold.linked[[2]int{i, j}] {
+				possible = append(possible, func() { cold.link(i, j) })
 			}
 		}
-		for j := range crd.peers {
-			if len(crd.ways[[2]int{i, j}]) > 0 {
-				can = append(can, func() { crd.deliver(i, j) })
+		for j := range cold.peers {
+			if len(cold.queues[[2]int{i, j}]) > 0 {
+				possible = append(possible, func() { cold.deliver(i, j) })
 			}
 		}
 	}
-	if len(can) == 0 {
+	if len(possible) == 0 {
 		return false
 	}
-	can[crd.pick(len(can))]()
+	possible[cold.pick(len(possible))]()
 	return true
 }
 
-func (crd *crowd) link(i, j int) {
-	crd.linked[[2]int{i, j}], crd.linked[[2]int{j, i}] = true, true
-	crd.send(i, crd.peers[i].HandleConnect(crd.now, crd.members[j]))
-	crd.send(j, crd.peers[j].HandleConnect(crd.now, crd.members[i]))
+// link connects two daemons.
+func (cold *coldStart) link(i, j int) {
+	cold.linked[[2]int{i, j}], cold.linked[[2]int{j, i}] = true, true
+	cold.send(i, cold.peers[i].HandleConnect(cold.now, cold.members[j]))
+	cold.send(j, cold.peers[j].HandleConnect(cold.now, cold.members[i]))
 }
 
-func (crd *crowd) send(from int, change yuccapeer.Change) {
-	for _, beat := range change.Messages {
-		if beat.Heartbeat != nil {
-			way := [2]int{from, crd.of(beat.To)}
-			crd.ways[way] = append(crd.ways[way], *beat.Heartbeat)
+// send queues the full heartbeats and the rosters that a change contains.
+func (cold *coldStart) send(from int, change yuccapeer.Change) {
+	for _, message := range change.Messages {
+		if message.Heartbeat != nil {
+			pair := [2]int{from, cold.indexOf(message.To)}
+			cold.queues[pair] = append(cold.queues[pair], *message.Heartbeat)
 		}
 	}
 	for _, to := range change.RosterRecipients {
-		crd.rosters++
-		way := [2]int{from, crd.of(to)}
-		crd.ways[way] = append(crd.ways[way], crd.peers[from].Roster())
+		cold.rosters++
+		pair := [2]int{from, cold.indexOf(to)}
+		cold.queues[pair] = append(cold.queues[pair], cold.peers[from].Roster())
 	}
 }
 
-func (crd *crowd) of(inc yuccaid.Incarnation) int {
-	for i, member := range crd.members {
+// indexOf returns the index of the daemon with an incarnation.
+func (cold *coldStart) indexOf(inc yuccaid.Incarnation) int {
+	for i, member := range cold.members {
 		if member.Incarnation == inc {
 			return i
 		}
 	}
-	panic("nobody is " + inc.String())
+	panic("no daemon is " + inc.String())
 }
 
-func (crd *crowd) deliver(from, to int) {
-	way := [2]int{from, to}
-	message := crd.ways[way][0]
-	crd.ways[way] = crd.ways[way][1:]
+// deliver has a daemon handle the first message queued from another.
+func (cold *coldStart) deliver(from, to int) {
+	pair := [2]int{from, to}
+	message := cold.queues[pair][0]
+	cold.queues[pair] = cold.queues[pair][1:]
 	switch message := message.(type) {
 	case yuccapeer.Heartbeat:
-		crd.send(to, crd.peers[to].HandleHeartbeat(crd.now, message))
+		cold.send(to, cold.peers[to].HandleHeartbeat(cold.now, message))
 	case []yuccapeer.Listing:
-		crd.peers[to].AddListings(crd.now, message)
+		cold.peers[to].AddListings(cold.now, message)
 	}
 }
 
-// All daemons of a data centre were killed and start together, without a list of the
-// platform. Each gets the rosters of a few only. If two never heard of each other, they would
-// name different leaders for as long as they live, and count quotas apart.
+// All daemons of a data centre were killed and start at the same time, while the platform's
+// list can't be read. Each gets the rosters of a few daemons only. If two never learnt of each
+// other, they would name different leaders until one of them restarts, and would count the
+// usage of quotas separately.
 func TestDaemonsThatStartTogetherAllMeet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pick := func(count int) int { return rapid.IntRange(0, count-1).Draw(rt, "next") }
-		crd := newCrowd(pick, rapid.IntRange(2, 14).Draw(rt, "daemons"), rapid.IntRange(1, 2).Draw(rt, "seeds"))
-		for crd.step() {
+		cold := newColdStart(pick, rapid.IntRange(2, 14).Draw(rt, "daemons"), rapid.IntRange(1, 2).Draw(rt, "seeds"))
+		for cold.step() {
 		}
-		for i, peers := range crd.peers {
-			if met := len(peers.Live("odessa")); met != len(crd.peers) {
-				rt.Fatalf("%s met %d of %d", crd.members[i].VM, met, len(crd.peers))
+		for i, peers := range cold.peers {
+			if known := len(peers.Live("odessa")); known != len(cold.peers) {
+				rt.Fatalf("%s knows %d of %d daemons", cold.members[i].VM, known, len(cold.peers))
 			}
 		}
 	})
 }
 
-// One VM of a large data centre is replaced. A roster to and from each of the others, 78,
-// would be most of what a fleet tells.
+// One VM of a large data centre is replaced. If it exchanged rosters with each of the other
+// 39 daemons, those 78 rosters would be most of the fleet's membership traffic.
 func TestANewcomerGetsTheRostersOfAFew(t *testing.T) {
 	const daemons, rostersAtMost = 40, 40
 	for seed := range uint64(5) {
-		crd := newCrowd(rand.New(rand.NewPCG(seed, 0)).IntN, daemons, 2)
+		cold := newColdStart(rand.New(rand.NewPCG(seed, 0)).IntN, daemons, 2)
 		last := daemons - 1
-		late := crd.peers[last]
-		crd.peers = crd.peers[:last]
+		newcomer := cold.peers[last]
+		cold.peers = cold.peers[:last]
 		for i := range last {
 			for j := range i {
-				crd.link(i, j)
+				cold.link(i, j)
 			}
 		}
-		for way := range crd.ways {
-			for len(crd.ways[way]) > 0 {
-				crd.deliver(way[0], way[1])
+		for pair := range cold.queues {
+			for len(cold.queues[pair]) > 0 {
+				cold.deliver(pair[0], pair[1])
 			}
 		}
-		crd.peers = append(crd.peers, late)
-		crd.rosters = 0
-		for crd.step() {
+		cold.peers = append(cold.peers, newcomer)
+		cold.rosters = 0
+		for cold.step() {
 		}
-		if met := len(late.Live("odessa")); met != daemons || crd.rosters > rostersAtMost {
-			t.Errorf("met %d of %d by %d rosters", met, daemons, crd.rosters)
+		if known := len(newcomer.Live("odessa")); known != daemons || cold.rosters > rostersAtMost {
+			t.Errorf("knows %d of %d daemons by %d rosters", known, daemons, cold.rosters)
 		}
 	}
 }
--- a/core/yuccapeer/share_test.go
+++ b/core/yuccapeer/share_test.go
@@ -11,10 +11,10 @@
 	"yuccacleat/core/yuccapeer"
 )
 
-var _ = Describe("the share of targets in a cut", func() {
-	// A switch fails and parts the daemons of a data centre. With both sides filling
-	// every target, engines would queue twice the work and urgent requests would wait.
-	DescribeTable("is whole on one side at most, and the parts of smaller sides are disjoint",
+var _ = Describe("the share of targets in a network partition", func() {
+	// A switch fails and partitions a data centre. If both sides used all slots of every target,
+	// engines would queue twice the requests and urgent ones would wait.
+	DescribeTable("contains all targets on one side at most, and the shares of smaller sides are disjoint",
 		func(daemons int, side func(i int) int) {
 			now := time.Unix(1_700_000_000, 0)
 			var listings []yuccapeer.Listing
@@ -47,6 +47,6 @@
 		Entry("one daemon of seven is cut off", 7, func(i int) int { return min(i, 1) }),
 		Entry("three and four", 7, func(i int) int { return i / 4 }),
 		Entry("halves", 4, func(i int) int { return i % 2 }),
-		Entry("everybody alone", 5, func(i int) int { return i }),
+		Entry("each daemon alone", 5, func(i int) int { return i }),
 	)
 })
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -11,64 +11,74 @@
 )
 
 const (
-	// silence is after how long a connection that brings nothing is given up.
-	silence = 3500 * time.Millisecond
-	delay   = 30 * time.Millisecond
+	// silenceLimit is how long a connection may deliver no message before it is closed.
+	silenceLimit = 3500 * time.Millisecond
+	// delay is how long a message takes unless the network is noisy.
+	delay = 30 * time.Millisecond
 )
 
-// world runs daemons on virtual time over a network that can do all that real ones do.
+// world runs daemons in virtual time, over a network that can be partitioned and can lose,
+// delay and duplicate messages.
 type world struct {
-	now      time.Time
-	step     time.Duration
-	rng      *rand.Rand
-	noisy    bool
-	runs     []*run
-	flying   []flight
-	listings []yuccapeer.Listing
-	unrest   time.Time
-	nonces   uint64
-	sent     func(from, to *run, beat yuccapeer.Message)
-	broken   string
-	// ended are the incarnations whose VM runs another now.
-	ended map[yuccaid.Incarnation]bool
+	now        time.Time
+	step       time.Duration
+	rng        *rand.Rand
+	noisy      bool
+	processes  []*process
+	deliveries []delivery
+	listings   []yuccapeer.Listing
+	// lastDisturbance is until when the network or a process misbehaved.
+	lastDisturbance time.Time
+	nonces          uint64
+	// sent is called for each message that is sent.
+	sent func(from, to *process, message yuccapeer.Message)
+	// violation describes an incarnation that a process took back after it was replaced or
+	// was leaving. It is empty as long as none did.
+	violation string
+	// superseded are the incarnations whose VM runs another incarnation now.
+	superseded map[yuccaid.Incarnation]bool
 }
 
-// run is one process.
-type run struct {
+// process is one daemon's process and what it has received.
+type process struct {
 	yuccapeer.Member
-	peers  *yuccapeer.Peers
-	side   int
-	paused bool
-	dead   bool
-	number yuccaid.ConfigNumber
-	bonds  map[yuccaid.Incarnation]*bond
-	inbox  []func()
-	heard  map[yuccaid.Incarnation]time.Time
+	peers     *yuccapeer.Peers
+	partition int
+	paused    bool
+	dead      bool
+	number    yuccaid.ConfigNumber
+	// links are its connections, by the incarnation at the other end.
+	links map[yuccaid.Incarnation]*link
+	inbox []func()
+	// received is when the last message of each incarnation arrived.
+	received map[yuccaid.Incarnation]time.Time
+	// latest is the incarnation on each VM that last joined the view.
 	latest map[yuccaid.VM]yuccaid.Incarnation
-	// gone ended and were replaced in this view, leaving said that they leave.
-	gone, leaving map[yuccaid.Incarnation]bool
+	// replaced are the incarnations that a successor replaced in this view, leaving those
+	// that have reported that they are leaving.
+	replaced, leaving map[yuccaid.Incarnation]bool
 }
 
-// bond is a connection between two runs.
-type bond struct {
-	ends   [2]*run
-	heard  time.Time
-	broken bool
+// link is a connection between two processes.
+type link struct {
+	ends     [2]*process
+	received time.Time
+	broken   bool
 }
 
-// flight is a message on its way.
-type flight struct {
+// delivery is a message that was sent and hasn't arrived.
+type delivery struct {
 	due      time.Time
-	from, to *run
-	over     *bond
-	beat     yuccapeer.Message
+	from, to *process
+	link     *link
+	message  yuccapeer.Message
 }
 
 // newWorld starts count daemons in each of the data centres.
 func newWorld(seed uint64, step time.Duration, centres, count int) *world {
 	wld := &world{now: time.Unix(1e6, 0), step: step, rng: rand.New(rand.NewPCG(seed, 0))}
-	wld.sent = func(_, _ *run, _ yuccapeer.Message) {}
-	wld.ended = make(map[yuccaid.Incarnation]bool)
+	wld.sent = func(_, _ *process, _ yuccapeer.Message) {}
+	wld.superseded = make(map[yuccaid.Incarnation]bool)
 	for i := range centres * count {
 		wld.listings = append(wld.listings, yuccapeer.Listing{
 			VM:      yuccaid.VM(fmt.Sprintf("vm-%03d", i)),
@@ -82,103 +92,107 @@
 	return wld
 }
 
-func (wld *world) start(listing yuccapeer.Listing) *run {
+func (wld *world) start(listing yuccapeer.Listing) *process {
 	wld.nonces++
 	wld.disturbed(wld.now)
 	self := yuccapeer.Member{
 		VM: listing.VM, Centre: listing.Centre, Address: listing.Address,
 		Incarnation: yuccaid.NewIncarnation(listing.VM, [16]byte{byte(wld.nonces), byte(wld.nonces >> 8)}),
 	}
-	one := &run{
-		Member:  self,
-		peers:   yuccapeer.New(self),
-		bonds:   make(map[yuccaid.Incarnation]*bond),
-		heard:   make(map[yuccaid.Incarnation]time.Time),
-		latest:  make(map[yuccaid.VM]yuccaid.Incarnation),
-		gone:    make(map[yuccaid.Incarnation]bool),
-		leaving: make(map[yuccaid.Incarnation]bool),
+	proc := &process{
+		Member:   self,
+		peers:    yuccapeer.New(self),
+		links:    make(map[yuccaid.Incarnation]*link),
+		received: make(map[yuccaid.Incarnation]time.Time),
+		latest:   make(map[yuccaid.VM]yuccaid.Incarnation),
+		replaced: make(map[yuccaid.Incarnation]bool),
+		leaving:  make(map[yuccaid.Incarnation]bool),
 	}
-	one.peers.SetListings(wld.now, wld.listings)
-	wld.runs = append(wld.runs, one)
-	return one
+	proc.peers.SetListings(wld.now, wld.listings)
+	wld.processes = append(wld.processes, proc)
+	return proc
 }
 
-// replace starts a successor on a process's VM, at the same address if the old process
-// has died, else at a new one, which the platform's list then names.
-func (wld *world) replace(old *run, died bool) {
-	wld.ended[old.Incarnation] = true
+// replace starts a successor on a process's VM. If the old process has died, the successor
+// has its address, and otherwise a new one, which is entered in the platform's list.
+func (wld *world) replace(old *process, died bool) {
+	wld.superseded[old.Incarnation] = true
 	old.dead = died
 	listing := yuccapeer.Listing{VM: old.VM, Centre: old.Centre, Address: old.Address}
 	if !died {
 		listing.Address = fmt.Sprintf("10.9.0.%d:7400", wld.nonces)
 	}
-	i := slices.IndexFunc(wld.listings, func(one yuccapeer.Listing) bool { return one.VM == old.VM })
+	i := slices.IndexFunc(wld.listings, func(item yuccapeer.Listing) bool { return item.VM == old.VM })
 	wld.listings[i] = listing
-	for _, one := range wld.runs {
-		one.peers.SetListings(wld.now, wld.listings)
+	for _, item := range wld.processes {
+		item.peers.SetListings(wld.now, wld.listings)
 	}
-	wld.start(listing).side = old.side
+	wld.start(listing).partition = old.partition
 }
 
-// advance lets the steps pass.
+// advance advances the time by some steps.
 func (wld *world) advance(steps int) {
 	for range steps {
 		wld.now = wld.now.Add(wld.step)
-		for _, one := range wld.runs {
-			wld.turn(one)
+		for _, proc := range wld.processes {
+			wld.runOnce(proc)
 		}
-		wld.land()
+		wld.deliverDue()
 		wld.connect()
-		wld.breakSilent()
+		wld.closeSilent()
 	}
 }
 
-// disturbed notes that the network or a process misbehaved until then.
+// disturbed records that the network or a process misbehaves until the given time.
 func (wld *world) disturbed(until time.Time) {
-	if until.After(wld.unrest) {
-		wld.unrest = until
+	if until.After(wld.lastDisturbance) {
+		wld.lastDisturbance = until
 	}
 }
 
-// turn gives one process its time. One that wakes up ticks before it reads anything.
-func (wld *world) turn(one *run) {
-	if one.paused || one.dead {
+// runOnce runs one process for a step. A process that resumes after a pause calls Tick before
+// it handles any message.
+func (wld *world) runOnce(proc *process) {
+	if proc.paused || proc.dead {
 		return
 	}
-	wld.apply(one, one.peers.Tick(wld.now))
-	for _, event := range one.inbox {
+	wld.apply(proc, proc.peers.Tick(wld.now))
+	for _, event := range proc.inbox {
 		event()
 	}
-	one.inbox = nil
+	proc.inbox = nil
 }
 
-func (wld *world) apply(one *run, change yuccapeer.Change) {
+// apply checks a change of a process's view and sends its messages.
+func (wld *world) apply(proc *process, change yuccapeer.Change) {
 	for _, joined := range change.Joined {
 		inc := joined.Incarnation
-		if one.gone[inc] || (one.leaving[inc] && !joined.Leaving) {
-			wld.broken = fmt.Sprintf("%s took %s back", one.VM, inc)
+		if proc.replaced[inc] || (proc.leaving[inc] && !joined.Leaving) {
+			wld.violation = fmt.Sprintf("%s added %s to its view again", proc.VM, inc)
 		}
-		if before, ok := one.latest[joined.VM]; ok && before != inc && wld.ended[before] {
-			one.gone[before] = true
+		if before, ok := proc.latest[joined.VM]; ok && before != inc && wld.superseded[before] {
+			proc.replaced[before] = true
 		}
-		one.latest[joined.VM] = inc
-		one.leaving[inc] = joined.Leaving
+		proc.latest[joined.VM] = inc
+		proc.leaving[inc] = joined.Leaving
 	}
-	for _, beat := range change.Messages {
-		wld.send(one, beat)
+	for _, message := range change.Messages {
+		wld.send(proc, message)
 	}
 }
 
-func (wld *world) send(from *run, beat yuccapeer.Message) {
-	over := from.bonds[beat.To]
-	if over == nil {
+// send sends a message over the sender's connection. A noisy network may lose, duplicate or
+// delay it.
+func (wld *world) send(from *process, message yuccapeer.Message) {
+	link := from.links[message.To]
+	if link == nil {
 		return
 	}
-	to := over.ends[0]
+	to := link.ends[0]
 	if to == from {
-		to = over.ends[1]
+		to = link.ends[1]
 	}
-	wld.sent(from, to, beat)
+	wld.sent(from, to, message)
 	copies, late := 1, delay
 	if wld.noisy {
 		copies = []int{0, 1, 1, 1, 2}[wld.rng.IntN(5)]
@@ -189,97 +203,103 @@
 			late = time.Duration(wld.rng.Int64N(int64(8 * time.Second)))
 			wld.disturbed(wld.now.Add(late))
 		}
-		wld.flying = append(wld.flying, flight{due: wld.now.Add(late), from: from, to: to, over: over, beat: beat})
+		wld.deliveries = append(wld.deliveries, delivery{due: wld.now.Add(late), from: from, to: to, link: link, message: message})
 	}
 }
 
-// land brings in the messages that are due, unless their connection is gone.
-func (wld *world) land() {
-	wld.flying = slices.DeleteFunc(wld.flying, func(fly flight) bool {
-		if wld.now.Before(fly.due) {
+// deliverDue delivers the messages that are due, unless their connection is broken.
+func (wld *world) deliverDue() {
+	wld.deliveries = slices.DeleteFunc(wld.deliveries, func(dlv delivery) bool {
+		if wld.now.Before(dlv.due) {
 			return false
 		}
-		if !fly.over.broken && wld.reach(fly.from, fly.to) {
-			fly.over.heard = wld.now
-			fly.to.inbox = append(fly.to.inbox, func() { wld.take(fly) })
+		if !dlv.link.broken && wld.canReach(dlv.from, dlv.to) {
+			dlv.link.received = wld.now
+			dlv.to.inbox = append(dlv.to.inbox, func() { wld.receive(dlv) })
 		}
 		return true
 	})
 }
 
-func (wld *world) take(fly flight) {
-	one, from := fly.to, fly.from.Incarnation
-	if one.bonds[from] != fly.over {
+// receive has a process handle a message, unless its connection was closed meanwhile.
+func (wld *world) receive(dlv delivery) {
+	proc, from := dlv.to, dlv.from.Incarnation
+	if proc.links[from] != dlv.link {
 		return
 	}
-	one.heard[from] = wld.now
-	if fly.beat.Heartbeat != nil {
-		wld.apply(one, one.peers.HandleHeartbeat(wld.now, *fly.beat.Heartbeat))
+	proc.received[from] = wld.now
+	if dlv.message.Heartbeat != nil {
+		wld.apply(proc, proc.peers.HandleHeartbeat(wld.now, *dlv.message.Heartbeat))
 		return
 	}
-	wld.apply(one, one.peers.HandlePulse(wld.now, from, fly.beat.Pulse))
+	wld.apply(proc, proc.peers.HandlePulse(wld.now, from, dlv.message.Pulse))
 }
 
-func (wld *world) reach(a, b *run) bool { return a.side == b.side && !a.dead && !b.dead }
+// canReach reports whether two processes run on the same side of the network partition.
+func (wld *world) canReach(a, b *process) bool {
+	return a.partition == b.partition && !a.dead && !b.dead
+}
 
-// connect makes the connections that are wished for and possible.
+// connect opens the connections that processes want to dial and can.
 func (wld *world) connect() {
-	byAddress := make(map[string]*run)
-	for _, one := range wld.runs {
-		if !one.dead {
-			byAddress[one.Address] = one
+	byAddress := make(map[string]*process)
+	for _, proc := range wld.processes {
+		if !proc.dead {
+			byAddress[proc.Address] = proc
 		}
 	}
-	for _, one := range wld.runs {
-		if one.dead || one.paused {
+	for _, proc := range wld.processes {
+		if proc.dead || proc.paused {
 			continue
 		}
-		for _, address := range one.peers.Dial() {
+		for _, address := range proc.peers.Dial() {
 			other := byAddress[address]
-			if other != nil && !other.paused && wld.reach(one, other) && one.bonds[other.Incarnation] == nil {
-				wld.bond(one, other)
+			if other != nil && !other.paused && wld.canReach(proc, other) && proc.links[other.Incarnation] == nil {
+				wld.link(proc, other)
 			}
 		}
 	}
 }
 
-func (wld *world) bond(a, b *run) {
-	between := &bond{ends: [2]*run{a, b}, heard: wld.now}
-	a.bonds[b.Incarnation], b.bonds[a.Incarnation] = between, between
+// link connects two processes.
+func (wld *world) link(a, b *process) {
+	conn := &link{ends: [2]*process{a, b}, received: wld.now}
+	a.links[b.Incarnation], b.links[a.Incarnation] = conn, conn
 	wld.apply(a, a.peers.HandleConnect(wld.now, b.Member))
 	wld.apply(b, b.peers.HandleConnect(wld.now, a.Member))
 }
 
-// breakSilent ends connections whose other end died, or that brought nothing for long.
-func (wld *world) breakSilent() {
-	for _, one := range wld.runs {
-		for inc, between := range one.bonds {
-			died := between.ends[0].dead || between.ends[1].dead
-			if !died && !between.broken && wld.now.Sub(between.heard) < silence {
+// closeSilent closes connections of which an end has died, or that have delivered no message
+// for silenceLimit.
+func (wld *world) closeSilent() {
+	for _, proc := range wld.processes {
+		for inc, conn := range proc.links {
+			died := conn.ends[0].dead || conn.ends[1].dead
+			if !died && !conn.broken && wld.now.Sub(conn.received) < silenceLimit {
 				continue
 			}
-			between.broken = true
-			delete(one.bonds, inc)
-			one.inbox = append(one.inbox, func() {
-				if one.bonds[inc] == nil {
-					one.peers.HandleDisconnect(wld.now, inc)
+			conn.broken = true
+			delete(proc.links, inc)
+			proc.inbox = append(proc.inbox, func() {
+				if proc.links[inc] == nil {
+					proc.peers.HandleDisconnect(wld.now, inc)
 				}
 			})
 		}
 	}
 }
 
-// alive returns the processes that run now and have no successor.
-func (wld *world) alive() []*run {
-	return slices.DeleteFunc(slices.Clone(wld.runs), func(one *run) bool {
-		return one.dead || one.paused || wld.ended[one.Incarnation]
+// current returns the processes that run and have no successor.
+func (wld *world) current() []*process {
+	return slices.DeleteFunc(slices.Clone(wld.processes), func(proc *process) bool {
+		return proc.dead || proc.paused || wld.superseded[proc.Incarnation]
 	})
 }
 
-// quiet reports whether nothing has disturbed the world for longer than two leaders
-// may stand side by side.
+// quiet reports whether nothing has disturbed the world for longer than two daemons may both
+// lead a pool.
 func (wld *world) quiet() bool {
 	timing := yuccapeer.DefaultTiming()
 	bound := timing.ExpireAfter + timing.HeartbeatEvery + delay + 3*wld.step
-	return wld.now.Sub(wld.unrest) > bound
+	return wld.now.Sub(wld.lastDisturbance) > bound
 }
