--- a/core/yuccapeer/share_test.go
+++ b/core/yuccapeer/share_test.go
@@ -47,6 +47,6 @@
 		Entry("one daemon of seven is cut off", 7, func(i int) int { return min(i, 1) }),
 		Entry("three and four", 7, func(i int) int { return i / 4 }),
 		Entry("halves", 4, func(i int) int { return i % 2 }),
-		Entry("each daemon alone", 5, func(i int) int { return i }),
+		Entry("everybody alone", 5, func(i int) int { return i }),
 	)
 })
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -70,7 +70,7 @@
 type delivery struct {
 	due      time.Time
 	from, to *process
-	link     *link
+	via      *link
 	message  yuccapeer.Message
 }
 
@@ -184,13 +184,13 @@
 // send sends a message over the sender's connection. A noisy network may lose, duplicate or
 // delay it.
 func (wld *world) send(from *process, message yuccapeer.Message) {
-	link := from.links[message.To]
-	if link == nil {
+	via := from.links[message.To]
+	if via == nil {
 		return
 	}
-	to := link.ends[0]
+	to := via.ends[0]
 	if to == from {
-		to = link.ends[1]
+		to = via.ends[1]
 	}
 	wld.sent(from, to, message)
 	copies, late := 1, delay
@@ -203,7 +203,7 @@
 			late = time.Duration(wld.rng.Int64N(int64(8 * time.Second)))
 			wld.disturbed(wld.now.Add(late))
 		}
-		wld.deliveries = append(wld.deliveries, delivery{due: wld.now.Add(late), from: from, to: to, link: link, message: message})
+		wld.deliveries = append(wld.deliveries, delivery{due: wld.now.Add(late), from: from, to: to, via: via, message: message})
 	}
 }
 
@@ -213,8 +213,8 @@
 		if wld.now.Before(dlv.due) {
 			return false
 		}
-		if !dlv.link.broken && wld.canReach(dlv.from, dlv.to) {
-			dlv.link.received = wld.now
+		if !dlv.via.broken && wld.canReach(dlv.from, dlv.to) {
+			dlv.via.received = wld.now
 			dlv.to.inbox = append(dlv.to.inbox, func() { wld.receive(dlv) })
 		}
 		return true
@@ -224,7 +224,7 @@
 // receive has a process handle a message, unless its connection was closed meanwhile.
 func (wld *world) receive(dlv delivery) {
 	proc, from := dlv.to, dlv.from.Incarnation
-	if proc.links[from] != dlv.link {
+	if proc.links[from] != dlv.via {
 		return
 	}
 	proc.received[from] = wld.now
