--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -140,6 +140,7 @@
 	return Member{VM: listing.VM, Centre: listing.Centre, Address: listing.Address, Leaving: listing.Leaving}
 }
 
+// compareListings orders listings by their VM's name, then by their address.
 func compareListings(a, b Listing) int {
 	return cmp.Or(cmp.Compare(a.VM, b.VM), cmp.Compare(a.Address, b.Address))
 }
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -55,8 +55,8 @@
 			if slices.ContainsFunc(leaders(proc), func(inc yuccaid.Incarnation) bool { return wld.superseded[inc] }) {
 				return fmt.Sprintf("%s names a leader that was replaced", proc.VM)
 			}
-			if ours, theirs := leaders(proc), leaders(other); !slices.Equal(ours, theirs) {
-				return fmt.Sprintf("%s names %v and %s names %v", proc.VM, ours, other.VM, theirs)
+			if named, otherNamed := leaders(proc), leaders(other); !slices.Equal(named, otherNamed) {
+				return fmt.Sprintf("%s names %v and %s names %v", proc.VM, named, other.VM, otherNamed)
 			}
 		}
 		if !proc.peers.Settled() {
