--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -8,57 +8,61 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// announce raises the version and returns the whole heartbeat for everybody.
-func (peers *Peers) announce(now time.Time) []Message {
+// heartbeatsToAll increments the version and returns a full heartbeat for each connected
+// peer.
+func (peers *Peers) heartbeatsToAll(now time.Time) []Message {
 	peers.self.Version++
 	peers.self.Sequence++
-	peers.beaten = now
-	whole := peers.Heartbeat()
-	return peers.toAll(func(to yuccaid.Incarnation) Message {
-		return Message{To: to, Heartbeat: &whole}
+	peers.lastHeartbeats = now
+	heartbeat := peers.Heartbeat()
+	return peers.messagesToAll(func(to yuccaid.Incarnation) Message {
+		return Message{To: to, Heartbeat: &heartbeat}
 	})
 }
 
-// pulses is the round that says we are alive; it asks those for their whole heartbeat
-// whom we don't know, or no longer since a pause.
-func (peers *Peers) pulses(now time.Time) []Message {
+// pulsesToAll returns a pulse for each connected peer. The pulse requests a full heartbeat
+// from each peer that isn't in the view.
+func (peers *Peers) pulsesToAll(now time.Time) []Message {
 	peers.self.Sequence++
-	peers.beaten = now
-	return peers.toAll(func(to yuccaid.Incarnation) Message {
-		return Message{To: to, Pulse: peers.pulseNow(!peers.knows(to))}
+	peers.lastHeartbeats = now
+	return peers.messagesToAll(func(to yuccaid.Incarnation) Message {
+		return Message{To: to, Pulse: peers.newPulse(!peers.isInView(to))}
 	})
 }
 
-// whole is the heartbeat for one peer that lacks it.
-func (peers *Peers) whole(to yuccaid.Incarnation) Message {
+// fullHeartbeat returns a full heartbeat for one peer.
+func (peers *Peers) fullHeartbeat(to yuccaid.Incarnation) Message {
 	peers.self.Sequence++
-	whole := peers.Heartbeat()
-	return Message{To: to, Heartbeat: &whole}
+	fullHeartbeat := peers.Heartbeat()
+	return Message{To: to, Heartbeat: &fullHeartbeat}
 }
 
-// pulse is a pulse for one peer out of turn.
-func (peers *Peers) pulse(to yuccaid.Incarnation, ask bool) Message {
+// pulse returns a pulse for one peer, sent between two rounds of pulsesToAll.
+func (peers *Peers) pulse(to yuccaid.Incarnation, requestHeartbeat bool) Message {
 	peers.self.Sequence++
-	return Message{To: to, Pulse: peers.pulseNow(ask)}
+	return Message{To: to, Pulse: peers.newPulse(requestHeartbeat)}
 }
 
-func (peers *Peers) pulseNow(ask bool) Pulse {
-	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, RequestHeartbeat: ask}
+// newPulse returns a pulse with the current sequence number and version.
+func (peers *Peers) newPulse(requestHeartbeat bool) Pulse {
+	return Pulse{Sequence: peers.self.Sequence, Version: peers.self.Version, RequestHeartbeat: requestHeartbeat}
 }
 
-func (peers *Peers) knows(inc yuccaid.Incarnation) bool {
+// isInView reports whether an incarnation is in the view.
+func (peers *Peers) isInView(inc yuccaid.Incarnation) bool {
 	other := peers.peers[inc.VM]
-	return other != nil && other.known && other.member.Incarnation == inc
+	return other != nil && other.inView && other.member.Incarnation == inc
 }
 
-// toAll makes one beat for each connected peer, in the order of their names.
-func (peers *Peers) toAll(beat func(yuccaid.Incarnation) Message) []Message {
-	beats := make([]Message, 0, len(peers.linked))
-	for inc := range peers.linked {
-		beats = append(beats, beat(inc))
+// messagesToAll calls newMessage for each connected peer and returns the messages in the
+// order of the peers' names.
+func (peers *Peers) messagesToAll(newMessage func(yuccaid.Incarnation) Message) []Message {
+	messages := make([]Message, 0, len(peers.connected))
+	for inc := range peers.connected {
+		messages = append(messages, newMessage(inc))
 	}
-	slices.SortFunc(beats, func(a, b Message) int {
+	slices.SortFunc(messages, func(a, b Message) int {
 		return strings.Compare(a.To.String(), b.To.String())
 	})
-	return beats
+	return messages
 }
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -7,50 +7,60 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Peers is one daemon's view of the others.
+// Peers is one daemon's view of the other daemons. It isn't safe for concurrent use.
 type Peers struct {
-	self     Heartbeat
-	timing   Timing
-	gateways int
-	seeds    []string
+	self         Heartbeat
+	timing       Timing
+	gatewayCount int
+	seeds        []string
 
+	// listed is the platform's list.
 	listed map[yuccaid.VM]Listing
-	told   map[yuccaid.VM]hearsay
-	peers  map[yuccaid.VM]*peer
-	gone   map[yuccaid.Incarnation]time.Time
-	linked map[yuccaid.Incarnation]Member
-	// rostered are the peers that got a roster on their present connection. One for each
-	// whole heartbeat would grow with the square of the daemons at every change.
-	rostered map[yuccaid.Incarnation]bool
-	// plan is who to dial in other data centres, stale that it has to be made anew,
-	// plannedSettled whether the view had settled when it was made.
-	plan map[yuccaid.Centre][]yuccaid.VM
-	// bridges are the VMs of this data centre that the plan has as gateways.
-	bridges        map[yuccaid.VM]bool
-	stale          bool
-	derived        derived
-	plannedSettled bool
-	wishes         map[yuccaid.Centre]*wish
-	ticked         time.Time
-	settled        time.Time
-	beaten         time.Time
+	// received are the candidates received from peers, while there is no list.
+	received map[yuccaid.VM]receivedListing
+	// peers has the peer on each VM, in the view or not.
+	peers map[yuccaid.VM]*peer
+	// departed are the incarnations that were replaced, with when each is forgotten.
+	departed map[yuccaid.Incarnation]time.Time
+	// connected are the incarnations with a connection to this daemon.
+	connected map[yuccaid.Incarnation]Member
+	// rosterSent are the peers that were sent a roster on their current connection. If one
+	// were sent for each full heartbeat, each change would cause as many rosters as the
+	// square of the number of daemons.
+	rosterSent map[yuccaid.Incarnation]bool
+	// dialPlan has the VMs to dial in each data centre that this daemon is a gateway to, in
+	// order. It has to be made again if dialPlanStale is set, or if Settled no longer
+	// returns dialPlanSettled.
+	dialPlan map[yuccaid.Centre][]yuccaid.VM
+	// gatewayVMs are the VMs of this data centre that are gateways according to the plan.
+	gatewayVMs      map[yuccaid.VM]bool
+	dialPlanStale   bool
+	viewCache       viewCache
+	dialPlanSettled bool
+	gatewayLinks    map[yuccaid.Centre]*gatewayLink
+	// lastTick is the time of the last Tick.
+	lastTick time.Time
+	// settledAt is when this daemon may name leaders.
+	settledAt time.Time
+	// lastHeartbeats is when heartbeats or pulses were last sent to all peers.
+	lastHeartbeats time.Time
 }
 
-// peer is the present incarnation on one VM.
+// peer is the current incarnation on one VM.
 type peer struct {
 	member   Member
-	source   PeerConfig
+	config   PeerConfig
 	sequence uint64
 	version  uint64
-	// known says that the peer is in the view: a whole heartbeat has come, and
-	// neither silence nor a pause of our own has ended it since. The rest stays
-	// when it ends, so that a late heartbeat is still seen to be late.
-	known bool
-	// expires is when the peer goes out of the view unless it is heard again.
+	// inView is set by a full heartbeat, and reset when the peer's heartbeats are overdue
+	// or this process was paused. The other fields are kept then, so that a late message
+	// can still be recognised by its sequence number.
+	inView bool
+	// expires is when the peer is removed from the view unless it sends a message.
 	expires time.Time
 }
 
-// New returns a view that holds only this daemon.
+// New returns a view that contains only this daemon.
 func New(self Member, options ...Option) *Peers {
 	peers := &Peers{
 		self: Heartbeat{
@@ -61,16 +71,16 @@
 			Version:     1,
 			Unlisted:    true,
 		},
-		timing:   DefaultTiming(),
-		gateways: DefaultGateways,
-		listed:   make(map[yuccaid.VM]Listing),
-		told:     make(map[yuccaid.VM]hearsay),
-		peers:    make(map[yuccaid.VM]*peer),
-		gone:     make(map[yuccaid.Incarnation]time.Time),
-		linked:   make(map[yuccaid.Incarnation]Member),
-		rostered: make(map[yuccaid.Incarnation]bool),
-		wishes:   make(map[yuccaid.Centre]*wish),
-		bridges:  make(map[yuccaid.VM]bool),
+		timing:       DefaultTiming(),
+		gatewayCount: DefaultGateways,
+		listed:       make(map[yuccaid.VM]Listing),
+		received:     make(map[yuccaid.VM]receivedListing),
+		peers:        make(map[yuccaid.VM]*peer),
+		departed:     make(map[yuccaid.Incarnation]time.Time),
+		connected:    make(map[yuccaid.Incarnation]Member),
+		rosterSent:   make(map[yuccaid.Incarnation]bool),
+		gatewayLinks: make(map[yuccaid.Centre]*gatewayLink),
+		gatewayVMs:   make(map[yuccaid.VM]bool),
 	}
 	for _, option := range options {
 		option(peers)
@@ -78,55 +88,54 @@
 	return peers
 }
 
-// Self returns this daemon as the others see it.
+// Self returns this daemon as a member.
 func (peers *Peers) Self() Member { return peers.self.member() }
 
-// Heartbeat returns what this daemon tells the others now.
+// Heartbeat returns this daemon's current full heartbeat.
 func (peers *Peers) Heartbeat() Heartbeat {
-	beat := peers.self
-	beat.Knows = peers.known(peers.self.Centre)
-	return beat
+	heartbeat := peers.self
+	heartbeat.Knows = peers.candidateCount(peers.self.Centre)
+	return heartbeat
 }
 
-// SetConfig notes the configuration that this daemon has accepted and returns the
-// heartbeats that tell the others.
+// SetConfig sets the configuration that this daemon has accepted and returns the
+// heartbeats that report it.
 func (peers *Peers) SetConfig(now time.Time, number yuccaid.ConfigNumber, digest yuccaid.Digest) Change {
 	if peers.self.Number == number && peers.self.Digest == digest {
 		return Change{}
 	}
 	peers.self.Number = number
 	peers.self.Digest = digest
-	return Change{Messages: peers.announce(now), NewerConfig: peers.NewerConfig()}
+	return Change{Messages: peers.heartbeatsToAll(now), NewerConfig: peers.NewerConfig()}
 }
 
-// Leave notes that this daemon is leaving and returns the heartbeats that tell the
-// others.
+// Leave marks this daemon as leaving and returns the heartbeats that report it.
 func (peers *Peers) Leave(now time.Time) Change {
 	if peers.self.Leaving {
 		return Change{}
 	}
 	peers.self.Leaving = true
-	peers.changed()
-	return Change{Messages: peers.announce(now)}
+	peers.invalidate()
+	return Change{Messages: peers.heartbeatsToAll(now)}
 }
 
-// HandleConnect notes that a connection to the member is up and returns the heartbeat that
-// greets it. The member joins the view with its own first heartbeat. One that names
-// this daemon's own VM is its predecessor, or its successor, and counts for nothing.
+// HandleConnect records that a connection to the member is up and returns the full heartbeat
+// to send to it. The member joins the view with its own first heartbeat. A member on this
+// daemon's own VM, its predecessor or its successor, is ignored.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
-	_, gone := peers.gone[member.Incarnation]
-	if gone || member.VM == peers.self.Incarnation.VM {
+	_, departed := peers.departed[member.Incarnation]
+	if departed || member.VM == peers.self.Incarnation.VM {
 		return Change{}
 	}
-	peers.linked[member.Incarnation] = member
-	return Change{Messages: []Message{peers.whole(member.Incarnation)}}
+	peers.connected[member.Incarnation] = member
+	return Change{Messages: []Message{peers.fullHeartbeat(member.Incarnation)}}
 }
 
-// HandleDisconnect notes that the last connection to an incarnation is gone. The member stays in
-// the view for LostGrace, for a broken connection alone is no death.
+// HandleDisconnect records that the last connection to an incarnation has closed. The member
+// stays in the view for DisconnectGrace, because its daemon may still be running.
 func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
-	delete(peers.linked, inc)
-	delete(peers.rostered, inc)
+	delete(peers.connected, inc)
+	delete(peers.rosterSent, inc)
 	other := peers.peers[inc.VM]
 	if other == nil || other.member.Incarnation != inc {
 		return
@@ -136,135 +145,140 @@
 	}
 }
 
-// HandleHeartbeat takes a whole heartbeat. One that came on no connection of its sender's counts
-// for nothing: Linked comes before it and Lost after.
-func (peers *Peers) HandleHeartbeat(now time.Time, beat Heartbeat) Change {
+// HandleHeartbeat applies a full heartbeat. It is ignored if its sender isn't connected, that
+// is, unless HandleConnect was called for the sender and HandleDisconnect wasn't since.
+func (peers *Peers) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Change {
 	var change Change
-	other := peers.admit(now, beat.Incarnation, beat.Sequence, &change)
+	other := peers.accept(now, heartbeat.Incarnation, heartbeat.Sequence, &change)
 	if other == nil {
 		return change
 	}
-	if other.known && other.version > beat.Version {
+	if other.inView && other.version > heartbeat.Version {
 		return change
 	}
-	peers.update(other, beat, &change)
-	if beat.Centre != peers.self.Centre {
-		// A daemon that isn't a gateway lets go of a seed elsewhere once it has met it, often
-		// before a roster has come back. Forgotten, the seed would be dialled anew at once, by
-		// every daemon of the fleet.
-		peers.AddListings(now, []Listing{listingOf(beat.member())})
+	peers.update(other, heartbeat, &change)
+	if heartbeat.Centre != peers.self.Centre {
+		// A daemon that isn't a gateway closes its connection to a seed in another data centre
+		// after the first heartbeat, often before a roster has arrived. If the seed weren't
+		// kept as a candidate, every daemon of the fleet would dial it again at once.
+		peers.AddListings(now, []Listing{listingOf(heartbeat.member())})
 	}
-	if beat.Unlisted && !peers.rostered[beat.Incarnation] && peers.owesRoster(&beat) {
-		peers.rostered[beat.Incarnation] = true
-		change.RosterRecipients = append(change.RosterRecipients, beat.Incarnation)
+	if heartbeat.Unlisted && !peers.rosterSent[heartbeat.Incarnation] && peers.sendsRosterTo(&heartbeat) {
+		peers.rosterSent[heartbeat.Incarnation] = true
+		change.RosterRecipients = append(change.RosterRecipients, heartbeat.Incarnation)
 	}
 	change.NewerConfig = peers.NewerConfig()
-	if beat.Number == peers.self.Number && beat.Digest != peers.self.Digest {
-		change.Diverged = append(change.Diverged, other.source)
+	if heartbeat.Number == peers.self.Number && heartbeat.Digest != peers.self.Digest {
+		change.Diverged = append(change.Diverged, other.config)
 	}
 	return change
 }
 
-// HandlePulse takes a pulse that came from an incarnation. If the version it names was
-// never heard whole, the change holds a pulse that asks for it.
+// HandlePulse applies a pulse from an incarnation. If the full heartbeat of its version
+// hasn't been received, the change contains a pulse that requests it.
 func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
-	other := peers.admit(now, from, pulse.Sequence, &change)
-	if pulse.RequestHeartbeat && peers.isLinked(from) {
-		change.Messages = append(change.Messages, peers.whole(from))
+	other := peers.accept(now, from, pulse.Sequence, &change)
+	if pulse.RequestHeartbeat && peers.isConnected(from) {
+		change.Messages = append(change.Messages, peers.fullHeartbeat(from))
 	}
 	if other == nil {
 		return change
 	}
-	if !other.known || other.version != pulse.Version {
+	if !other.inView || other.version != pulse.Version {
 		change.Messages = append(change.Messages, peers.pulse(from, true))
 	}
 	return change
 }
 
-// Tick expires who fell silent, returns the heartbeats that are due, and notices by
-// the gap since the last tick that this process was paused.
+// Tick removes the peers whose heartbeats are overdue and returns the pulses that are due.
+// It detects by the gap since the last tick that this process was paused.
 //
-// A paused process would take the whole world for silent, or, having missed its own
-// end, go on as the leader that it was. So its view expires before anything else and
-// it listens again before it names a leader.
+// After a pause a process would find the heartbeats of all peers overdue, or would act as
+// the leader that it was although it has been replaced. So the whole view expires first, and
+// the daemon names no leader until it has received heartbeats for SettleFor.
 func (peers *Peers) Tick(now time.Time) Change {
-	if peers.ticked.IsZero() {
-		peers.settled = now.Add(peers.timing.SettleFor)
+	if peers.lastTick.IsZero() {
+		peers.settledAt = now.Add(peers.timing.SettleFor)
 	}
-	gap := now.Sub(peers.ticked)
-	paused := !peers.ticked.IsZero() && gap > peers.timing.PauseLimit
-	peers.ticked = now
+	gap := now.Sub(peers.lastTick)
+	paused := !peers.lastTick.IsZero() && gap > peers.timing.PauseLimit
+	peers.lastTick = now
 	var change Change
 	if paused {
-		change = peers.wake(now, gap)
+		change = peers.resume(now, gap)
 	}
-	peers.expire(now, &change)
-	peers.forget(now)
-	if now.Sub(peers.beaten) >= peers.timing.HeartbeatEvery {
-		peers.reconsider(now)
-		change.Messages = append(change.Messages, peers.pulses(now)...)
+	peers.expireSilent(now, &change)
+	peers.deleteOld(now)
+	if now.Sub(peers.lastHeartbeats) >= peers.timing.HeartbeatEvery {
+		peers.updateGatewayLinks(now)
+		change.Messages = append(change.Messages, peers.pulsesToAll(now)...)
 	}
 	change.NewerConfig = peers.NewerConfig()
 	return change
 }
 
-// CheckClocks compares how far the monotonic and the wall clock have gone since the last
-// call. A VM that was suspended has a wall clock that ran ahead, while the monotonic
-// clock, and every gap that Tick can see, may have stood still.
+// CheckClocks expires the whole view if this VM was suspended. It compares the time that has
+// passed since the last call by the monotonic and by the wall clock. After a suspension the
+// wall clock is ahead, while the monotonic clock, and with it the gap between two ticks, may
+// not have advanced.
 func (peers *Peers) CheckClocks(now time.Time, monotonic, wall time.Duration) Change {
 	if ahead := wall - monotonic; ahead > peers.timing.PauseLimit {
-		return peers.wake(now, ahead)
+		return peers.resume(now, ahead)
 	}
 	return Change{}
 }
 
-// Live returns the members of a data centre that are live and not leaving, this
-// daemon included, in the order of their names. Of other data centres these are the
-// few that this daemon holds connections to.
+// Live returns the members of a data centre that are live and not leaving, this daemon
+// included, in the order of their names. In other data centres it only includes the few
+// members that this daemon is connected to.
 //
-// The list is the callers' to read, not to change: all get the same one.
+// The slice is shared between callers and must not be modified.
 func (peers *Peers) Live(centre yuccaid.Centre) []Member {
-	return lookUp(&peers.derived.live, centre, func() []Member {
+	return cached(&peers.viewCache.live, centre, func() []Member {
 		return peers.members(func(member Member) bool {
 			return member.Centre == centre && !member.Leaving
 		})
 	})
 }
 
-// SetSeeds changes where other daemons may be met.
+// SetSeeds replaces the addresses of daemons to dial until the platform's list is read.
 func (peers *Peers) SetSeeds(addresses []string) { peers.seeds = addresses }
 
-// Find returns the live member on a VM, else the VM's candidate, without incarnation.
+// Find returns the live member on a VM, or else the VM's candidate, whose incarnation is
+// unknown.
 func (peers *Peers) Find(vm yuccaid.VM) (Member, bool) {
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
 	}
-	if other := peers.peers[vm]; other != nil && other.known {
+	if other := peers.peers[vm]; other != nil && other.inView {
 		return other.member, true
 	}
 	listing, ok := peers.candidates()[vm]
 	return listing.member(), ok
 }
 
-// Settled reports whether this daemon has listened long enough to name leaders.
+// Settled reports whether this daemon has received heartbeats for long enough to name
+// leaders.
 func (peers *Peers) Settled() bool {
-	return !peers.ticked.IsZero() && !peers.ticked.Before(peers.settled)
+	return !peers.lastTick.IsZero() && !peers.lastTick.Before(peers.settledAt)
 }
 
-func (peers *Peers) isLinked(inc yuccaid.Incarnation) bool {
-	_, ok := peers.linked[inc]
+// isConnected reports whether an incarnation has a connection to this daemon.
+func (peers *Peers) isConnected(inc yuccaid.Incarnation) bool {
+	_, ok := peers.connected[inc]
 	return ok
 }
 
-// members returns the live ones that the filter takes, this daemon among them.
-func (peers *Peers) members(take func(Member) bool) []Member {
+// members returns the live members that match, this daemon included, ordered by
+// compareMembers.
+func (peers *Peers) members(match func(Member) bool) []Member {
 	var all []Member
-	if self := peers.Self(); take(self) {
+	if self := peers.Self(); match(self) {
 		all = append(all, self)
 	}
 	for _, other := range peers.peers {
-		if other.known && take(other.member) {
+		if other.inView && match(other.member) {
 			all = append(all, other.member)
 		}
 	}
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -7,27 +7,27 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// admit returns the peer that a message with the sequence number comes from, or nil
-// for one that is late, doubled, our own, of an incarnation that left or of one that
-// has no connection to us.
+// accept returns the peer that sent a message with a sequence number. It returns nil for a
+// message that is late or a duplicate, that comes from this daemon's own VM, from a departed
+// incarnation or from one that isn't connected.
 //
-// Two incarnations of one VM may both be heard: the old one was paused while its VM was
-// replaced and wakes up with its connections and its address. If the last one heard won,
-// they would take turns; so the one that holds a connection stays, unless the platform's
-// list names the other's address.
-func (peers *Peers) admit(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
-	if _, gone := peers.gone[inc]; gone || !peers.isLinked(inc) {
+// Two incarnations of one VM may both send messages: the old one was paused while its VM was
+// replaced, and resumes with its connections and its address. If the latest message decided,
+// they would replace each other in turn. So the one in the view stays while it is connected,
+// unless the platform's list has the address of the other.
+func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
+	if _, departed := peers.departed[inc]; departed || !peers.isConnected(inc) {
 		return nil
 	}
 	other := peers.peers[inc.VM]
 	if other != nil && other.member.Incarnation != inc {
-		if !peers.yields(now, other, peers.linked[inc], change) {
+		if !peers.replaces(now, other, peers.connected[inc], change) {
 			return nil
 		}
 		other = nil
 	}
 	if other == nil {
-		other = &peer{member: peers.linked[inc]}
+		other = &peer{member: peers.connected[inc]}
 		peers.peers[inc.VM] = other
 	}
 	if other.sequence >= sequence && other.sequence > 0 {
@@ -38,108 +38,112 @@
 	return other
 }
 
-// update takes over what a whole heartbeat says.
-func (peers *Peers) update(other *peer, beat Heartbeat, change *Change) {
-	before, known := other.member, other.known
-	after := beat.member()
+// update applies a full heartbeat to its sender.
+func (peers *Peers) update(other *peer, heartbeat Heartbeat, change *Change) {
+	before, inView := other.member, other.inView
+	after := heartbeat.member()
 	other.member = after
-	other.version = beat.Version
-	other.source = PeerConfig{Peer: beat.Incarnation, Number: beat.Number, Digest: beat.Digest}
-	other.known = true
-	if known && before == after {
+	other.version = heartbeat.Version
+	other.config = PeerConfig{Peer: heartbeat.Incarnation, Number: heartbeat.Number, Digest: heartbeat.Digest}
+	other.inView = true
+	if inView && before == after {
 		return
 	}
-	if known {
+	if inView {
 		change.Removed = append(change.Removed, before)
 	}
 	change.Joined = append(change.Joined, after)
-	peers.changed()
+	peers.invalidate()
 }
 
-// yields takes an incarnation out if the newcomer has the better claim to the VM. It is
-// out for good, unless the list speaks for it: then it may only have been cut off while
-// its predecessor turned up.
-func (peers *Peers) yields(now time.Time, other *peer, newcomer Member, change *Change) bool {
+// replaces reports whether the newcomer replaces the current incarnation on its VM, and if
+// so removes the current one. The removed incarnation counts as departed, unless the
+// platform's list has its address: then it may only have been cut off while its predecessor
+// sent messages, and may return.
+func (peers *Peers) replaces(now time.Time, other *peer, newcomer Member, change *Change) bool {
 	inc := other.member.Incarnation
 	listed := peers.listed[inc.VM].Address
-	stays := listed == other.member.Address && listed != newcomer.Address
-	comes := listed == newcomer.Address && listed != other.member.Address
-	if peers.isLinked(inc) && !comes {
+	currentListed := listed == other.member.Address && listed != newcomer.Address
+	newcomerListed := listed == newcomer.Address && listed != other.member.Address
+	if peers.isConnected(inc) && !newcomerListed {
 		return false
 	}
-	if !stays {
-		peers.gone[inc] = now.Add(peers.timing.ForgetAfter)
-		delete(peers.linked, inc)
+	if !currentListed {
+		peers.departed[inc] = now.Add(peers.timing.ForgetAfter)
+		delete(peers.connected, inc)
 	}
 	delete(peers.peers, inc.VM)
-	peers.drop(other, change)
+	peers.remove(other, change)
 	return true
 }
 
-// drop takes a peer out of the view until it is heard whole again.
-func (peers *Peers) drop(other *peer, change *Change) {
-	if other.known {
+// remove removes a peer from the view until its next full heartbeat.
+func (peers *Peers) remove(other *peer, change *Change) {
+	if other.inView {
 		change.Removed = append(change.Removed, other.member)
-		other.known = false
-		peers.changed()
+		other.inView = false
+		peers.invalidate()
 	}
 }
 
-// expire drops the silent. Silence ends nobody for good, not even one that is leaving:
-// it may have been cut off and still be finishing its work, and if some took it for
-// gone while it counts them as live, it would ask the wrong leader from then on.
-func (peers *Peers) expire(now time.Time, change *Change) {
+// expireSilent removes the peers whose heartbeats are overdue from the view. They don't
+// count as departed, even when they were leaving: such a daemon may have been cut off while
+// it finishes its requests. If other daemons then ignored it while it still has them in its
+// view, it would send requests to the wrong leader from then on.
+func (peers *Peers) expireSilent(now time.Time, change *Change) {
 	for _, other := range peers.peers {
 		if !now.Before(other.expires) {
-			peers.drop(other, change)
+			peers.remove(other, change)
 		}
 	}
 	slices.SortFunc(change.Removed, compareMembers)
 }
 
-// wake expires the whole view after a pause.
-func (peers *Peers) wake(now time.Time, slept time.Duration) Change {
-	change := Change{Resumed: true, PausedFor: slept}
+// resume expires the whole view after a pause of this process.
+func (peers *Peers) resume(now time.Time, pausedFor time.Duration) Change {
+	change := Change{Resumed: true, PausedFor: pausedFor}
 	for _, other := range peers.peers {
-		peers.drop(other, &change)
+		peers.remove(other, &change)
 	}
 	slices.SortFunc(change.Removed, compareMembers)
-	peers.settled = now.Add(peers.timing.SettleFor)
-	change.Messages = peers.pulses(now)
+	peers.settledAt = now.Add(peers.timing.SettleFor)
+	change.Messages = peers.pulsesToAll(now)
 	return change
 }
 
-// forget bounds the memory of who was here: VMs are replaced all the time.
-func (peers *Peers) forget(now time.Time) {
+// deleteOld deletes what is older than ForgetAfter. VMs are replaced all the time, so the
+// maps would grow without bound.
+func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.peers {
 		if now.Sub(other.expires) > peers.timing.ForgetAfter {
 			delete(peers.peers, vm)
 		}
 	}
-	for vm, heard := range peers.told {
-		if !now.Before(heard.until) {
-			delete(peers.told, vm)
-			peers.changed()
+	for vm, recv := range peers.received {
+		if !now.Before(recv.forgetAt) {
+			delete(peers.received, vm)
+			peers.invalidate()
 		}
 	}
-	for inc, until := range peers.gone {
-		if !now.Before(until) {
-			delete(peers.gone, inc)
+	for inc, forgetAt := range peers.departed {
+		if !now.Before(forgetAt) {
+			delete(peers.departed, inc)
 		}
 	}
 }
 
-// NewerConfig returns the peer with the highest configuration above our own, the first by
-// name among equals so that the choice is the same each time.
+// NewerConfig returns the configuration with the highest number among the peers in the view,
+// or the zero value if no number is above this daemon's. If several peers have it, the first
+// by name is returned, so that the choice is stable.
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.peers {
-		source := other.source
-		higher := source.Number > best.Number
-		earlier := source.Number == best.Number && source.Number > peers.self.Number &&
-			source.Peer.String() < best.Peer.String()
-		if other.known && (higher || earlier) {
-			best = source
+		config := other.config
+		higher := config.Number > best.Number
+		earlier := config.Number == best.Number && config.Number > peers.self.Number &&
+			config.Peer.String() < best.Peer.String()
+		if other.inView && (higher || earlier) {
+			best = config
 		}
 	}
 	if best.Peer.IsZero() {
