--- a/core/yuccaqueue/account.go
+++ b/core/yuccaqueue/account.go
@@ -13,56 +13,57 @@
 	ld.tokens += item.Request.Tokens()
 }
 
-func (ld *load) drop(item *Item) {
+func (ld *load) remove(item *Item) {
 	ld.requests--
 	ld.tokens -= item.Request.Tokens()
 }
 
-// account is a client account's part of the queue, over all tiers.
+// account is the state of one client account in the queue, over all tiers.
 type account struct {
-	name    yuccaid.Account
-	weight  float64
-	blocked bool
-	load    load
-	shares  []*share
+	name         yuccaid.Account
+	weight       float64
+	blocked      bool
+	load         load
+	accountTiers []*accountTier
 }
 
-// share is what a client account has had of a tier's service.
+// accountTier is the state of one client account in one tier.
 //
-// Virtual is the service received for each unit of weight, in seconds. It never falls
-// behind the tier's when the account has nothing waiting, so that silence saves up no
-// claim with which an account could later shut the others out.
-type share struct {
-	account *account
-	tier    *tier
-	virtual float64
-	chain   chain
-	flows   []*flow
+// virtualService is the service that the account has received in the tier for each unit
+// of weight, in seconds. It is raised to the tier's floor when the account has requests
+// waiting again, so that an idle account cannot save up a claim to service and later
+// shut out the others.
+type accountTier struct {
+	account        *account
+	tier           *tier
+	virtualService float64
+	arrivals       arrivals
+	flows          []*flow
 }
 
-func (sh *share) waiting() bool {
-	return sh.chain.newest != nil
+func (accTier *accountTier) waiting() bool {
+	return accTier.arrivals.newest != nil
 }
 
-// charge counts work as served and puts the share's flows in their new places.
-func (sh *share) charge(seconds float64) {
-	sh.virtual += seconds / sh.account.weight
-	sh.seat()
+// charge adds served work to the account's virtual service and repositions its flows.
+func (accTier *accountTier) charge(seconds float64) {
+	accTier.virtualService += seconds / accTier.account.weight
+	accTier.reposition()
 }
 
-func (sh *share) seat() {
-	for _, fl := range sh.flows {
-		fl.class.seat(fl)
+func (accTier *accountTier) reposition() {
+	for _, fl := range accTier.flows {
+		fl.class.reposition(fl)
 	}
 }
 
-func (sh *share) flowIn(cls *class) *flow {
-	for _, fl := range sh.flows {
+func (accTier *accountTier) flowFor(cls *class) *flow {
+	for _, fl := range accTier.flows {
 		if fl.class == cls {
 			return fl
 		}
 	}
-	fl := newFlow(sh, cls)
-	sh.flows = append(sh.flows, fl)
+	fl := newFlow(accTier, cls)
+	accTier.flows = append(accTier.flows, fl)
 	return fl
 }
--- a/core/yuccaqueue/ask.go
+++ b/core/yuccaqueue/ask.go
@@ -6,18 +6,19 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// BlockTokens is the length of prompt that one prefix hash covers.
+// BlockTokens is the number of prompt tokens that one prefix hash covers.
 //
-// Engines cache in blocks of 16 to 64 tokens. A coarser grain loses at most one
-// block of 256 for each shared prefix, a few per cent of a rulebook, and keeps an
-// ask for a prompt of 30,000 tokens near one kilobyte on the wire.
+// Engines cache in blocks of 16 to 64 tokens. The coarser block of 256 loses less than
+// one block of each shared prefix, a few per cent of a rulebook, and keeps the message
+// for a prompt of 30,000 tokens near one kilobyte.
 const BlockTokens yuccaid.Tokens = 256
 
 // Request is what a pool's leader knows of a waiting request.
 //
-// Remaining is the time left until the deadline: clocks of different VMs are never
-// compared. Prompt and Answer are the owner's estimates. Prefixes[i] is the hash of
-// the first (i+1)*BlockTokens tokens of the prompt.
+// Remaining is the time left until the deadline; a duration is sent because clocks of
+// different VMs are never compared. Prompt and Answer are the owner's estimates of the
+// lengths in tokens. Prefixes[i] is the hash of the first (i+1)*BlockTokens tokens of
+// the prompt.
 type Request struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
@@ -34,7 +35,7 @@
 	Centre     yuccaid.Centre      `msgpack:"centre"`
 }
 
-// Tokens returns the ask's length, prompt and answer together.
-func (ask *Request) Tokens() yuccaid.Tokens {
-	return ask.Prompt + ask.Answer
+// Tokens returns the length of the prompt and the answer together.
+func (req *Request) Tokens() yuccaid.Tokens {
+	return req.Prompt + req.Answer
 }
--- a/core/yuccaqueue/bounds.go
+++ b/core/yuccaqueue/bounds.go
@@ -2,11 +2,13 @@
 
 import "yuccacleat/core/yuccaid"
 
-// Bounds limits what may wait. A queue without bounds turns an overload into waits
-// that no deadline survives, and then serves only requests that are already late.
+// Bounds limits the number and the tokens of waiting requests: of the whole queue, of
+// one client account, and of all tiers below the top one.
 //
-// A bound in tokens may be overrun by the last request that was let in, so that a
-// long prompt is never refused merely because many short ones wait.
+// Without bounds an overload turns into waits longer than any deadline, and the queue
+// then serves only requests that are already late. The last admitted request may exceed
+// a bound in tokens, so that a long prompt is never refused merely because many short
+// ones wait.
 type Bounds struct {
 	Requests          int
 	Tokens            yuccaid.Tokens
@@ -16,19 +18,20 @@
 	LowerTierTokens   yuccaid.Tokens
 }
 
-// DefaultBounds returns the bounds of a queue that was given none.
+// DefaultBounds returns the bounds of a queue that is constructed without WithBounds.
 func DefaultBounds() Bounds {
 	return BoundsFor(defaultRequests, defaultTokens)
 }
 
-// BoundsFor derives the bounds of accounts and of the lower tiers from the pool's.
+// BoundsFor returns the bounds for a whole queue of the given size, with the bounds of
+// accounts and of the lower tiers as fixed fractions of it.
 func BoundsFor(requests int, tokens yuccaid.Tokens) Bounds {
-	part := func(share float64) (int, yuccaid.Tokens) {
-		return max(int(float64(requests)*share), 1), max(yuccaid.Tokens(float64(tokens)*share), 1)
+	scale := func(fraction float64) (int, yuccaid.Tokens) {
+		return max(int(float64(requests)*fraction), 1), max(yuccaid.Tokens(float64(tokens)*fraction), 1)
 	}
 	bounds := Bounds{Requests: requests, Tokens: tokens}
-	bounds.AccountRequests, bounds.AccountTokens = part(accountShare)
-	bounds.LowerTierRequests, bounds.LowerTierTokens = part(lowerShare)
+	bounds.AccountRequests, bounds.AccountTokens = scale(accountFraction)
+	bounds.LowerTierRequests, bounds.LowerTierTokens = scale(lowerTierFraction)
 	return bounds
 }
 
@@ -40,6 +43,6 @@
 	return ld.requests >= bounds.AccountRequests || ld.tokens >= bounds.AccountTokens
 }
 
-func (bounds *Bounds) lowerFull(ld load) bool {
+func (bounds *Bounds) lowerTiersFull(ld load) bool {
 	return ld.requests >= bounds.LowerTierRequests || ld.tokens >= bounds.LowerTierTokens
 }
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -1,87 +1,101 @@
 package yuccaqueue
 
-// flow is what one account has waiting in one class.
+// flow holds the waiting requests of one account in one class, the earliest Params.Key
+// first.
+//
+// The pos fields are the flow's positions in the heaps of its class.
 type flow struct {
-	share *share
-	class *class
-	items heap[*Item]
+	accountTier *accountTier
+	class       *class
+	items       heap[*Item]
 
-	inAll      int
-	inEligible int
-	inLate     int
+	posInService  int
+	posInEligible int
+	posInAhead    int
 }
 
-func newFlow(sh *share, cls *class) *flow {
-	return &flow{share: sh, class: cls, items: heap[*Item]{
-		less:  func(a, b *Item) bool { return a.Params.Key.Before(b.Params.Key) },
-		place: func(item *Item) *int { return &item.inFlow },
+func newFlow(accTier *accountTier, cls *class) *flow {
+	return &flow{accountTier: accTier, class: cls, items: heap[*Item]{
+		less:     func(a, b *Item) bool { return a.Params.Key.Before(b.Params.Key) },
+		position: func(item *Item) *int { return &item.posInFlow },
 	}}
 }
 
-// class is the part of a tier whose requests can use the same room: one reach, and
-// either short or long.
+// class is the part of a tier whose requests can use the same free slots: those with
+// one target set that are all short or all long.
+//
+// Accounts whose virtual service is at most window above that of the account served
+// least compete by deadline; the others wait until that account has caught up. With
+// spare capacity all accounts are within the window, and the pure deadline order loses
+// no request that could meet its deadline. Under load an account with many requests
+// cannot displace one with few by early deadlines alone.
 //
-// Accounts within fairWindow of the one served least compete by deadline; the others
-// wait until the least served has caught up. With spare capacity everybody is within
-// the window and the order is by deadline, which loses no request that could be met.
-// Under load a large account can't push out a small one by deadlines alone.
+// floor is the highest value so far of the least virtual service among the class's
+// flows. parked says that no request of the class finds a free slot; held lists
+// requests for which the free slots are unsuitable. Neither is tried again before
+// unpark. asideTurn is the call of Serve that last parked the class or held one of its
+// requests.
 type class struct {
-	reach    TargetSet
-	long     bool
-	window   float64
-	floor    float64
-	parked   bool
-	since    uint64
-	held     []*Item
-	all      heap[*flow]
-	eligible heap[*flow]
-	late     heap[*flow]
+	targetSet TargetSet
+	long      bool
+	window    float64
+	floor     float64
+	parked    bool
+	asideTurn uint64
+	held      []*Item
+	byService heap[*flow]
+	eligible  heap[*flow]
+	ahead     heap[*flow]
 }
 
-func newClass(reach TargetSet, long bool, window float64) *class {
-	byVirtual := func(a, b *flow) bool { return a.share.virtual < b.share.virtual }
+func newClass(targetSet TargetSet, long bool, window float64) *class {
+	byVirtualService := func(a, b *flow) bool { return a.accountTier.virtualService < b.accountTier.virtualService }
 	byKey := func(a, b *flow) bool { return a.items.top().Params.Key.Before(b.items.top().Params.Key) }
 	return &class{
-		reach:    reach,
-		long:     long,
-		window:   window,
-		all:      heap[*flow]{less: byVirtual, place: func(fl *flow) *int { return &fl.inAll }},
-		eligible: heap[*flow]{less: byKey, place: func(fl *flow) *int { return &fl.inEligible }},
-		late:     heap[*flow]{less: byVirtual, place: func(fl *flow) *int { return &fl.inLate }},
+		targetSet: targetSet,
+		long:      long,
+		window:    window,
+		byService: heap[*flow]{less: byVirtualService, position: func(fl *flow) *int { return &fl.posInService }},
+		eligible:  heap[*flow]{less: byKey, position: func(fl *flow) *int { return &fl.posInEligible }},
+		ahead:     heap[*flow]{less: byVirtualService, position: func(fl *flow) *int { return &fl.posInAhead }},
 	}
 }
 
-// seat puts a flow where its share and its first item belong.
-func (cls *class) seat(fl *flow) {
-	if fl.items.len() == 0 || fl.share.account.blocked {
-		cls.all.drop(fl)
-		cls.eligible.drop(fl)
-		cls.late.drop(fl)
+// reposition updates a flow's positions in the heaps after a change of its virtual
+// service, its first item or its account's blocking.
+func (cls *class) reposition(fl *flow) {
+	if fl.items.len() == 0 || fl.accountTier.account.blocked {
+		cls.byService.remove(fl)
+		cls.eligible.remove(fl)
+		cls.ahead.remove(fl)
 	} else {
-		cls.all.fix(fl)
-		cls.place(fl)
+		cls.byService.fix(fl)
+		cls.assignHeap(fl)
 	}
-	cls.advance()
+	cls.advanceFloor()
 }
 
-func (cls *class) place(fl *flow) {
-	if fl.share.virtual <= cls.floor+cls.window {
-		cls.late.drop(fl)
+// assignHeap puts a flow in the eligible heap if it is within the window, otherwise in
+// the ahead heap.
+func (cls *class) assignHeap(fl *flow) {
+	if fl.accountTier.virtualService <= cls.floor+cls.window {
+		cls.ahead.remove(fl)
 		cls.eligible.fix(fl)
 		return
 	}
-	cls.eligible.drop(fl)
-	cls.late.fix(fl)
+	cls.eligible.remove(fl)
+	cls.ahead.fix(fl)
 }
 
-// advance raises the floor to the least served flow and admits those it now covers.
-func (cls *class) advance() {
-	if cls.all.len() == 0 {
+// advanceFloor raises the floor to the least virtual service and makes the flows
+// eligible that are now within the window.
+func (cls *class) advanceFloor() {
+	if cls.byService.len() == 0 {
 		return
 	}
-	cls.floor = max(cls.floor, cls.all.top().share.virtual)
-	for cls.late.len() > 0 && cls.late.top().share.virtual <= cls.floor+cls.window {
-		cls.place(cls.late.top())
+	cls.floor = max(cls.floor, cls.byService.top().accountTier.virtualService)
+	for cls.ahead.len() > 0 && cls.ahead.top().accountTier.virtualService <= cls.floor+cls.window {
+		cls.assignHeap(cls.ahead.top())
 	}
 }
 
@@ -93,35 +107,35 @@
 	return cls.eligible.top()
 }
 
-// aside reports whether something of the class waits for other room than there was.
-func (cls *class) aside() bool {
+// anySetAside reports whether the class is parked or one of its requests is held.
+func (cls *class) anySetAside() bool {
 	return cls.parked || len(cls.held) > 0
 }
 
-func (cls *class) park(turn uint64) {
+func (cls *class) park(serveTurn uint64) {
 	cls.parked = true
-	cls.since = turn
+	cls.asideTurn = serveTurn
 }
 
-// hold sets an item aside until other room comes up.
-func (cls *class) hold(turn uint64, item *Item) {
-	cls.since = turn
+// hold sets a request aside, for which the free slots are unsuitable, until unpark.
+func (cls *class) hold(serveTurn uint64, item *Item) {
+	cls.asideTurn = serveTurn
 	item.held = true
-	item.flow.items.drop(item)
+	item.flow.items.remove(item)
 	cls.held = append(cls.held, item)
-	cls.seat(item.flow)
-	if len(cls.held) >= holdLimit {
+	cls.reposition(item.flow)
+	if len(cls.held) >= maxHeldItems {
 		cls.parked = true
 	}
 }
 
-func (cls *class) wake() {
+func (cls *class) unpark() {
 	cls.parked = false
 	for at, item := range cls.held {
 		cls.held[at] = nil
 		item.held = false
 		item.flow.items.push(item)
-		cls.seat(item.flow)
+		cls.reposition(item.flow)
 	}
 	cls.held = cls.held[:0]
 }
--- a/core/yuccaqueue/data.go
+++ b/core/yuccaqueue/data.go
@@ -8,31 +8,33 @@
 
 const (
 	// defaultRequests bounds memory: a waiting request takes about a kilobyte with its
-	// prefixes, so a full queue takes some 20 MB of a small VM. At the aimed 365
-	// requests/s it is 45 s of arrivals, longer than urgent work can wait.
+	// prefixes, so a full queue takes some 20 MB of a small VM. At the target load of
+	// 365 requests/s it holds the arrivals of 45 s, longer than urgent requests can
+	// wait.
 	defaultRequests = 16384
-	// defaultTokens bounds how much work may be promised: 2,000 tokens for each request
-	// at the bound, the mean length of the mixed workload.
+	// defaultTokens bounds the amount of queued work: 2,000 tokens, the mean length of
+	// the mixed workload, for each request of a full queue.
 	defaultTokens yuccaid.Tokens = defaultRequests * 2000
-	// accountShare is the part of the queue that one client account may fill. At a
-	// quarter, one account in a loop leaves three quarters to the others.
-	accountShare = 0.25
-	// lowerShare is the part of the queue that the tiers below the top may fill. The
-	// rest keeps a burst of letters from making every urgent arrival displace one: a
-	// refusal at arrival is kinder than a displacement after a wait.
-	lowerShare = 0.75
+	// accountFraction is the fraction of the queue that one client account may fill. At
+	// a quarter, an account that submits in a loop leaves three quarters to the others.
+	accountFraction = 0.25
+	// lowerTierFraction is the fraction of the queue that the tiers below the top may
+	// fill. The rest keeps a burst of low-tier requests from making every urgent
+	// arrival displace one of them, because a refusal at arrival costs a caller less
+	// than a displacement after a wait.
+	lowerTierFraction = 0.75
 	// fairWindow is how far, in seconds of service for each unit of weight, an account
-	// may run ahead of the one served least before deadlines stop speaking for it.
-	// Zero is pure weighted fair order, infinity pure deadline order. Sweep by the trial
-	// (24 scenarios, share of all served at the hotline and the desk): 1 gives 89.6 and
-	// 83.5, 5 gives 89.4 and 83.7, 20 gives 89.5 and 83.8: flat, so near to fair.
+	// may be ahead of the one served least and still compete by deadline. Zero gives
+	// pure weighted fair order, infinity pure deadline order. Windows from 1 to 20
+	// serve almost the same share of requests, so a short one that stays near fair
+	// order is used.
 	fairWindow = 5.0
-	// holdLimit is how many requests of a class may be set aside in one go because
-	// their deadlines can't be met where there is room now. It bounds the work of one
-	// decision; beyond it the class waits for other room.
-	holdLimit = 8
-	// slotWidth and slotCount shape the histogram of waiting work over deadlines, which
-	// reaches 17 minutes ahead; later deadlines count as one last slot.
-	slotWidth = time.Second
-	slotCount = 1024
+	// maxHeldItems is how many requests of a class may be held because the free slots
+	// are unsuitable, before the whole class is parked. It bounds the work of one call
+	// of Serve.
+	maxHeldItems = 8
+	// bucketWidth and bucketCount shape the histogram of waiting work over deadlines,
+	// which covers the next 17 minutes; all later deadlines share one bucket.
+	bucketWidth = time.Second
+	bucketCount = 1024
 )
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// TargetSet numbers a set of targets; the caller decides what stands behind it.
+// TargetSet is the number of a set of targets that a request may use. The caller
+// assigns the numbers; the queue only compares them.
 //
-// Requests of one reach and length class can use the same room, so when one of them
-// finds none, none of them has to be asked again.
+// If one request finds no free slot, no other request with the same target set and the
+// same value of Params.Long would find one, so none of them is tried.
 type TargetSet uint32
 
-// Params is what the caller worked out for an ask before it queues it.
+// Params holds the scheduling parameters that the caller computes for a request.
 type Params struct {
 	TargetSet TargetSet
-	// Long marks a prompt that occupies a target long enough to harm short requests.
+	// Long marks a prompt that occupies a target long enough to delay short requests.
 	Long bool
-	// Key orders requests within an account, the earliest first.
+	// Key orders the requests of an account, the earliest first.
 	Key time.Time
-	// CheckAt is when the caller wants to look at the request if it still waits.
+	// CheckAt is when NextToCheck returns the request if it still waits.
 	CheckAt time.Time
-	// LatestStart is when no target could meet the deadline any more.
+	// LatestStart is the last moment at which a target could still meet the deadline.
 	LatestStart time.Time
-	// Work is the time that the request is expected to take of one target.
+	// Work is the expected service time of the request on one target.
 	Work time.Duration
 }
 
@@ -30,11 +31,11 @@
 	Arrived  time.Time
 	Deadline time.Time
 
-	flow   *flow
-	held   bool
-	inFlow int
-	inDue  int
-	links  [2]link
+	flow      *flow
+	held      bool
+	posInFlow int
+	posInDue  int
+	links     [2]arrivalLinks
 }
 
 // Remaining returns the time left until the deadline.
@@ -42,39 +43,40 @@
 	return item.Deadline.Sub(now)
 }
 
-type link struct {
+type arrivalLinks struct {
 	older, newer *Item
 }
 
-// The two chains that an item is part of.
+// The two arrival lists that each item is in: its tier's and its accountTier's.
 const (
-	chainTier = iota
-	chainShare
+	listOfTier = iota
+	listOfAccountTier
 )
 
-// chain keeps items in order of arrival, so that the newest is found at once.
-type chain struct {
+// arrivals is a linked list of items in order of arrival, so that the newest is found
+// in constant time. An item has one pair of links for each kind of list.
+type arrivals struct {
 	kind   int
 	newest *Item
 }
 
-func (ch *chain) add(item *Item) {
-	item.links[ch.kind] = link{older: ch.newest}
-	if ch.newest != nil {
-		ch.newest.links[ch.kind].newer = item
+func (list *arrivals) add(item *Item) {
+	item.links[list.kind] = arrivalLinks{older: list.newest}
+	if list.newest != nil {
+		list.newest.links[list.kind].newer = item
 	}
-	ch.newest = item
+	list.newest = item
 }
 
-func (ch *chain) drop(item *Item) {
-	at := item.links[ch.kind]
+func (list *arrivals) remove(item *Item) {
+	at := item.links[list.kind]
 	if at.older != nil {
-		at.older.links[ch.kind].newer = at.newer
+		at.older.links[list.kind].newer = at.newer
 	}
 	if at.newer != nil {
-		at.newer.links[ch.kind].older = at.older
+		at.newer.links[list.kind].older = at.older
 	} else {
-		ch.newest = at.older
+		list.newest = at.older
 	}
-	item.links[ch.kind] = link{}
+	item.links[list.kind] = arrivalLinks{}
 }
--- a/core/yuccaqueue/push.go
+++ b/core/yuccaqueue/push.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// Displaced is a request that had to leave the queue, and why.
+// Displaced is a request that was removed from a full queue, with the reason.
 type Displaced struct {
 	*Item
 	Reason Reason
 }
 
-// displacedFor is what the displaced is told, by what the arrival would have been.
-var displacedFor = map[Reason]Reason{ReasonOverload: ReasonDisplaced, ReasonLimit: ReasonLimit}
+// displacedReason maps the reason for which an arrival would have been refused to the
+// reason for the request that is displaced instead.
+var displacedReason = map[Reason]Reason{ReasonOverload: ReasonDisplaced, ReasonLimit: ReasonLimit}
 
-// Push queues an ask, or returns why it can't.
+// Push queues a request, or returns the reason why it cannot.
 //
-// When the queue is full, an arrival takes the place of the newest request of the
-// lowest tier, if that tier is below its own: the newest has waited least, and its
-// caller loses least. An account at its own bound displaces its own only. The
-// displaced have left the queue and are the caller's to refuse. An arrival is refused
-// for load only when nothing of a lower tier waits.
-func (q *Queue) Push(now time.Time, ask Request, terms Params) ([]Displaced, Reason) {
-	acc := q.account(ask.Account)
-	tr := q.tier(ask.Tier, ask.Rank)
+// When the queue is full, an arrival displaces the newest request of the lowest tier,
+// if that tier is below its own, because the newest has waited least and its caller
+// loses least. When the arrival's account is at its own bound, it displaces a request
+// of the same account only. Displaced requests have left the queue, and the caller has
+// to refuse them. An arrival is refused only when no lower tier has a waiting request
+// that it may displace.
+func (q *Queue) Push(now time.Time, req Request, params Params) ([]Displaced, Reason) {
+	acc := q.account(req.Account)
+	tr := q.tier(req.Tier, req.Rank)
 	var displaced []Displaced
 	for {
-		reason := q.full(acc, tr.rank)
+		reason := q.boundReached(acc, tr.rank)
 		if reason == "" {
 			break
 		}
@@ -38,30 +40,30 @@
 			break
 		}
 		q.Remove(victim)
-		displaced = append(displaced, Displaced{Item: victim, Reason: displacedFor[reason]})
+		displaced = append(displaced, Displaced{Item: victim, Reason: displacedReason[reason]})
 	}
-	q.add(now, acc, tr, ask, terms)
+	q.add(now, acc, tr, req, params)
 	return displaced, ""
 }
 
-// Restore queues again a request that was taken and can't be served after all. Its
-// place in the queue was granted to it, so no bound is asked: the bound on tokens may
-// be overrun by the last arrival, and the request would be refused for that.
-func (q *Queue) Restore(now time.Time, ask Request, terms Params) {
-	q.add(now, q.account(ask.Account), q.tier(ask.Tier, ask.Rank), ask, terms)
+// Restore queues a request again that left the queue for a target but did not get it
+// after all. It checks no bound: the last admitted request may have exceeded the bound
+// on tokens, and this request, admitted before, would be refused for that.
+func (q *Queue) Restore(now time.Time, req Request, params Params) {
+	q.add(now, q.account(req.Account), q.tier(req.Tier, req.Rank), req, params)
 }
 
-func (q *Queue) full(acc *account, rank int) Reason {
+func (q *Queue) boundReached(acc *account, rank int) Reason {
 	if q.bounds.accountFull(acc.load) {
 		return ReasonLimit
 	}
-	if q.bounds.poolFull(q.load) || rank > 0 && q.bounds.lowerFull(q.lowerLoad()) {
+	if q.bounds.poolFull(q.load) || rank > 0 && q.bounds.lowerTiersFull(q.lowerTierLoad()) {
 		return ReasonOverload
 	}
 	return ""
 }
 
-func (q *Queue) lowerLoad() load {
+func (q *Queue) lowerTierLoad() load {
 	sum := q.load
 	if len(q.tiers) > 0 && q.tiers[0].rank == 0 {
 		sum.requests -= q.tiers[0].load.requests
@@ -70,8 +72,8 @@
 	return sum
 }
 
-// victim returns the newest waiting request of the lowest tier below the given rank:
-// of the account itself when its own bound is reached, else of the whole pool.
+// victim returns the newest waiting request of the lowest tier below the given rank: of
+// the account if its own bound is reached, otherwise of the whole pool.
 func (q *Queue) victim(acc *account, rank int, reason Reason) *Item {
 	if !q.displaces {
 		return nil
@@ -83,40 +85,40 @@
 		if tr.rank <= rank {
 			return nil
 		}
-		if tr.chain.newest != nil {
-			return tr.chain.newest
+		if tr.arrivals.newest != nil {
+			return tr.arrivals.newest
 		}
 	}
 	return nil
 }
 
 func (acc *account) newestBelow(rank int) *Item {
-	var lowest *share
-	for _, sh := range acc.shares {
-		if sh.tier.rank > rank && sh.waiting() && (lowest == nil || sh.tier.rank > lowest.tier.rank) {
-			lowest = sh
+	var lowest *accountTier
+	for _, accTier := range acc.accountTiers {
+		if accTier.tier.rank > rank && accTier.waiting() && (lowest == nil || accTier.tier.rank > lowest.tier.rank) {
+			lowest = accTier
 		}
 	}
 	if lowest == nil {
 		return nil
 	}
-	return lowest.chain.newest
+	return lowest.arrivals.newest
 }
 
-func (q *Queue) add(now time.Time, acc *account, tr *tier, ask Request, terms Params) {
-	item := &Item{Request: ask, Params: terms, Arrived: now, Deadline: now.Add(ask.Remaining)}
-	sh := q.share(acc, tr)
-	cls := tr.classOf(&terms, q.window)
-	if !sh.waiting() {
-		sh.virtual = max(sh.virtual, tr.floor)
+func (q *Queue) add(now time.Time, acc *account, tr *tier, req Request, params Params) {
+	item := &Item{Request: req, Params: params, Arrived: now, Deadline: now.Add(req.Remaining)}
+	accTier := q.accountTier(acc, tr)
+	cls := tr.classFor(&params, q.window)
+	if !accTier.waiting() {
+		accTier.virtualService = max(accTier.virtualService, tr.floor)
 	}
-	item.flow = sh.flowIn(cls)
+	item.flow = accTier.flowFor(cls)
 	item.flow.items.push(item)
-	cls.seat(item.flow)
-	q.items[ask.ID] = item
+	cls.reposition(item.flow)
+	q.items[req.ID] = item
 	q.due.push(item)
-	tr.chain.add(item)
-	sh.chain.add(item)
+	tr.arrivals.add(item)
+	accTier.arrivals.add(item)
 	tr.work.add(item)
 	tr.load.add(item)
 	acc.load.add(item)
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -7,47 +7,50 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// ServeResult is what the caller of Serve says of the request it was shown.
+// ServeResult is what the callback of Serve returns for a request.
 type ServeResult int
 
-// The answers to Serve.
+// The results of the callback of Serve.
 const (
-	// Placed says that the request got its target and leaves the queue.
+	// Placed says that the request got a target; it leaves the queue.
 	Placed ServeResult = iota
-	// NoFreeSlot says that no request of this reach and length finds room now.
+	// NoFreeSlot says that no request with this target set and length finds a free
+	// slot.
 	NoFreeSlot
-	// Unsuitable says that the room there is now doesn't suit this request.
+	// Unsuitable says that there are free slots, but none that suits this request.
 	Unsuitable
 )
 
-// Option changes a queue at its construction.
+// Option configures a queue at its construction.
 type Option func(*Queue)
 
-// WithBounds sets what may wait.
+// WithBounds sets the bounds on waiting requests.
 func WithBounds(bounds Bounds) Option {
 	return func(q *Queue) { q.bounds = bounds }
 }
 
-// WithFairWindow sets how many seconds of service an account may be ahead of the one
-// served least before deadlines stop speaking for it.
+// WithFairWindow sets how many seconds of service for each unit of weight an account
+// may be ahead of the one served least and still compete by deadline.
 func WithFairWindow(seconds float64) Option {
 	return func(q *Queue) { q.window = seconds }
 }
 
-// WithoutDisplacement makes a full queue refuse every arrival; it exists to show that
-// the tier rule needs displacement.
+// WithoutDisplacement makes a full queue refuse every arrival. It exists for tests,
+// which show that the tier rule needs displacement.
 func WithoutDisplacement() Option {
 	return func(q *Queue) { q.displaces = false }
 }
 
-// WithoutRecheck leaves classes that found no room aside until Wake; it exists to show
-// that the tier rule needs the second look.
+// WithoutRecheck keeps parked classes and held requests set aside until Unpark. It
+// exists for tests, which show that the tier rule needs the recheck in Serve.
 func WithoutRecheck() Option {
 	return func(q *Queue) { q.rechecks = false }
 }
 
-// Queue holds one pool's waiting requests: strict tiers, and within a tier deadline
-// order between accounts that are within a window of their fair share.
+// Queue holds one pool's waiting requests in strict tiers; within a tier, requests are
+// in deadline order between accounts that are within a window of their fair share.
+//
+// due orders all waiting requests by Params.CheckAt; serveTurn counts the calls of Serve.
 type Queue struct {
 	bounds    Bounds
 	window    float64
@@ -57,7 +60,7 @@
 	accounts  map[yuccaid.Account]*account
 	tiers     []*tier
 	due       heap[*Item]
-	turn      uint64
+	serveTurn uint64
 	load      load
 }
 
@@ -71,8 +74,8 @@
 		items:     map[yuccaid.RequestID]*Item{},
 		accounts:  map[yuccaid.Account]*account{},
 		due: heap[*Item]{
-			less:  func(a, b *Item) bool { return a.Params.CheckAt.Before(b.Params.CheckAt) },
-			place: func(item *Item) *int { return &item.inDue },
+			less:     func(a, b *Item) bool { return a.Params.CheckAt.Before(b.Params.CheckAt) },
+			position: func(item *Item) *int { return &item.posInDue },
 		},
 	}
 	for _, option := range options {
@@ -81,80 +84,85 @@
 	return q
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int {
 	return len(q.items)
 }
 
-// Get returns a waiting request.
+// Get returns the waiting request with the given id.
 func (q *Queue) Get(id yuccaid.RequestID) (*Item, bool) {
 	item, found := q.items[id]
 	return item, found
 }
 
-// SetWeight sets an account's share of a tier's service; one below 1 counts as 1.
+// SetWeight sets an account's weight in the fair order within a tier; a weight below 1
+// counts as 1.
 func (q *Queue) SetWeight(name yuccaid.Account, weight int) {
 	q.account(name).weight = float64(max(weight, 1))
 }
 
-// SetBlocked keeps an account's requests waiting whatever room there is, or lets them
-// go on; it is for an account at its own limit of running requests.
+// SetBlocked sets whether an account's requests stay in the queue even if there are
+// free slots. The caller blocks an account that is at its own limit of running
+// requests.
 func (q *Queue) SetBlocked(name yuccaid.Account, blocked bool) {
 	acc := q.account(name)
 	if acc.blocked == blocked {
 		return
 	}
 	acc.blocked = blocked
-	for _, sh := range acc.shares {
-		sh.seat()
+	for _, accTier := range acc.accountTiers {
+		accTier.reposition()
 	}
 }
 
-// Remove takes a waiting request out.
+// Remove removes a waiting request.
 func (q *Queue) Remove(item *Item) {
 	if q.items[item.Request.ID] != item {
 		return
 	}
 	fl := item.flow
-	tr := fl.share.tier
+	tr := fl.accountTier.tier
 	if item.held {
 		fl.class.release(item)
 	} else {
-		fl.items.drop(item)
-		fl.class.seat(fl)
+		fl.items.remove(item)
+		fl.class.reposition(fl)
 	}
 	delete(q.items, item.Request.ID)
-	q.due.drop(item)
-	tr.chain.drop(item)
-	fl.share.chain.drop(item)
-	tr.work.drop(item)
-	tr.load.drop(item)
-	fl.share.account.load.drop(item)
-	q.load.drop(item)
+	q.due.remove(item)
+	tr.arrivals.remove(item)
+	fl.accountTier.arrivals.remove(item)
+	tr.work.remove(item)
+	tr.load.remove(item)
+	fl.accountTier.account.load.remove(item)
+	q.load.remove(item)
 }
 
-// RemoveServed removes a request that was given a target outside Serve and counts its work as
-// its account's.
+// RemoveServed removes a request that got a target and charges its work to its account.
+// Serve calls it itself; the caller calls it for a request that it placed outside
+// Serve.
 func (q *Queue) RemoveServed(item *Item) {
 	q.Remove(item)
-	item.flow.share.charge(item.Params.Work.Seconds())
+	item.flow.accountTier.charge(item.Params.Work.Seconds())
 }
 
-// Serve shows the waiting requests in the order of service, the highest tier first,
-// until nothing more finds room.
+// Serve passes the waiting requests to try in the order of service, the highest tier
+// first, until no further request can be placed.
 //
-// A class that found no room isn't asked again before Wake, so an arrival behind a
-// full pool costs no scan of the targets. Room can come up by the mere passing of
-// time, though, so before a tier is served, the classes above it that were set aside
-// in an earlier turn are asked once more: else a lower tier could take their place.
+// A class that found no free slot is parked until Unpark, so an arrival at a full pool
+// costs no scan of the targets. A request for which the free slots are unsuitable is
+// held until then as well. But a slot can also become usable merely because time
+// passes. Before a tier is served, whatever an earlier call of Serve parked or held in
+// the higher tiers is therefore tried again; otherwise a lower tier could take those
+// slots.
 func (q *Queue) Serve(try func(*Item) ServeResult) {
-	q.turn++
+	q.serveTurn++
 	for at := 0; at < len(q.tiers); at++ {
 		fl := q.tiers[at].next()
 		if fl == nil {
 			continue
 		}
-		if q.wakeAbove(at) {
+		if q.unparkAbove(at) {
 			at = -1
 			continue
 		}
@@ -170,42 +178,43 @@
 	case Placed:
 		q.RemoveServed(item)
 	case NoFreeSlot:
-		fl.class.park(q.turn)
+		fl.class.park(q.serveTurn)
 	case Unsuitable:
-		fl.class.hold(q.turn, item)
+		fl.class.hold(q.serveTurn, item)
 	}
 }
 
-// wakeAbove wakes the classes of higher tiers that were set aside in earlier turns and
-// reports whether there were any.
-func (q *Queue) wakeAbove(at int) bool {
-	woken := false
+// unparkAbove unparks the classes of higher tiers that earlier calls of Serve parked or
+// held requests of, and reports whether there were any.
+func (q *Queue) unparkAbove(at int) bool {
+	unparked := false
 	if !q.rechecks {
 		return false
 	}
 	for _, tr := range q.tiers[:at] {
 		for _, cls := range tr.classes {
-			if cls.aside() && cls.since < q.turn {
-				cls.wake()
-				woken = true
+			if cls.anySetAside() && cls.asideTurn < q.serveTurn {
+				cls.unpark()
+				unparked = true
 			}
 		}
 	}
-	return woken
+	return unparked
 }
 
-// Unpark lets the classes of the matching reaches be served again.
+// Unpark lets all requests of the matching target sets be served again.
 func (q *Queue) Unpark(match func(TargetSet) bool) {
 	for _, tr := range q.tiers {
 		for _, cls := range tr.classes {
-			if cls.aside() && match(cls.reach) {
-				cls.wake()
+			if cls.anySetAside() && match(cls.targetSet) {
+				cls.unpark()
 			}
 		}
 	}
 }
 
-// NextToCheck returns the request whose time to be looked at has come first, or nil.
+// NextToCheck returns the request with the earliest Params.CheckAt if that time has
+// come, or nil.
 func (q *Queue) NextToCheck(now time.Time) *Item {
 	if q.due.len() == 0 || q.due.top().Params.CheckAt.After(now) {
 		return nil
@@ -213,7 +222,7 @@
 	return q.due.top()
 }
 
-// NextCheck returns when Due has something to return.
+// NextCheck returns the earliest Params.CheckAt of all waiting requests.
 func (q *Queue) NextCheck() (time.Time, bool) {
 	if q.due.len() == 0 {
 		return time.Time{}, false
@@ -221,14 +230,15 @@
 	return q.due.top().Params.CheckAt, true
 }
 
-// Defer sets when a request is to be looked at again.
+// Defer changes a request's Params.CheckAt.
 func (q *Queue) Defer(item *Item, due time.Time) {
 	item.Params.CheckAt = due
 	q.due.fix(item)
 }
 
-// WorkAhead sums the work that would be served before a request of the rank and deadline
-// that arrives now: all of the higher tiers and the earlier deadlines of its own.
+// WorkAhead returns the total work that would be served before a request of the given
+// rank and deadline that arrives now: all work of the higher tiers, and that of earlier
+// deadlines in its own tier.
 func (q *Queue) WorkAhead(now time.Time, rank int, deadline time.Time) time.Duration {
 	var sum time.Duration
 	for _, tr := range q.tiers {
@@ -236,13 +246,13 @@
 			sum += tr.work.total
 		}
 		if tr.rank == rank {
-			sum += tr.work.before(now, deadline)
+			sum += tr.work.workBefore(now, deadline)
 		}
 	}
 	return sum
 }
 
-// TierLoad is what waits at one rank.
+// TierLoad describes the waiting requests of one tier.
 type TierLoad struct {
 	Tier     yuccaid.Tier
 	Rank     int
@@ -251,7 +261,7 @@
 	Work     time.Duration
 }
 
-// TierLoads returns what waits, the highest tier first.
+// TierLoads returns the load of each tier, the highest tier first.
 func (q *Queue) TierLoads() []TierLoad {
 	list := make([]TierLoad, 0, len(q.tiers))
 	for _, tr := range q.tiers {
@@ -262,51 +272,53 @@
 	return list
 }
 
-// ForEach calls visit for each waiting request; it is for a change of configuration and
-// for tests, not for the steady state.
+// ForEach calls visit for each waiting request in no particular order. It takes linear
+// time, so it is for rare events such as a change of configuration.
 func (q *Queue) ForEach(visit func(*Item)) {
 	for _, item := range q.items {
 		visit(item)
 	}
 }
 
-// UpdateParams gives a waiting request other terms, as after a change of configuration.
-func (q *Queue) UpdateParams(item *Item, terms Params) {
-	sh := item.flow.share
+// UpdateParams replaces the parameters of a waiting request, for example after a change
+// of configuration.
+func (q *Queue) UpdateParams(item *Item, params Params) {
+	accTier := item.flow.accountTier
 	if item.held {
 		item.flow.class.release(item)
 	} else {
-		item.flow.items.drop(item)
-		item.flow.class.seat(item.flow)
+		item.flow.items.remove(item)
+		item.flow.class.reposition(item.flow)
 	}
-	sh.tier.work.drop(item)
-	item.Params = terms
-	sh.tier.work.add(item)
-	item.flow = sh.flowIn(sh.tier.classOf(&terms, q.window))
+	accTier.tier.work.remove(item)
+	item.Params = params
+	accTier.tier.work.add(item)
+	item.flow = accTier.flowFor(accTier.tier.classFor(&params, q.window))
 	item.flow.items.push(item)
-	item.flow.class.seat(item.flow)
+	item.flow.class.reposition(item.flow)
 	q.due.fix(item)
 }
 
-// PruneClasses forgets classes that nothing waits in, after reaches were renumbered.
+// PruneClasses removes empty classes; it is called after the target sets were
+// renumbered.
 func (q *Queue) PruneClasses() {
-	empty := func(cls *class) bool { return cls.all.len() == 0 && len(cls.held) == 0 }
+	empty := func(cls *class) bool { return cls.byService.len() == 0 && len(cls.held) == 0 }
 	for _, acc := range q.accounts {
-		for _, sh := range acc.shares {
-			sh.flows = slices.DeleteFunc(sh.flows, func(fl *flow) bool { return fl.items.len() == 0 && empty(fl.class) })
+		for _, accTier := range acc.accountTiers {
+			accTier.flows = slices.DeleteFunc(accTier.flows, func(fl *flow) bool { return fl.items.len() == 0 && empty(fl.class) })
 		}
 	}
 	for _, tr := range q.tiers {
 		tr.classes = slices.DeleteFunc(tr.classes, func(cls *class) bool {
-			return empty(cls) && !q.used(cls)
+			return empty(cls) && !q.hasFlows(cls)
 		})
 	}
 }
 
-func (q *Queue) used(cls *class) bool {
+func (q *Queue) hasFlows(cls *class) bool {
 	for _, acc := range q.accounts {
-		for _, sh := range acc.shares {
-			for _, fl := range sh.flows {
+		for _, accTier := range acc.accountTiers {
+			for _, fl := range accTier.flows {
 				if fl.class == cls {
 					return true
 				}
@@ -328,25 +340,25 @@
 func (q *Queue) tier(name yuccaid.Tier, rank int) *tier {
 	at, found := slices.BinarySearchFunc(q.tiers, rank, func(tr *tier, rank int) int { return tr.rank - rank })
 	if !found {
-		fresh := &tier{name: name, rank: rank, chain: chain{kind: chainTier}}
+		fresh := &tier{name: name, rank: rank, arrivals: arrivals{kind: listOfTier}}
 		q.tiers = slices.Insert(q.tiers, at, fresh)
 	}
 	return q.tiers[at]
 }
 
-func (q *Queue) share(acc *account, tr *tier) *share {
-	for _, sh := range acc.shares {
-		if sh.tier == tr {
-			return sh
+func (q *Queue) accountTier(acc *account, tr *tier) *accountTier {
+	for _, accTier := range acc.accountTiers {
+		if accTier.tier == tr {
+			return accTier
 		}
 	}
-	sh := &share{account: acc, tier: tr, chain: chain{kind: chainShare}}
-	acc.shares = append(acc.shares, sh)
-	return sh
+	accTier := &accountTier{account: acc, tier: tr, arrivals: arrivals{kind: listOfAccountTier}}
+	acc.accountTiers = append(acc.accountTiers, accTier)
+	return accTier
 }
 
-// FirstAtOrAbove returns the request that is served first at the rank or above, whether there
-// is room for it or not, or nil.
+// FirstAtOrAbove returns the request that is served first among those of the given rank
+// and the higher tiers, whether or not it finds a free slot, or nil.
 func (q *Queue) FirstAtOrAbove(rank int) *Item {
 	for _, tr := range q.tiers {
 		if tr.rank > rank {
@@ -359,7 +371,7 @@
 	return nil
 }
 
-// CountAbove returns how many requests of higher tiers wait.
+// CountAbove returns the number of waiting requests in tiers above the given rank.
 func (q *Queue) CountAbove(rank int) int {
 	sum := 0
 	for _, tr := range q.tiers {
--- a/core/yuccaqueue/queue_test.go
+++ b/core/yuccaqueue/queue_test.go
@@ -20,14 +20,14 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// push queues a request of one second's work with a deadline.
+// push queues a request with one second of work.
 func push(q *yuccaqueue.Queue, id string, acc yuccaid.Account, rank int, deadline time.Duration) ([]yuccaqueue.Displaced, yuccaqueue.Reason) {
-	ask := yuccaqueue.Request{ID: yuccaid.RequestID(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
+	req := yuccaqueue.Request{ID: yuccaid.RequestID(id), Account: acc, Rank: rank, Remaining: deadline, Prompt: 10}
 	at := epoch.Add(deadline)
-	return q.Push(epoch, ask, yuccaqueue.Params{Key: at, LatestStart: at, CheckAt: at, Work: time.Second})
+	return q.Push(epoch, req, yuccaqueue.Params{Key: at, LatestStart: at, CheckAt: at, Work: time.Second})
 }
 
-// serve returns the ids in the order of service, up to n of them.
+// serve serves up to n requests and returns their ids in the order of service.
 func serve(q *yuccaqueue.Queue, n int) []string {
 	var order []string
 	q.Serve(func(item *yuccaqueue.Item) yuccaqueue.ServeResult {
@@ -50,8 +50,8 @@
 }
 
 var _ = Describe("the queue", func() {
-	// A large account's early deadlines would shut a small one out for as long as the
-	// large one keeps sending.
+	// Guards against starvation of a small account: a large account keeps sending
+	// requests whose deadlines are earlier.
 	It("serves by deadline within a window and by weight beyond it", func() {
 		q := yuccaqueue.New(yuccaqueue.WithFairWindow(2))
 		q.SetWeight("large", 3)
@@ -67,9 +67,10 @@
 		Expect(count['s']).To(BeNumerically(">=", 2))
 	})
 
-	// An urgent request finds the queue full of letters. If it is refused, or an older
-	// letter goes instead of the newest, somebody loses more than has to be.
-	It("gives a higher tier the place of the lowest tier's newest", func() {
+	// An urgent request finds the queue full of low-tier requests. It must not be
+	// refused, and the newest low-tier request goes, because an older one has waited
+	// longer.
+	It("displaces the lowest tier's newest request for one of a higher tier", func() {
 		bounds := yuccaqueue.BoundsFor(4, 1000)
 		bounds.AccountRequests, bounds.LowerTierRequests = 4, 4
 		q := yuccaqueue.New(yuccaqueue.WithBounds(bounds))
@@ -77,30 +78,31 @@
 			push(q, id, "office", 2, time.Minute)
 		}
 		push(q, "middle", "office", 1, time.Minute)
-		gone, reason := push(q, "note", "hotline", 0, time.Minute)
+		displaced, reason := push(q, "note", "hotline", 0, time.Minute)
 		Expect(reason).To(BeEmpty())
-		Expect(gone).To(HaveLen(1))
-		Expect(gone[0].Request.ID).To(BeEquivalentTo("c"))
-		Expect(gone[0].Reason).To(Equal(yuccaqueue.ReasonDisplaced))
+		Expect(displaced).To(HaveLen(1))
+		Expect(displaced[0].Request.ID).To(BeEquivalentTo("c"))
+		Expect(displaced[0].Reason).To(Equal(yuccaqueue.ReasonDisplaced))
 		_, reason = push(q, "d", "office", 2, time.Minute)
 		Expect(reason).To(Equal(yuccaqueue.ReasonOverload))
 	})
 
-	// One account's loop fills the queue, and the others are refused for its sake.
-	It("keeps an account to its share of the queue, at its own cost only", func() {
+	// Guards against one account that fills the queue in a loop, so that requests of
+	// the other accounts are refused.
+	It("limits an account to its share of the queue and displaces only its own requests", func() {
 		q := yuccaqueue.New(yuccaqueue.WithBounds(yuccaqueue.BoundsFor(8, 1000)))
 		push(q, "a", "loop", 1, time.Minute)
 		push(q, "b", "loop", 1, time.Minute)
 		_, reason := push(q, "c", "loop", 1, time.Minute)
 		Expect(reason).To(Equal(yuccaqueue.ReasonLimit))
-		gone, reason := push(q, "d", "loop", 0, time.Minute)
+		displaced, reason := push(q, "d", "loop", 0, time.Minute)
 		Expect(reason).To(BeEmpty())
-		Expect(gone[0].Reason).To(Equal(yuccaqueue.ReasonLimit))
+		Expect(displaced[0].Reason).To(Equal(yuccaqueue.ReasonLimit))
 		_, reason = push(q, "e", "other", 2, time.Minute)
 		Expect(reason).To(BeEmpty())
 	})
 
-	It("sums the work that goes before a deadline", func() {
+	It("sums the work ahead of a request", func() {
 		q := yuccaqueue.New()
 		push(q, "note", "hotline", 0, time.Hour)
 		push(q, "soon", "office", 1, 10*time.Second)
@@ -110,10 +112,9 @@
 	})
 })
 
-// A request that is lost inside the queue waits for ever; one that is served twice or
-// out of its tier's turn costs somebody else's deadline. It would come about when the
-// heaps and lists that an item is in fall out of step with one another. The oracle is
-// a plain map.
+// Guards against requests that are lost in the queue and wait for ever, and against
+// requests that are served twice or before a higher tier. Either happens when the heaps
+// and lists that hold an item disagree. The oracle is a plain map.
 func TestQueueKeepsEverything(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := yuccaqueue.New(yuccaqueue.WithBounds(yuccaqueue.BoundsFor(30, 300)), yuccaqueue.WithFairWindow(1))
@@ -127,8 +128,8 @@
 				rank := rapid.IntRange(0, 2).Draw(rt, "rank")
 				seconds := rapid.IntRange(1, 2000).Draw(rt, "seconds")
 				id := fmt.Sprint(next)
-				gone, reason := push(q, id, rapid.SampledFrom(accounts).Draw(rt, "account"), rank, time.Duration(seconds)*time.Second)
-				for _, item := range gone {
+				displaced, reason := push(q, id, rapid.SampledFrom(accounts).Draw(rt, "account"), rank, time.Duration(seconds)*time.Second)
+				for _, item := range displaced {
 					if model[string(item.Request.ID)] <= rank {
 						rt.Fatalf("rank %d displaced %s of rank %d", rank, item.Request.ID, item.Request.Rank)
 					}
@@ -144,25 +145,25 @@
 				q.SetBlocked(acc, blocked[acc])
 			},
 			"serve": func(rt *rapid.T) {
-				answers := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 10).Draw(rt, "answers")
+				results := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 10).Draw(rt, "answers")
 				turn, last := 0, 0
 				q.Serve(func(item *yuccaqueue.Item) yuccaqueue.ServeResult {
 					if blocked[item.Request.Account] || model[string(item.Request.ID)] != item.Request.Rank {
-						rt.Fatalf("served %s of account %s, which isn't to be served", item.Request.ID, item.Request.Account)
+						rt.Fatalf("served request %s of account %s, which is blocked or no longer waits", item.Request.ID, item.Request.Account)
 					}
 					if item.Request.Rank < last {
-						rt.Fatalf("rank %d came after rank %d", item.Request.Rank, last)
+						rt.Fatalf("served rank %d after rank %d", item.Request.Rank, last)
 					}
 					last = item.Request.Rank
-					answer := yuccaqueue.NoFreeSlot
-					if turn < len(answers) {
-						answer = yuccaqueue.ServeResult(answers[turn])
+					result := yuccaqueue.NoFreeSlot
+					if turn < len(results) {
+						result = yuccaqueue.ServeResult(results[turn])
 					}
 					turn++
-					if answer == yuccaqueue.Placed {
+					if result == yuccaqueue.Placed {
 						delete(model, string(item.Request.ID))
 					}
-					return answer
+					return result
 				})
 			},
 			"remove": func(*rapid.T) {
@@ -173,7 +174,7 @@
 			},
 			"": func(rt *rapid.T) {
 				if q.Len() != len(model) {
-					rt.Fatalf("%d wait, want %d", q.Len(), len(model))
+					rt.Fatalf("%d requests wait, want %d", q.Len(), len(model))
 				}
 			},
 		})
@@ -182,7 +183,7 @@
 		}
 		q.Unpark(func(yuccaqueue.TargetSet) bool { return true })
 		if served := len(serve(q, 1000)); served != len(model) {
-			rt.Fatalf("%d came out, want %d", served, len(model))
+			rt.Fatalf("served %d requests, want %d", served, len(model))
 		}
 	})
 }
--- a/core/yuccaqueue/tier.go
+++ b/core/yuccaqueue/tier.go
@@ -7,40 +7,41 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// tier is what waits at one rank.
+// tier holds the waiting requests of one rank.
 type tier struct {
-	name    yuccaid.Tier
-	rank    int
-	load    load
-	chain   chain
-	classes []*class
-	work    histogram
-	// floor is the service that an account starts from when it had nothing waiting.
+	name     yuccaid.Tier
+	rank     int
+	load     load
+	arrivals arrivals
+	classes  []*class
+	work     histogram
+	// floor is the least virtual service with which an account starts again after it
+	// had nothing waiting.
 	floor float64
 }
 
-func (tr *tier) classOf(terms *Params, window float64) *class {
+func (tr *tier) classFor(params *Params, window float64) *class {
 	for _, cls := range tr.classes {
-		if cls.reach == terms.TargetSet && cls.long == terms.Long {
+		if cls.targetSet == params.TargetSet && cls.long == params.Long {
 			return cls
 		}
 	}
-	cls := newClass(terms.TargetSet, terms.Long, window)
+	cls := newClass(params.TargetSet, params.Long, window)
 	tr.classes = append(tr.classes, cls)
 	return cls
 }
 
-// next returns the flow to be served next over all classes that have room.
+// next returns the flow to be served next over all classes that are not parked, or nil.
 //
-// A class whose best candidate has had more than a window beyond the least served
-// open account gives way, so that fairness holds across classes too. The scan is over
-// classes, two for each distinct set of targets, not over accounts.
+// A class is passed over if its best flow is more than a window ahead of the least
+// served flow of all these classes, so that fairness holds across classes too. The scan
+// is over the classes, at most two for each distinct set of targets, not over accounts.
 func (tr *tier) next() *flow {
 	var best *flow
 	least := math.Inf(1)
 	for _, cls := range tr.classes {
 		if cls.head() != nil {
-			least = min(least, max(cls.floor, cls.all.top().share.virtual))
+			least = min(least, max(cls.floor, cls.byService.top().accountTier.virtualService))
 		}
 	}
 	if !math.IsInf(least, 1) {
@@ -48,7 +49,7 @@
 	}
 	for _, cls := range tr.classes {
 		fl := cls.head()
-		if fl == nil || fl.share.virtual > least+cls.window {
+		if fl == nil || fl.accountTier.virtualService > least+cls.window {
 			continue
 		}
 		if best == nil || fl.items.top().Params.Key.Before(best.items.top().Params.Key) {
@@ -60,51 +61,52 @@
 
 // histogram sums waiting work by deadline.
 type histogram struct {
-	slots [slotCount]time.Duration
-	later time.Duration
-	total time.Duration
+	buckets [bucketCount]time.Duration
+	later   time.Duration
+	total   time.Duration
 }
 
-func (hist *histogram) slot(item *Item) *time.Duration {
-	if item.Deadline.Sub(item.Arrived) >= slotWidth*(slotCount-1) {
+func (hist *histogram) bucket(item *Item) *time.Duration {
+	if item.Deadline.Sub(item.Arrived) >= bucketWidth*(bucketCount-1) {
 		return &hist.later
 	}
-	return &hist.slots[slotOf(item.Deadline)]
+	return &hist.buckets[bucketIndex(item.Deadline)]
 }
 
-func slotOf(at time.Time) int64 {
-	return at.UnixNano() / int64(slotWidth) % slotCount
+func bucketIndex(at time.Time) int64 {
+	return at.UnixNano() / int64(bucketWidth) % bucketCount
 }
 
 func (hist *histogram) add(item *Item) {
-	*hist.slot(item) += item.Params.Work
+	*hist.bucket(item) += item.Params.Work
 	hist.total += item.Params.Work
 }
 
-func (hist *histogram) drop(item *Item) {
-	*hist.slot(item) -= item.Params.Work
+func (hist *histogram) remove(item *Item) {
+	*hist.bucket(item) -= item.Params.Work
 	hist.total -= item.Params.Work
 }
 
-// before sums the work with deadlines from now until the given time.
-func (hist *histogram) before(now, deadline time.Time) time.Duration {
+// workBefore sums the work with deadlines from now until the given deadline.
+func (hist *histogram) workBefore(now, deadline time.Time) time.Duration {
 	if hist.total == 0 || deadline.Before(now) {
 		return 0
 	}
-	if deadline.Sub(now) >= slotWidth*(slotCount-1) {
+	if deadline.Sub(now) >= bucketWidth*(bucketCount-1) {
 		return hist.total
 	}
 	var sum time.Duration
-	last := slotOf(deadline)
-	for at := slotOf(now); ; at = (at + 1) % slotCount {
-		sum += hist.slots[at]
+	last := bucketIndex(deadline)
+	for at := bucketIndex(now); ; at = (at + 1) % bucketCount {
+		sum += hist.buckets[at]
 		if at == last {
 			return sum
 		}
 	}
 }
 
-// first returns the request with the earliest key among those that may be served.
+// first returns the request with the earliest key among the eligible flows of all
+// classes, parked ones included, or nil.
 func (tr *tier) first() *Item {
 	var best *Item
 	for _, cls := range tr.classes {
