--- a/core/yuccapool/bench_test.go
+++ b/core/yuccapool/bench_test.go
@@ -14,8 +14,9 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// bench is a leader whose targets are full and whose queue holds a steady number of
-// requests: each step ends one run, which grants another, and offers a new request.
+// bench is a leader whose targets are full and whose queue holds a constant number of
+// requests: each step finishes one run, which frees a slot for another, and submits a
+// new request.
 type bench struct {
 	lead     *yuccapool.Leader
 	now      time.Time
@@ -26,26 +27,26 @@
 }
 
 func newBench(waiting, targets, accounts int) *bench {
-	view := yuccapool.PoolConfig{Targets: fleet(targets), Accounts: map[yuccaid.Account]yuccapool.AccountConfig{}}
+	config := yuccapool.PoolConfig{Targets: fleet(targets), Accounts: map[yuccaid.Account]yuccapool.AccountConfig{}}
 	for at := range accounts {
-		view.Accounts[benchAccount(at)] = yuccapool.AccountConfig{Weight: 1 + at%3}
+		config.Accounts[benchAccount(at)] = yuccapool.AccountConfig{Weight: 1 + at%3}
 	}
 	bounds := yuccaqueue.BoundsFor(10*waiting+1000, 1<<50)
 	bounds.AccountRequests = bounds.Requests
 	queue := yuccapool.WithQueue(yuccaqueue.WithBounds(bounds))
 	bn := &bench{
-		lead:     yuccapool.New("drafts", self, rand.New(rand.NewPCG(1, 2)), queue, ownShares),
+		lead:     yuccapool.New("drafts", self, rand.New(rand.NewPCG(1, 2)), queue, noSharing),
 		now:      epoch,
 		accounts: accounts,
 	}
-	bn.lead.Configure(bn.now, view)
+	bn.lead.Configure(bn.now, config)
 	for range 10 * targets {
 		bn.now = bn.now.Add(time.Millisecond)
-		bn.offer()
-		bn.first()
+		bn.submit()
+		bn.firstTokens()
 	}
 	for range waiting {
-		bn.offer()
+		bn.submit()
 	}
 	return bn
 }
@@ -54,42 +55,43 @@
 	return yuccaid.Account(fmt.Sprintf("account-%d", at))
 }
 
-func (bn *bench) take(dec yuccapool.Decisions) { bn.granted = append(bn.granted, dec.Grants...) }
+func (bn *bench) collect(dec yuccapool.Decisions) { bn.granted = append(bn.granted, dec.Grants...) }
 
-func (bn *bench) offer() {
+func (bn *bench) submit() {
 	bn.next++
-	ask := yuccapool.Ask{
+	req := yuccapool.Ask{
 		ID: yuccaid.RequestID(fmt.Sprintf("r%d", bn.next)), Owner: self, Tier: "tier", Rank: bn.next % 3,
 		Account: benchAccount(bn.next % bn.accounts), Idempotent: true, Remaining: time.Hour,
 		Prompt: 500, Answer: 100, Prefixes: []uint64{uint64(bn.next % 50)},
 	}
-	bn.take(bn.lead.Submit(bn.now, ask))
+	bn.collect(bn.lead.Submit(bn.now, req))
 }
 
-// first brings every granted run to its first token.
-func (bn *bench) first() {
+// firstTokens reports the first token of every granted run.
+func (bn *bench) firstTokens() {
 	for len(bn.granted) > 0 {
 		grant := bn.granted[0]
 		bn.granted = append(bn.granted[:0], bn.granted[1:]...)
 		bn.running = append(bn.running, grant)
-		bn.take(bn.lead.RunProgressed(bn.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
+		bn.collect(bn.lead.RunProgressed(bn.now, yuccapool.Progress{ID: grant.ID, FirstToken: true}))
 	}
 }
 
-// step is three decisions: a finish, a first token and an offer.
+// step makes the leader decide three times: on a finished run, a first token and a new
+// request.
 func (bn *bench) step() {
 	bn.now = bn.now.Add(time.Millisecond)
 	at := bn.next % len(bn.running)
 	done := bn.running[at]
 	bn.running[at] = bn.running[len(bn.running)-1]
 	bn.running = bn.running[:len(bn.running)-1]
-	bn.take(bn.lead.RunFinished(bn.now, yuccapool.Finished{
+	bn.collect(bn.lead.RunFinished(bn.now, yuccapool.Finished{
 		ID: done.ID, Target: done.Target, Ran: true, Prompt: 500, Cached: 256, Answer: 100,
 		Prefill: 50 * time.Millisecond, Decode: 2 * time.Second,
 	}))
-	bn.first()
-	bn.offer()
-	bn.first()
+	bn.firstTokens()
+	bn.submit()
+	bn.firstTokens()
 }
 
 const stepDecisions = 3
@@ -117,13 +119,13 @@
 }
 
 var _ = Describe("the cost of a decision", func() {
-	// The queue grows a thousandfold in a long outage of the targets. If what a decision
-	// allocates grew with it, the leader would fall behind just then.
+	// In a long outage of the targets the queue grows a thousandfold. If the
+	// allocations of a decision grew with the queue, the leader would fall behind.
 	It("allocates no more with many waiting, targets or accounts than with few", func() {
 		cost := func(waiting, targets, accounts int) float64 {
 			bn := newBench(waiting, targets, accounts)
-			// Each account is seen once in each tier; what it takes to know it isn't part of
-			// the steady state.
+			// The leader allocates once for each account in each tier when it first
+			// sees them; these allocations are not part of the steady state.
 			for range 3 * accounts {
 				bn.step()
 			}
--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -10,70 +10,72 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// reachAll is the number of the set that holds every target of the pool.
-const reachAll = 0
+// allTargets is the index of the target set that holds every target of the pool.
+const allTargets = 0
 
-// Configure takes over a configuration. Waiting requests whose account may use no
-// target any more are refused; runs go on where they are.
-func (lead *Leader) Configure(now time.Time, view PoolConfig) Decisions {
+// Configure applies a configuration. Waiting requests whose account may no longer use
+// any target are refused; running requests continue on their targets.
+func (lead *Leader) Configure(now time.Time, config PoolConfig) Decisions {
 	var dec Decisions
-	lead.view = view
-	lead.fleet.Configure(view.Policy, view.PlainService, view.Targets)
-	lead.reaches = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
-	lead.configureAccounts(now, view)
-	lead.reclass(now, &dec)
+	lead.config = config
+	lead.fleet.Configure(config.Policy, config.PlainService, config.Targets)
+	lead.targetSets = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.configureAccounts(now, config)
+	lead.updateParams(now, &dec)
 	lead.serve(now, &dec)
 	return dec
 }
 
-func (lead *Leader) configureAccounts(now time.Time, view PoolConfig) {
-	numbers := map[string]int{"": reachAll}
+func (lead *Leader) configureAccounts(now time.Time, config PoolConfig) {
+	indexByKey := map[string]int{"": allTargets}
 	for _, acc := range lead.accounts {
-		acc.reach = reachAll
+		acc.targetSet = allTargets
 		acc.limits = Limits{}
 	}
-	for name, conf := range view.Accounts {
+	for name, accConfig := range config.Accounts {
 		acc := lead.account(name)
-		acc.reach = lead.number(numbers, conf.Targets)
-		acc.limits = conf.Limits
-		acc.requests.set(now, conf.Limits.RequestsPerSecond)
-		acc.tokens.set(now, float64(conf.Limits.TokensPerSecond))
-		lead.queue.SetWeight(name, conf.Weight)
+		acc.targetSet = lead.targetSetIndex(indexByKey, accConfig.Targets)
+		acc.limits = accConfig.Limits
+		acc.requests.set(now, accConfig.Limits.RequestsPerSecond)
+		acc.tokens.set(now, float64(accConfig.Limits.TokensPerSecond))
+		lead.queue.SetWeight(name, accConfig.Weight)
 	}
 	for name, acc := range lead.accounts {
-		lead.queue.SetBlocked(name, acc.full())
+		lead.queue.SetBlocked(name, acc.atRunningLimit())
 	}
 }
 
-func (lead *Leader) number(numbers map[string]int, targets []yuccaid.Target) int {
+// targetSetIndex returns the index of the set of the given targets and adds the set if
+// no account before had the same one.
+func (lead *Leader) targetSetIndex(indexByKey map[string]int, targets []yuccaid.Target) int {
 	names := make([]string, 0, len(targets))
 	for _, tgt := range targets {
 		names = append(names, string(tgt))
 	}
 	slices.Sort(names)
 	key := strings.Join(names, " ")
-	at, found := numbers[key]
+	index, found := indexByKey[key]
 	if !found {
-		at = len(lead.reaches)
-		numbers[key] = at
-		lead.reaches = append(lead.reaches, lead.fleet.NewReach(targets))
+		index = len(lead.targetSets)
+		indexByKey[key] = index
+		lead.targetSets = append(lead.targetSets, lead.fleet.NewReach(targets))
 	}
-	return at
+	return index
 }
 
-// reclass gives every waiting request the terms that follow from the configuration.
-func (lead *Leader) reclass(now time.Time, dec *Decisions) {
+// updateParams recomputes the scheduling parameters of every waiting request.
+func (lead *Leader) updateParams(now time.Time, dec *Decisions) {
 	var items []*yuccaqueue.Item
 	lead.queue.ForEach(func(item *yuccaqueue.Item) { items = append(items, item) })
 	for _, item := range items {
 		acc := lead.account(item.Request.Account)
-		if !lead.gathering(now) && !lead.reaches[acc.reach].Any() {
+		if !lead.gathering(now) && !lead.targetSets[acc.targetSet].Any() {
 			lead.queue.Remove(item)
-			lead.refuse(dec, &item.Request, yuccaqueue.ReasonNoTarget, 0)
+			lead.addRefusal(dec, &item.Request, yuccaqueue.ReasonNoTarget, 0)
 			continue
 		}
 		shape := lead.shape(&item.Request, item.Deadline)
-		lead.queue.UpdateParams(item, lead.terms(now, acc, &shape))
+		lead.queue.UpdateParams(item, lead.params(now, acc, &shape))
 	}
 	lead.queue.PruneClasses()
 	lead.queue.Unpark(func(yuccaqueue.TargetSet) bool { return true })
--- a/core/yuccapool/data.go
+++ b/core/yuccapool/data.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// grantLife is how long an owner may take to use a grant: the way between data
-	// centres and a pause of the owner's, with room to spare. A slot that isn't used
-	// idles for as long.
-	grantLife = 2 * time.Second
-	// evictLead is how long before the last useful moment a run of a lower tier is
-	// cancelled for a request: two ticks of the daemon and the cancel's way to the
-	// target. Later, the place would come too late; earlier, the run might have ended
-	// by itself. Sweep by the trial: 250 ms serves 83.7 of the desk's requests, 1 s 83.3.
-	evictLead = 250 * time.Millisecond
-	// burstSpan is the span over which an account's rate limits are counted.
+	// grantTTL is how long an owner may take to use a grant: it covers the delay
+	// between data centres and a pause of the owner's process, with a reserve. The slot
+	// of an unused grant stays idle for this time.
+	grantTTL = 2 * time.Second
+	// evictionLead is how long before the last useful moment a run of a lower tier is
+	// cancelled for a request: two ticks of the daemon and the delay of the cancel on
+	// its way to the target. If it were shorter, the slot would be free too late; if it
+	// were longer, runs would be cancelled that might have finished by themselves.
+	evictionLead = 250 * time.Millisecond
+	// burstSpan is the time over which an account's rate limits allow bursts: a bucket
+	// holds what its rate gives in that time.
 	burstSpan = time.Second
-	// shortestBack keeps refused callers from coming back in a loop.
-	shortestBack = 500 * time.Millisecond
-	// backSpread spreads the return of callers who were refused together, so that they
-	// don't come back as one burst.
-	backSpread = 0.5
-	// sweepPause is the pause between searches for runs that can't be alive any more.
-	sweepPause = time.Second
-	// defaultLongest is the longest run where the configuration states none.
-	defaultLongest = 10 * time.Minute
+	// minRetryAfter keeps refused callers from retrying in a tight loop.
+	minRetryAfter = 500 * time.Millisecond
+	// retryJitter is the largest fraction by which a retry-after time is extended at
+	// random, so that callers who were refused together do not retry in one burst.
+	retryJitter = 0.5
+	// overdueInterval is the time between searches for overdue runs.
+	overdueInterval = time.Second
+	// defaultLongestRun is used where the configuration does not set LongestRun.
+	defaultLongestRun = 10 * time.Minute
 )
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -9,116 +9,119 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// Submit queues an ask, or refuses it at once.
+// Submit queues a request, or refuses it at once.
 //
-// An ask that is already known is not counted again: an owner that lost its link
-// offers everything anew.
-func (lead *Leader) Submit(now time.Time, ask Ask) Decisions {
+// A request that is already known is not counted again, because an owner that lost its
+// connection submits all its requests again.
+func (lead *Leader) Submit(now time.Time, req Ask) Decisions {
 	var dec Decisions
-	if lead.known(&ask, &dec) {
+	if lead.handleKnown(&req, &dec) {
 		return dec
 	}
-	acc := lead.account(ask.Account)
-	if !lead.admit(now, acc, &ask, &dec) {
+	acc := lead.account(req.Account)
+	if !lead.admit(now, acc, &req, &dec) {
 		return dec
 	}
-	shape := lead.shape(&ask, now.Add(ask.Remaining))
-	terms := lead.terms(now, acc, &shape)
-	lead.fleet.Demand(now, &shape, terms.Long, terms.Work)
-	lead.push(now, ask, terms, &dec)
+	shape := lead.shape(&req, now.Add(req.Remaining))
+	params := lead.params(now, acc, &shape)
+	lead.fleet.Demand(now, &shape, params.Long, params.Work)
+	lead.push(now, req, params, &dec)
 	lead.serve(now, &dec)
 	return dec
 }
 
-func (lead *Leader) known(ask *Ask, dec *Decisions) bool {
-	if _, waits := lead.queue.Get(ask.ID); waits {
+// handleKnown reports whether the request is waiting or running already. It repeats a
+// grant that the owner has not used yet.
+func (lead *Leader) handleKnown(req *Ask, dec *Decisions) bool {
+	if _, waiting := lead.queue.Get(req.ID); waiting {
 		return true
 	}
-	one, runs := lead.runs[ask.ID]
-	if runs && !one.used {
-		lead.grant(one, dec)
+	run, runs := lead.runs[req.ID]
+	if runs && !run.dispatched {
+		lead.addGrant(run, dec)
 	}
 	return runs
 }
 
-// admit applies what can be known at once: the account's limits, its targets, and
-// whether even an idle pool could meet the deadline. A caller who hears this at once
-// can turn elsewhere while there is time.
-func (lead *Leader) admit(now time.Time, acc *account, ask *Ask, dec *Decisions) bool {
+// admit applies the checks that need no queue: the account's rate limits, its targets,
+// and whether even an idle pool could meet the deadline. A caller that is refused at
+// once has time left to try elsewhere.
+func (lead *Leader) admit(now time.Time, acc *account, req *Ask, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return true
 	}
-	reach := lead.reaches[acc.reach]
-	if !reach.Any() {
-		lead.refuse(dec, ask, yuccaqueue.ReasonNoTarget, 0)
+	targetSet := lead.targetSets[acc.targetSet]
+	if !targetSet.Any() {
+		lead.addRefusal(dec, req, yuccaqueue.ReasonNoTarget, 0)
 		return false
 	}
-	if back := acc.refusal(now); back > 0 {
-		lead.refuse(dec, ask, yuccaqueue.ReasonLimit, back)
+	if retryAfter := acc.rateLimitWait(now); retryAfter > 0 {
+		lead.addRefusal(dec, req, yuccaqueue.ReasonLimit, retryAfter)
 		return false
 	}
-	shape := lead.shape(ask, now.Add(ask.Remaining))
-	if lead.fleet.Quickest(reach, &shape) > ask.Remaining || ask.Remaining <= 0 {
-		lead.refuse(dec, ask, yuccaqueue.ReasonDeadline, 0)
+	shape := lead.shape(req, now.Add(req.Remaining))
+	if lead.fleet.Quickest(targetSet, &shape) > req.Remaining || req.Remaining <= 0 {
+		lead.addRefusal(dec, req, yuccaqueue.ReasonDeadline, 0)
 		return false
 	}
-	acc.take(ask)
+	acc.charge(req)
 	return true
 }
 
-func (lead *Leader) shape(ask *Ask, deadline time.Time) yuccaplace.Shape {
+// shape returns what the estimates of the fleet need of a request.
+func (lead *Leader) shape(req *Ask, deadline time.Time) yuccaplace.Shape {
 	shape := yuccaplace.Shape{
-		Prompt:   ask.Prompt,
-		Answer:   ask.Answer,
-		Prefixes: ask.Prefixes,
-		Rank:     ask.Rank,
+		Prompt:   req.Prompt,
+		Answer:   req.Answer,
+		Prefixes: req.Prefixes,
+		Rank:     req.Rank,
 		Deadline: deadline,
 	}
-	lead.fleet.Expect(ask.Operation, &shape)
+	lead.fleet.Expect(req.Operation, &shape)
 	return shape
 }
 
-// terms works out how a request waits: its deadline orders it, and it is due for a
-// look when the slowest target could no longer take it, the first moment at which
-// room may have to be made.
-func (lead *Leader) terms(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
-	reach := lead.reaches[acc.reach]
-	work, long := lead.fleet.Work(reach, shape)
+// params computes the scheduling parameters of a request: requests are ordered by
+// deadline, and one is checked shortly before the slowest target could no longer meet
+// its deadline, the earliest moment at which a slot may have to be freed for it.
+func (lead *Leader) params(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
+	targetSet := lead.targetSets[acc.targetSet]
+	work, long := lead.fleet.Work(targetSet, shape)
 	return yuccaqueue.Params{
-		TargetSet:   yuccaqueue.TargetSet(acc.reach),
+		TargetSet:   yuccaqueue.TargetSet(acc.targetSet),
 		Long:        long,
 		Key:         shape.Deadline,
-		LatestStart: shape.Deadline.Add(-lead.fleet.Quickest(reach, shape)),
-		CheckAt:     shape.Deadline.Add(-lead.fleet.Slowest(reach, shape) - evictLead),
+		LatestStart: shape.Deadline.Add(-lead.fleet.Quickest(targetSet, shape)),
+		CheckAt:     shape.Deadline.Add(-lead.fleet.Slowest(targetSet, shape) - evictionLead),
 		Work:        work,
 	}
 }
 
-// push queues an ask. When the queue is full of its own tier and higher ones, a run of
-// a lower tier is cancelled before the ask is refused.
-func (lead *Leader) push(now time.Time, ask Ask, terms yuccaqueue.Params, dec *Decisions) {
-	displaced, reason := lead.queue.Push(now, ask, terms)
-	if reason == yuccaqueue.ReasonOverload && lead.relieve(now, &ask, dec) {
-		displaced, reason = lead.queue.Push(now, ask, terms)
-	}
-	if reason == yuccaqueue.ReasonOverload && lead.bypass(now, ask, dec) {
+// push queues a request. If the queue holds only requests of its own tier and higher
+// ones and is full, a run of a lower tier is cancelled before the request is refused.
+func (lead *Leader) push(now time.Time, req Ask, params yuccaqueue.Params, dec *Decisions) {
+	displaced, reason := lead.queue.Push(now, req, params)
+	if reason == yuccaqueue.ReasonOverload && lead.evictForQueued(now, &req, dec) {
+		displaced, reason = lead.queue.Push(now, req, params)
+	}
+	if reason == yuccaqueue.ReasonOverload && lead.evictForNew(now, req, dec) {
 		return
 	}
 	if reason != "" {
-		lead.account(ask.Account).giveBack(&ask)
-		lead.refuse(dec, &ask, reason, lead.back(now, &ask))
+		lead.account(req.Account).refund(&req)
+		lead.addRefusal(dec, &req, reason, lead.retryAfter(now, &req))
 		return
 	}
-	lead.displace(now, displaced, dec)
+	lead.refuseDisplaced(now, displaced, dec)
 }
 
-// relieve makes room in a full queue by cancelling a run of a lower tier in favour of
-// a waiting request of the ask's tier or above.
-func (lead *Leader) relieve(now time.Time, ask *Ask, dec *Decisions) bool {
+// evictForQueued frees a place in a full queue: it cancels a run of a lower tier and
+// grants its slot to the first waiting request of the new request's tier or above.
+func (lead *Leader) evictForQueued(now time.Time, req *Ask, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return false
 	}
-	item := lead.queue.FirstAtOrAbove(ask.Rank)
+	item := lead.queue.FirstAtOrAbove(req.Rank)
 	if item == nil || !lead.evict(now, &item.Request, item.Deadline, dec) {
 		return false
 	}
@@ -126,49 +129,51 @@
 	return true
 }
 
-// bypass grants an ask that the full queue can't take the place of a run of a lower
-// tier, when no waiting request could use that place.
-func (lead *Leader) bypass(now time.Time, ask Ask, dec *Decisions) bool {
-	return !lead.gathering(now) && lead.evict(now, &ask, now.Add(ask.Remaining), dec)
+// evictForNew grants a request that the full queue cannot hold the slot of a run of a
+// lower tier, when no waiting request could use that slot.
+func (lead *Leader) evictForNew(now time.Time, req Ask, dec *Decisions) bool {
+	return !lead.gathering(now) && lead.evict(now, &req, now.Add(req.Remaining), dec)
 }
 
-// serve grants what finds room and then looks at the requests that are due.
+// serve grants free slots to waiting requests and then handles the requests that are
+// due for a check.
 func (lead *Leader) serve(now time.Time, dec *Decisions) {
 	if lead.gathering(now) {
 		return
 	}
-	try := func(item *yuccaqueue.Item) yuccaqueue.ServeResult { return lead.try(now, item, dec) }
-	lead.queue.Serve(try)
+	tryPlace := func(item *yuccaqueue.Item) yuccaqueue.ServeResult { return lead.tryPlace(now, item, dec) }
+	lead.queue.Serve(tryPlace)
 	for item := lead.queue.NextToCheck(now); item != nil; item = lead.queue.NextToCheck(now) {
-		lead.due(now, item, dec)
-		lead.queue.Serve(try)
+		lead.check(now, item, dec)
+		lead.queue.Serve(tryPlace)
 	}
 }
 
-func (lead *Leader) try(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.ServeResult {
+// tryPlace grants a request the best free slot, if there is a suitable one.
+func (lead *Leader) tryPlace(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.ServeResult {
 	shape := lead.shape(&item.Request, item.Deadline)
 	shape.Long = item.Params.Long
-	reach := lead.reaches[item.Params.TargetSet]
-	choice, verdict := lead.fleet.Choose(now, reach, &shape)
+	targetSet := lead.targetSets[item.Params.TargetSet]
+	choice, verdict := lead.fleet.Choose(now, targetSet, &shape)
 	switch verdict {
 	case yuccaplace.NoRoom:
 		return yuccaqueue.NoFreeSlot
 	case yuccaplace.Unsuited, yuccaplace.Better:
 		return yuccaqueue.Unsuitable
 	default:
-		lead.grant(lead.start(now, item.Request, choice, item.Deadline), dec)
+		lead.addGrant(lead.startRun(now, item.Request, choice, item.Deadline), dec)
 		return yuccaqueue.Placed
 	}
 }
 
-// due looks at a request that is about to miss its deadline.
+// check handles a request that is about to miss its deadline.
 //
-// First the room kept for others is opened to it, unless a higher tier waits for that
-// room; then a run of a lower tier is cancelled; and when nothing helps any more, the
-// request is refused at once instead of being served late, which would take the
-// target from requests that can still be met.
-func (lead *Leader) due(now time.Time, item *yuccaqueue.Item, dec *Decisions) {
-	if !now.After(item.Params.LatestStart) && lead.rescue(now, item, dec) {
+// First it may use the slots that are reserved for others, unless a request of a higher
+// tier waits; then a run of a lower tier is cancelled for it. If nothing has helped by
+// its last possible start, it is refused at once: served late, it would take target
+// time from requests that can still meet their deadlines.
+func (lead *Leader) check(now time.Time, item *yuccaqueue.Item, dec *Decisions) {
+	if !now.After(item.Params.LatestStart) && lead.placeOrEvict(now, item, dec) {
 		return
 	}
 	if item.Params.CheckAt.After(now) {
@@ -176,144 +181,152 @@
 	}
 	if !now.Before(item.Params.LatestStart) {
 		lead.queue.Remove(item)
-		lead.refuse(dec, &item.Request, yuccaqueue.ReasonDeadline, lead.back(now, &item.Request))
+		lead.addRefusal(dec, &item.Request, yuccaqueue.ReasonDeadline, lead.retryAfter(now, &item.Request))
 		return
 	}
-	lead.queue.Defer(item, lead.again(now, item))
+	lead.queue.Defer(item, lead.nextCheck(now, item))
 }
 
-// again is when a request that nothing helped yet is looked at next. One held up by
-// its own account's limit may go as soon as another of the account has ended.
-func (lead *Leader) again(now time.Time, item *yuccaqueue.Item) time.Time {
-	soon := now.Add(evictLead)
-	if lead.account(item.Request.Account).full() && soon.Before(item.Params.LatestStart) {
-		return soon
+// nextCheck returns when to check a request again that could not be placed. If its
+// account is at its limit of running requests, it may be placed as soon as another run
+// of the account has finished.
+func (lead *Leader) nextCheck(now time.Time, item *yuccaqueue.Item) time.Time {
+	recheck := now.Add(evictionLead)
+	if lead.account(item.Request.Account).atRunningLimit() && recheck.Before(item.Params.LatestStart) {
+		return recheck
 	}
 	return item.Params.LatestStart
 }
 
-func (lead *Leader) rescue(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
-	if lead.queue.CountAbove(item.Request.Rank) == 0 && lead.squeeze(now, item, dec) {
+// placeOrEvict places a request that is due for a check on a reserved slot or on the
+// slot of a run of a lower tier.
+func (lead *Leader) placeOrEvict(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
+	if lead.queue.CountAbove(item.Request.Rank) == 0 && lead.placeOnReserved(now, item, dec) {
 		return true
 	}
-	return lead.evictLate(now, item, dec)
+	return lead.evictIfDue(now, item, dec)
 }
 
-// evictLate cancels for a waiting request, but not before the last moment that helps:
-// until then a run may end by itself.
-func (lead *Leader) evictLate(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
+// evictIfDue cancels runs for a waiting request, but not before the last moment that
+// helps, because until then a run may finish by itself.
+func (lead *Leader) evictIfDue(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
 	eviction, found := lead.eviction(now, &item.Request, item.Deadline)
 	if !found {
 		return false
 	}
-	if eviction.Slack > evictLead {
-		lead.queue.Defer(item, now.Add(eviction.Slack-evictLead))
+	if eviction.Slack > evictionLead {
+		lead.queue.Defer(item, now.Add(eviction.Slack-evictionLead))
 		return false
 	}
 	lead.queue.RemoveServed(item)
-	return lead.carryOut(now, &item.Request, item.Deadline, eviction, dec)
+	return lead.applyEviction(now, &item.Request, item.Deadline, eviction, dec)
 }
 
-func (lead *Leader) squeeze(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
-	if lead.account(item.Request.Account).full() {
+// placeOnReserved grants a request a free slot even if the slot is reserved for others.
+func (lead *Leader) placeOnReserved(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
+	if lead.account(item.Request.Account).atRunningLimit() {
 		return false
 	}
 	shape := lead.shape(&item.Request, item.Deadline)
 	shape.Urgent = true
-	choice, verdict := lead.fleet.Choose(now, lead.reaches[item.Params.TargetSet], &shape)
+	choice, verdict := lead.fleet.Choose(now, lead.targetSets[item.Params.TargetSet], &shape)
 	if verdict != yuccaplace.Found {
 		return false
 	}
 	lead.queue.RemoveServed(item)
-	lead.grant(lead.start(now, item.Request, choice, item.Deadline), dec)
+	lead.addGrant(lead.startRun(now, item.Request, choice, item.Deadline), dec)
 	return true
 }
 
-// evict cancels runs of lower tiers for a request and grants it their place, if that
-// lets it meet its deadline.
-func (lead *Leader) evict(now time.Time, ask *Ask, deadline time.Time, dec *Decisions) bool {
-	eviction, found := lead.eviction(now, ask, deadline)
-	return found && lead.carryOut(now, ask, deadline, eviction, dec)
+// evict cancels runs of lower tiers for a request and grants it their slot, if it can
+// meet its deadline there.
+func (lead *Leader) evict(now time.Time, req *Ask, deadline time.Time, dec *Decisions) bool {
+	eviction, found := lead.eviction(now, req, deadline)
+	return found && lead.applyEviction(now, req, deadline, eviction, dec)
 }
 
-func (lead *Leader) carryOut(now time.Time, ask *Ask, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
+func (lead *Leader) applyEviction(now time.Time, req *Ask, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
 	for _, victim := range eviction.Runs {
 		lead.cancel(now, lead.runs[victim.ID], dec)
 	}
-	lead.grant(lead.start(now, *ask, eviction.Choice, deadline), dec)
+	lead.addGrant(lead.startRun(now, *req, eviction.Choice, deadline), dec)
 	return true
 }
 
-func (lead *Leader) eviction(now time.Time, ask *Ask, deadline time.Time) (yuccaplace.Eviction, bool) {
-	acc := lead.account(ask.Account)
-	if !lead.preempts || acc.full() {
+// eviction returns the runs to cancel so that a request can meet its deadline, or false
+// if no eviction helps or none is allowed.
+func (lead *Leader) eviction(now time.Time, req *Ask, deadline time.Time) (yuccaplace.Eviction, bool) {
+	acc := lead.account(req.Account)
+	if !lead.preempts || acc.atRunningLimit() {
 		return yuccaplace.Eviction{}, false
 	}
-	shape := lead.shape(ask, deadline)
-	eviction, found := lead.fleet.Evict(now, lead.reaches[acc.reach], &shape)
+	shape := lead.shape(req, deadline)
+	eviction, found := lead.fleet.Evict(now, lead.targetSets[acc.targetSet], &shape)
 	if found {
 		return eviction, true
 	}
-	// There is no room left for a long answer, but an ordinary one would be in time. A
-	// run of a lower tier is worth less than even that chance.
+	// No eviction lets a long answer meet the deadline, but one may let an ordinary
+	// answer meet it. A run of a lower tier is worth less than that chance.
 	shape.Urgent = true
-	return lead.fleet.Evict(now, lead.reaches[acc.reach], &shape)
+	return lead.fleet.Evict(now, lead.targetSets[acc.targetSet], &shape)
 }
 
-// cancel takes a run's place away. A grant that this very decision made hasn't left
-// yet: it is taken back and its request waits on.
-func (lead *Leader) cancel(now time.Time, one *run, dec *Decisions) {
-	lead.end(now, one)
-	unsent := slices.IndexFunc(dec.Grants, func(grant Grant) bool { return grant.ID == one.ask.ID })
+// cancel takes a run's slot away. A grant made in the same decision has not been sent
+// yet: it is removed from the decision and its request is queued again.
+func (lead *Leader) cancel(now time.Time, run *grantedRun, dec *Decisions) {
+	lead.endRun(now, run)
+	unsent := slices.IndexFunc(dec.Grants, func(grant Grant) bool { return grant.ID == run.req.ID })
 	if unsent >= 0 {
 		dec.Grants = slices.Delete(dec.Grants, unsent, unsent+1)
-		lead.requeue(now, one)
+		lead.requeue(now, run)
 		return
 	}
 	dec.Cancels = append(dec.Cancels, Cancel{
-		ID: one.ask.ID, Owner: one.ask.Owner, Target: one.Target(),
-		Reason: yuccaqueue.ReasonPreempted, RetryAfter: lead.back(now, &one.ask),
+		ID: run.req.ID, Owner: run.req.Owner, Target: run.Target(),
+		Reason: yuccaqueue.ReasonPreempted, RetryAfter: lead.retryAfter(now, &run.req),
 	})
 }
 
-func (lead *Leader) requeue(now time.Time, one *run) {
-	lead.onRequeue(one.Target())
-	one.ask.Remaining = one.deadline.Sub(now)
-	shape := lead.shape(&one.ask, one.deadline)
-	terms := lead.terms(now, lead.account(one.ask.Account), &shape)
-	lead.queue.Restore(now, one.ask, terms)
+func (lead *Leader) requeue(now time.Time, run *grantedRun) {
+	lead.onRequeue(run.Target())
+	run.req.Remaining = run.deadline.Sub(now)
+	shape := lead.shape(&run.req, run.deadline)
+	params := lead.params(now, lead.account(run.req.Account), &shape)
+	lead.queue.Restore(now, run.req, params)
 }
 
-func (lead *Leader) displace(now time.Time, displaced []yuccaqueue.Displaced, dec *Decisions) {
-	for _, gone := range displaced {
-		lead.refuse(dec, &gone.Request, gone.Reason, lead.back(now, &gone.Request))
+func (lead *Leader) refuseDisplaced(now time.Time, displaced []yuccaqueue.Displaced, dec *Decisions) {
+	for _, item := range displaced {
+		lead.addRefusal(dec, &item.Request, item.Reason, lead.retryAfter(now, &item.Request))
 	}
 }
 
-func (lead *Leader) grant(one *run, dec *Decisions) {
+func (lead *Leader) addGrant(run *grantedRun, dec *Decisions) {
 	dec.Grants = append(dec.Grants, Grant{
-		ID: one.ask.ID, Owner: one.ask.Owner, Target: one.Target(), ValidFor: grantLife,
-		ConfigNumber: lead.view.ConfigNumber, Leader: lead.self,
+		ID: run.req.ID, Owner: run.req.Owner, Target: run.Target(), ValidFor: grantTTL,
+		ConfigNumber: lead.config.ConfigNumber, Leader: lead.self,
 	})
 }
 
-func (lead *Leader) refuse(dec *Decisions, ask *Ask, reason yuccaqueue.Reason, back time.Duration) {
-	dec.Refusals = append(dec.Refusals, Refusal{ID: ask.ID, Owner: ask.Owner, Reason: reason, RetryAfter: back})
+func (lead *Leader) addRefusal(dec *Decisions, req *Ask, reason yuccaqueue.Reason, retryAfter time.Duration) {
+	dec.Refusals = append(dec.Refusals, Refusal{ID: req.ID, Owner: req.Owner, Reason: reason, RetryAfter: retryAfter})
 }
 
-// back returns when a refused request of this length would find the work gone that
-// stands before it now, spread so that the refused don't all return together.
-func (lead *Leader) back(now time.Time, ask *Ask) time.Duration {
-	reach := lead.reach(ask.Account)
-	ahead := lead.queue.WorkAhead(now, ask.Rank, now.Add(ask.Remaining))
-	drain := max(ahead/time.Duration(max(reach.Usable(), 1)), shortestBack)
-	return drain + time.Duration(lead.rng.Float64()*backSpread*float64(drain))
+// retryAfter estimates when the work queued ahead of a refused request with this rank
+// and deadline will be done, plus jitter, so that refused callers do not retry all
+// together.
+func (lead *Leader) retryAfter(now time.Time, req *Ask) time.Duration {
+	targetSet := lead.targetSet(req.Account)
+	ahead := lead.queue.WorkAhead(now, req.Rank, now.Add(req.Remaining))
+	drain := max(ahead/time.Duration(max(targetSet.Usable(), 1)), minRetryAfter)
+	return drain + time.Duration(lead.rng.Float64()*retryJitter*float64(drain))
 }
 
-// Withdraw forgets a waiting ask. A grant that is already out comes back by Finished.
+// Withdraw removes a waiting request. A grant that was already sent is given back by
+// RunFinished.
 func (lead *Leader) Withdraw(now time.Time, id yuccaid.RequestID) Decisions {
 	var dec Decisions
-	if item, waits := lead.queue.Get(id); waits {
+	if item, waiting := lead.queue.Get(id); waiting {
 		lead.queue.Remove(item)
 	}
 	lead.serve(now, &dec)
--- a/core/yuccapool/export_test.go
+++ b/core/yuccapool/export_test.go
@@ -2,12 +2,13 @@
 
 import "yuccacleat/core/yuccaid"
 
-// WithoutPreemption leaves every run alone.
+// WithoutPreemption makes the leader cancel no runs.
 func WithoutPreemption() Option {
 	return func(lead *Leader) { lead.preempts = false }
 }
 
-// OnRequeue hears of grants that were taken back before they were sent.
-func OnRequeue(hear func(yuccaid.Target)) Option {
-	return func(lead *Leader) { lead.onRequeue = hear }
+// OnRequeue calls a function with the target of each grant that is removed before it
+// was sent.
+func OnRequeue(notify func(yuccaid.Target)) Option {
+	return func(lead *Leader) { lead.onRequeue = notify }
 }
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -9,7 +9,7 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// Option changes a leader at its construction.
+// Option configures a leader at its construction.
 type Option func(*Leader)
 
 // WithQueue passes options to the leader's queue.
@@ -22,36 +22,38 @@
 	return func(lead *Leader) { lead.fleet = yuccaplace.New(options...) }
 }
 
-// run is a grant that hasn't been given back.
-type run struct {
+// grantedRun is a run whose grant has not been given back. dispatched says that the
+// owner has used the grant; orphaned says that the owner's daemon is lost.
+type grantedRun struct {
 	yuccaplace.Run
-	ask      Ask
-	used     bool
-	lost     bool
-	deadline time.Time
+	req        Ask
+	dispatched bool
+	orphaned   bool
+	deadline   time.Time
 }
 
-// Leader decides for one pool in one data centre.
+// Leader makes the decisions for one pool in one data centre.
 //
-// It isn't safe for concurrent use: the daemon's control goroutine owns it.
+// It is not safe for concurrent use: only the daemon's control goroutine calls it.
 type Leader struct {
-	pool     yuccaid.Pool
-	self     yuccaid.Incarnation
-	rng      *rand.Rand
-	view     PoolConfig
-	until    time.Time
-	preempts bool
-	fleet    *yuccaplace.Fleet
-	queue    *yuccaqueue.Queue
-	reaches  []*yuccaplace.Reach
-	accounts map[yuccaid.Account]*account
-	runs     map[yuccaid.RequestID]*run
-	swept    time.Time
-	// onRequeue hears of grants that were taken back before they were sent.
+	pool           yuccaid.Pool
+	self           yuccaid.Incarnation
+	rng            *rand.Rand
+	config         PoolConfig
+	withholdUntil  time.Time
+	preempts       bool
+	fleet          *yuccaplace.Fleet
+	queue          *yuccaqueue.Queue
+	targetSets     []*yuccaplace.Reach
+	accounts       map[yuccaid.Account]*account
+	runs           map[yuccaid.RequestID]*grantedRun
+	overdueChecked time.Time
+	// onRequeue is called with the target of each grant that is removed before it was
+	// sent; tests set it.
 	onRequeue func(yuccaid.Target)
 }
 
-// New returns a leader without targets; Configure gives it some.
+// New returns a leader without targets; Configure sets them.
 func New(pool yuccaid.Pool, leader yuccaid.Incarnation, rng *rand.Rand, options ...Option) *Leader {
 	lead := &Leader{
 		pool:     pool,
@@ -61,244 +63,251 @@
 		fleet:    yuccaplace.New(),
 		queue:    yuccaqueue.New(),
 		accounts: map[yuccaid.Account]*account{},
-		runs:     map[yuccaid.RequestID]*run{},
+		runs:     map[yuccaid.RequestID]*grantedRun{},
 
 		onRequeue: func(yuccaid.Target) {},
 	}
 	for _, option := range options {
 		option(lead)
 	}
-	lead.reaches = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.targetSets = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
 	return lead
 }
 
-// HoldGrantsUntil holds all grants back until the given time, while the daemons tell the
-// new leader what they have waiting and running.
+// HoldGrantsUntil makes a new leader withhold all grants until the given time, while
+// the daemons report their waiting and running requests to it.
 //
-// A leader that grants before it knows what runs would fill every target a second
-// time, and the urgent requests would wait behind the surplus in the engines.
-func (lead *Leader) HoldGrantsUntil(_, until time.Time) {
-	lead.until = until
+// A leader that grants before it knows what runs would fill every target a second time,
+// and urgent requests would wait behind the surplus inside the targets.
+func (lead *Leader) HoldGrantsUntil(_, withholdUntil time.Time) {
+	lead.withholdUntil = withholdUntil
 }
 
+// gathering reports whether the leader withholds all grants until its owners have
+// reported what runs.
 func (lead *Leader) gathering(now time.Time) bool {
-	return now.Before(lead.until)
+	return now.Before(lead.withholdUntil)
 }
 
-// AddRunning counts a run that an owner reports while the leader gathers.
+// AddRunning adds a run that its owner reports to a new leader.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
 	node, found := lead.fleet.Node(running.Target)
 	if _, known := lead.runs[running.Request.ID]; known || !found {
 		return
 	}
-	if item, waits := lead.queue.Get(running.Request.ID); waits {
+	if item, waiting := lead.queue.Get(running.Request.ID); waiting {
 		lead.queue.Remove(item)
 	}
-	one := lead.start(now, running.Request, yuccaplace.Choice{Node: node}, now.Add(running.Request.Remaining))
-	one.used = true
+	run := lead.startRun(now, running.Request, yuccaplace.Choice{Node: node}, now.Add(running.Request.Remaining))
+	run.dispatched = true
 	if running.Answered > 0 {
-		lead.fleet.First(now, &one.Run)
-		one.Answered = running.Answered
+		lead.fleet.First(now, &run.Run)
+		run.Answered = running.Answered
 	}
 }
 
-// RunProgressed notes how far a run has come.
+// RunProgressed records how far a run has come.
 func (lead *Leader) RunProgressed(now time.Time, progress Progress) Decisions {
 	var dec Decisions
-	one, found := lead.runs[progress.ID]
+	run, found := lead.runs[progress.ID]
 	if !found {
 		return dec
 	}
-	one.used = true
-	one.Answered = max(one.Answered, progress.Answered)
-	if (progress.FirstToken || progress.Answered > 0) && one.Prefilling() {
-		lead.fleet.First(now, &one.Run)
-		lead.wakeNode(one.Target())
+	run.dispatched = true
+	run.Answered = max(run.Answered, progress.Answered)
+	if (progress.FirstToken || progress.Answered > 0) && run.Prefilling() {
+		lead.fleet.First(now, &run.Run)
+		lead.unparkTarget(run.Target())
 		lead.serve(now, &dec)
 	}
 	return dec
 }
 
-// RunFinished frees what a grant held and learns from how the run went.
+// RunFinished frees the slot of a grant and learns speeds and lengths from the run.
 func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
 		lead.fleet.Leave(now, done.Target, true, 0)
-		lead.refresh()
+		lead.refreshTargetSets()
 	}
 	if done.Failed || done.Refused {
 		lead.fleet.Failed(now, done.Target)
 	}
-	one, found := lead.runs[done.ID]
+	run, found := lead.runs[done.ID]
 	if !found {
 		return dec
 	}
-	lead.end(now, one)
+	lead.endRun(now, run)
 	if done.Ran {
-		lead.fleet.Learn(now, &one.Run, yuccaplace.Observed{
+		lead.fleet.Learn(now, &run.Run, yuccaplace.Observed{
 			Prompt: done.Prompt, Cached: done.Cached, Answer: done.Answer,
 			Prefill: done.Prefill, Decode: done.Decode, Whole: !done.Partial,
 		})
 	} else {
-		lead.account(one.ask.Account).giveBack(&one.ask)
+		lead.account(run.req.Account).refund(&run.req)
 	}
 	lead.serve(now, &dec)
 	return dec
 }
 
-// DropOwner drops what a lost daemon had waiting. What it had running still occupies
-// its target until the target's report or the longest run says otherwise: the engine
-// doesn't know that nobody waits for the answer.
+// DropOwner removes the waiting requests of a lost daemon. Its runs keep their slots
+// until a report of the target shows that they are gone or LongestRun has passed,
+// because a target does not know that the owner no longer waits for the answer.
 func (lead *Leader) DropOwner(now time.Time, inc yuccaid.Incarnation) Decisions {
 	var dec Decisions
-	var gone []*yuccaqueue.Item
+	var owned []*yuccaqueue.Item
 	lead.queue.ForEach(func(item *yuccaqueue.Item) {
 		if item.Request.Owner == inc {
-			gone = append(gone, item)
+			owned = append(owned, item)
 		}
 	})
-	for _, item := range gone {
+	for _, item := range owned {
 		lead.queue.Remove(item)
 	}
-	for _, one := range lead.runs {
-		if one.ask.Owner == inc {
-			one.lost = true
-			one.Cancellable = false
+	for _, run := range lead.runs {
+		if run.req.Owner == inc {
+			run.orphaned = true
+			run.Cancellable = false
 		}
 	}
 	lead.serve(now, &dec)
 	return dec
 }
 
-// ApplyReport takes a target's own word on its load.
+// ApplyReport applies a target's load report.
 func (lead *Leader) ApplyReport(now time.Time, report LoadReport) Decisions {
 	var dec Decisions
 	lead.fleet.Leave(now, report.Target, report.Leaving, report.Age)
-	lead.release(now, &report)
+	lead.endLostRuns(now, &report)
 	lead.fleet.Report(now, report.Target, yuccaplace.Load{
 		Age: report.Age, Waiting: report.Waiting, Running: report.Running,
 	})
-	lead.wakeNode(report.Target)
+	lead.unparkTarget(report.Target)
 	lead.serve(now, &dec)
 	return dec
 }
 
-// release ends runs of lost owners that the target's report no longer shows. Only
+// endLostRuns ends runs of lost owners that the target's report no longer shows. Only
 // runs that began before the report was made are compared with it.
-func (lead *Leader) release(now time.Time, report *LoadReport) {
+func (lead *Leader) endLostRuns(now time.Time, report *LoadReport) {
 	made := now.Add(-report.Age)
-	var lost []*run
+	var orphaned []*grantedRun
 	counted := 0
-	for _, one := range lead.runs {
-		if one.Target() != report.Target || one.Began.After(made) {
+	for _, run := range lead.runs {
+		if run.Target() != report.Target || run.Began.After(made) {
 			continue
 		}
 		counted++
-		if one.lost {
-			lost = append(lost, one)
+		if run.orphaned {
+			orphaned = append(orphaned, run)
 		}
 	}
 	surplus := counted - report.Running - report.Waiting
-	for _, one := range lost[:max(0, min(surplus, len(lost)))] {
-		lead.end(now, one)
+	for _, run := range orphaned[:max(0, min(surplus, len(orphaned)))] {
+		lead.endRun(now, run)
 	}
 }
 
-// ApplyCacheEvent takes a target's word on its prefix cache.
+// ApplyCacheEvent applies changes of a target's prefix cache.
 func (lead *Leader) ApplyCacheEvent(_ time.Time, event CacheEvent) {
 	lead.fleet.CacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
 }
 
-// Tick decides what the passing of time has changed. Call it at least every 100
-// milliseconds, or when Next says so.
+// Tick makes the decisions that follow from the passing of time. Call it at least every
+// 100 milliseconds, and at the time that NextCheck returns.
 func (lead *Leader) Tick(now time.Time) Decisions {
 	var dec Decisions
 	lead.fleet.Tick(now)
-	lead.refresh()
-	lead.sweep(now)
+	lead.refreshTargetSets()
+	lead.endOverdueRuns(now)
 	lead.queue.Unpark(func(yuccaqueue.TargetSet) bool { return true })
 	lead.serve(now, &dec)
 	return dec
 }
 
-// NextCheck returns when a waiting request has to be looked at again.
+// NextCheck returns when a waiting request has to be checked, or false if none waits.
 func (lead *Leader) NextCheck(now time.Time) (time.Time, bool) {
-	due, found := lead.queue.NextCheck()
-	if found && lead.gathering(now) && due.Before(lead.until) {
-		return lead.until, true
+	check, found := lead.queue.NextCheck()
+	if found && lead.gathering(now) && check.Before(lead.withholdUntil) {
+		return lead.withholdUntil, true
 	}
-	return due, found
+	return check, found
 }
 
-// sweep ends runs that have outlived the longest run, such as those of lost owners on
-// targets that report nothing.
-func (lead *Leader) sweep(now time.Time) {
-	if now.Sub(lead.swept) < sweepPause {
+// endOverdueRuns ends runs that have lasted longer than LongestRun allows, such as
+// those of lost owners on targets that report nothing.
+func (lead *Leader) endOverdueRuns(now time.Time) {
+	if now.Sub(lead.overdueChecked) < overdueInterval {
 		return
 	}
-	lead.swept = now
-	longest := lead.view.LongestRun
+	lead.overdueChecked = now
+	longest := lead.config.LongestRun
 	if longest <= 0 {
-		longest = defaultLongest
+		longest = defaultLongestRun
 	}
-	for _, one := range lead.runs {
-		if now.Sub(one.Began) > longest+grantLife {
-			lead.end(now, one)
+	for _, run := range lead.runs {
+		if now.Sub(run.Began) > longest+grantTTL {
+			lead.endRun(now, run)
 		}
 	}
 }
 
-func (lead *Leader) start(now time.Time, ask Ask, choice yuccaplace.Choice, deadline time.Time) *run {
-	one := &run{ask: ask, deadline: deadline}
-	one.Run = yuccaplace.Run{
-		ID:          ask.ID,
-		Operation:   ask.Operation,
-		Rank:        ask.Rank,
-		Cancellable: ask.Idempotent && !lead.view.PlainService,
-		Prompt:      ask.Prompt,
+// startRun records a run on the chosen target and counts it for its account.
+func (lead *Leader) startRun(now time.Time, req Ask, choice yuccaplace.Choice, deadline time.Time) *grantedRun {
+	run := &grantedRun{req: req, deadline: deadline}
+	run.Run = yuccaplace.Run{
+		ID:          req.ID,
+		Operation:   req.Operation,
+		Rank:        req.Rank,
+		Cancellable: req.Idempotent && !lead.config.PlainService,
+		Prompt:      req.Prompt,
 		Cached:      choice.Cached,
-		Answer:      ask.Answer,
+		Answer:      req.Answer,
 	}
-	shape := lead.shape(&ask, deadline)
-	one.High, one.Deadline = shape.High, deadline
-	_, one.Long = lead.fleet.Work(lead.reach(ask.Account), &shape)
-	lead.runs[ask.ID] = one
-	lead.fleet.Begin(now, choice.Node, &one.Run, ask.Prefixes)
-	acc := lead.account(ask.Account)
+	shape := lead.shape(&req, deadline)
+	run.High, run.Deadline = shape.High, deadline
+	_, run.Long = lead.fleet.Work(lead.targetSet(req.Account), &shape)
+	lead.runs[req.ID] = run
+	lead.fleet.Begin(now, choice.Node, &run.Run, req.Prefixes)
+	acc := lead.account(req.Account)
 	acc.running++
-	lead.queue.SetBlocked(ask.Account, acc.full())
-	return one
+	lead.queue.SetBlocked(req.Account, acc.atRunningLimit())
+	return run
 }
 
-func (lead *Leader) end(now time.Time, one *run) {
-	delete(lead.runs, one.ask.ID)
-	lead.fleet.End(now, &one.Run)
-	acc := lead.account(one.ask.Account)
+// endRun removes a run and frees its slot.
+func (lead *Leader) endRun(now time.Time, run *grantedRun) {
+	delete(lead.runs, run.req.ID)
+	lead.fleet.End(now, &run.Run)
+	acc := lead.account(run.req.Account)
 	acc.running--
-	lead.queue.SetBlocked(one.ask.Account, acc.full())
-	lead.wakeNode(one.Target())
+	lead.queue.SetBlocked(run.req.Account, acc.atRunningLimit())
+	lead.unparkTarget(run.Target())
 }
 
-func (lead *Leader) wakeNode(name yuccaid.Target) {
+// unparkTarget lets the queue try all requests again that may use the target.
+func (lead *Leader) unparkTarget(name yuccaid.Target) {
 	node, found := lead.fleet.Node(name)
 	if !found {
 		return
 	}
-	lead.queue.Unpark(func(at yuccaqueue.TargetSet) bool { return lead.reaches[at].Has(node) })
+	lead.queue.Unpark(func(set yuccaqueue.TargetSet) bool { return lead.targetSets[set].Has(node) })
 }
 
-func (lead *Leader) refresh() {
-	for _, reach := range lead.reaches {
-		reach.Refresh()
+// refreshTargetSets updates the combined rates of all target sets.
+func (lead *Leader) refreshTargetSets() {
+	for _, targetSet := range lead.targetSets {
+		targetSet.Refresh()
 	}
 }
 
-func (lead *Leader) reach(name yuccaid.Account) *yuccaplace.Reach {
-	return lead.reaches[lead.account(name).reach]
+func (lead *Leader) targetSet(name yuccaid.Account) *yuccaplace.Reach {
+	return lead.targetSets[lead.account(name).targetSet]
 }
 
-// account returns a client account, also one that the configuration doesn't know: its
-// owner may have a newer configuration, and refuses what isn't allowed by itself.
+// account returns the state of a client account and creates it if needed. It also
+// accepts accounts that the configuration does not list: the owner may have a newer
+// configuration, and it refuses by itself what is not allowed.
 func (lead *Leader) account(name yuccaid.Account) *account {
 	acc, found := lead.accounts[name]
 	if !found {
--- a/core/yuccapool/limit.go
+++ b/core/yuccapool/limit.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// bucket is a token bucket that may be overdrawn once: a request larger than the
-// burst passes when the bucket isn't empty and is paid off before the next one. Else
-// a limit below the longest prompt would shut that prompt out for good.
+// bucket is a token bucket that may be overdrawn once: a request larger than the burst
+// passes if the bucket is not empty, and the debt is refilled before the next request
+// passes. Otherwise a limit below the longest prompt would refuse that prompt for ever.
 type bucket struct {
-	rate  float64
-	level float64
-	at    time.Time
+	rate     float64
+	level    float64
+	filledAt time.Time
 }
 
-// set changes the rate and keeps what was drawn, so that a new configuration doesn't
-// hand out a fresh burst.
+// set changes the rate and keeps the level, so that a new configuration does not allow
+// a new burst.
 func (bk *bucket) set(now time.Time, rate float64) {
 	bk.fill(now)
-	if bk.at.IsZero() || bk.rate <= 0 {
+	if bk.filledAt.IsZero() || bk.rate <= 0 {
 		bk.level = bk.burst(rate)
 	}
 	bk.rate = rate
-	bk.at = now
+	bk.filledAt = now
 	bk.level = min(bk.level, bk.burst(rate))
 }
 
@@ -28,16 +28,17 @@
 }
 
 func (bk *bucket) fill(now time.Time) {
-	if bk.at.IsZero() || bk.rate <= 0 {
+	if bk.filledAt.IsZero() || bk.rate <= 0 {
 		return
 	}
-	if gone := now.Sub(bk.at).Seconds(); gone > 0 {
-		bk.level = min(bk.level+gone*bk.rate, bk.burst(bk.rate))
-		bk.at = now
+	if elapsed := now.Sub(bk.filledAt).Seconds(); elapsed > 0 {
+		bk.level = min(bk.level+elapsed*bk.rate, bk.burst(bk.rate))
+		bk.filledAt = now
 	}
 }
 
-// wait returns how long until the given level is there; zero when it is.
+// wait returns how long it takes until the bucket has reached the given level, or zero
+// if it has.
 func (bk *bucket) wait(now time.Time, level float64) time.Duration {
 	if bk.rate <= 0 {
 		return 0
@@ -49,42 +50,45 @@
 	return time.Duration((level - bk.level) / bk.rate * float64(time.Second))
 }
 
-func (bk *bucket) take(amount float64) {
+func (bk *bucket) charge(amount float64) {
 	if bk.rate > 0 {
 		bk.level -= amount
 	}
 }
 
-// account is a client account as the leader counts it.
+// account is the leader's state of one client account.
 //
-// The leader sees every request of the account in this pool, so the limits are exact
-// here. A grant that wasn't used gives back what it took.
+// The leader sees every request of the account to this pool, so its limits are exact.
+// Charges of a grant that was not used are refunded.
 type account struct {
-	reach    int
-	limits   Limits
-	requests bucket
-	tokens   bucket
-	running  int
+	// targetSet is the index in Leader.targetSets of the targets that the account may use.
+	targetSet int
+	limits    Limits
+	requests  bucket
+	tokens    bucket
+	running   int
 }
 
-// epsilon absorbs the rounding of a bucket that was filled in many small steps.
-const epsilon = 1e-6
+// levelTolerance absorbs the rounding errors of a bucket that was filled in many small
+// steps.
+const levelTolerance = 1e-6
 
-// refusal returns how long the account has to wait for its rate limits.
-func (acc *account) refusal(now time.Time) time.Duration {
-	return max(acc.requests.wait(now, 1-epsilon), acc.tokens.wait(now, epsilon))
+// rateLimitWait returns how long the account has to wait until its rate limits allow
+// another request, or zero.
+func (acc *account) rateLimitWait(now time.Time) time.Duration {
+	return max(acc.requests.wait(now, 1-levelTolerance), acc.tokens.wait(now, levelTolerance))
 }
 
-func (acc *account) take(ask *Ask) {
-	acc.requests.take(1)
-	acc.tokens.take(float64(ask.Tokens()))
+func (acc *account) charge(req *Ask) {
+	acc.requests.charge(1)
+	acc.tokens.charge(float64(req.Tokens()))
 }
 
-func (acc *account) giveBack(ask *Ask) {
-	acc.requests.take(-1)
-	acc.tokens.take(-float64(ask.Tokens()))
+func (acc *account) refund(req *Ask) {
+	acc.requests.charge(-1)
+	acc.tokens.charge(-float64(req.Tokens()))
 }
 
-func (acc *account) full() bool {
+func (acc *account) atRunningLimit() bool {
 	return acc.limits.Running > 0 && acc.running >= acc.limits.Running
 }
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -29,304 +29,308 @@
 	return yuccapool.Ask{Account: "marshals", Rank: 1, Idempotent: true, Remaining: 90 * time.Second, Prompt: 20_000, Answer: 300}
 }
 
-func from(acc yuccaid.Account, ask yuccapool.Ask) yuccapool.Ask {
-	ask.Account = acc
-	return ask
+func withAccount(acc yuccaid.Account, msg yuccapool.Ask) yuccapool.Ask {
+	msg.Account = acc
+	return msg
 }
 
 func ofAccount(acc yuccaid.Account) func(*request) bool {
 	return func(req *request) bool { return req.Account == acc }
 }
 
-func shortOnes(req *request) bool { return req.Prompt < 1000 }
+func isShort(req *request) bool { return req.Prompt < 1000 }
 
-func plainFleet(n int) yuccapool.PoolConfig { return yuccapool.PoolConfig{Targets: fleet(n)} }
+func configWithFleet(n int) yuccapool.PoolConfig { return yuccapool.PoolConfig{Targets: fleet(n)} }
 
 var _ = Describe("callers under load", func() {
-	// A storm brings four times the usual triage notes for twenty seconds while letters
-	// fill the engines. Without order before the engines the notes wait behind letters
-	// and crews roll late.
+	// A storm brings four times the usual urgent requests (triage notes) for twenty
+	// seconds while low-tier requests (letters) fill the engines. Unless the leader
+	// orders them, the urgent requests wait behind letters and miss their deadlines.
 	It("serves every urgent request through a burst, whatever else runs", func() {
-		w := newWorld(plainFleet(4))
-		w.stream(250*time.Millisecond, 60*time.Second, letter)
-		w.stream(800*time.Millisecond, 60*time.Second, triage)
-		w.after(20*time.Second, func() { w.stream(200*time.Millisecond, 20*time.Second, triage) })
-		w.run(3 * time.Minute)
-		Expect(w.goodput(ofRank(0))).To(BeNumerically(">=", 0.99))
+		sim := newSimulation(configWithFleet(4))
+		sim.stream(250*time.Millisecond, 60*time.Second, letter)
+		sim.stream(800*time.Millisecond, 60*time.Second, triage)
+		sim.after(20*time.Second, func() { sim.stream(200*time.Millisecond, 20*time.Second, triage) })
+		sim.run(3 * time.Minute)
+		Expect(sim.goodput(ofRank(0))).To(BeNumerically(">=", 0.99))
 	})
 
-	// One member's script sends ten times what the others send. Callers of the small
-	// accounts see their requests wait behind the script's.
+	// One account sends ten times as many requests as the others. The requests of a
+	// small account must not wait behind them.
 	It("keeps a small account served beside a large one in the same tier", func() {
-		w := newWorld(plainFleet(2))
-		w.stream(60*time.Millisecond, 60*time.Second, func() yuccapool.Ask { return from("script", triage()) })
-		w.stream(2*time.Second, 60*time.Second, func() yuccapool.Ask { return from("small", triage()) })
-		w.run(2 * time.Minute)
-		Expect(w.goodput(ofAccount("script"))).To(BeNumerically("<", 0.5))
-		Expect(w.goodput(ofAccount("small"))).To(BeNumerically(">=", 0.95))
+		sim := newSimulation(configWithFleet(2))
+		sim.stream(60*time.Millisecond, 60*time.Second, func() yuccapool.Ask { return withAccount("script", triage()) })
+		sim.stream(2*time.Second, 60*time.Second, func() yuccapool.Ask { return withAccount("small", triage()) })
+		sim.run(2 * time.Minute)
+		Expect(sim.goodput(ofAccount("script"))).To(BeNumerically("<", 0.5))
+		Expect(sim.goodput(ofAccount("small"))).To(BeNumerically(">=", 0.95))
 	})
 
-	// An engine throttles and becomes eight times slower without a word. Callers whose
-	// requests keep going there miss their deadlines while its neighbours have room.
-	It("sends a slow target little work and takes it back when it is well", func() {
-		w := newWorld(plainFleet(4))
-		w.stream(150*time.Millisecond, 5*time.Minute, triage)
-		w.after(10*time.Second, func() { w.engines["engine-0"].slow = 8 })
-		w.after(90*time.Second, func() { w.engines["engine-0"].slow = 1 })
-		w.after(200*time.Second, func() { w.stream(500*time.Millisecond, 100*time.Second, triage) })
-		w.run(6 * time.Minute)
-		Expect(w.count(missed, everybody)).To(BeNumerically("<=", 4))
-		Expect(w.goodput(everybody)).To(BeNumerically(">=", 0.98))
+	// An engine becomes eight times slower and reports no error. Requests that are
+	// still sent there miss their deadlines while other engines have free slots.
+	It("sends a slow target little work until it has recovered", func() {
+		sim := newSimulation(configWithFleet(4))
+		sim.stream(150*time.Millisecond, 5*time.Minute, triage)
+		sim.after(10*time.Second, func() { sim.engines["engine-0"].slowdown = 8 })
+		sim.after(90*time.Second, func() { sim.engines["engine-0"].slowdown = 1 })
+		sim.after(200*time.Second, func() { sim.stream(500*time.Millisecond, 100*time.Second, triage) })
+		sim.run(6 * time.Minute)
+		Expect(sim.count(outcomeMissed, anyRequest)).To(BeNumerically("<=", 4))
+		Expect(sim.goodput(anyRequest)).To(BeNumerically(">=", 0.98))
 		late := func(req *request) bool {
 			return req.engine != nil && req.engine.Name == "engine-0" && req.began.After(epoch.Add(200*time.Second))
 		}
-		Expect(w.count(met, late)).To(BeNumerically(">=", 10))
+		Expect(sim.count(outcomeMet, late)).To(BeNumerically(">=", 10))
 	})
 
-	// An engine stops in the middle of everything and keeps its connections open. It
-	// finishes nothing, so no finished request ever shows that it is slow; callers are
-	// sent into it one after the other.
+	// An engine stops making progress and keeps its connections open. Because it
+	// finishes nothing, no finished request shows that it is slow, and one request
+	// after the other is sent to it.
 	It("sends a stalled target a handful of requests at most", func() {
-		w := newWorld(plainFleet(4))
-		w.stream(300*time.Millisecond, 2*time.Minute, triage)
-		w.after(10*time.Second, func() { w.engines["engine-1"].stalled = true })
-		w.run(3 * time.Minute)
-		Expect(w.count(runs, everybody)).To(BeNumerically("<=", 8))
+		sim := newSimulation(configWithFleet(4))
+		sim.stream(300*time.Millisecond, 2*time.Minute, triage)
+		sim.after(10*time.Second, func() { sim.engines["engine-1"].stalled = true })
+		sim.run(3 * time.Minute)
+		Expect(sim.count(outcomeRunning, anyRequest)).To(BeNumerically("<=", 8))
 	})
 
-	// Rulebooks of a hundred times a lookup's length come in a row. A lookup behind one
-	// of them waits longer than its caller does; and if lookups always went first, the
-	// marshals would never get their briefing.
-	It("serves lookups beside rulebooks and starves neither", func() {
-		w := newWorld(plainFleet(4))
-		w.stream(1500*time.Millisecond, 2*time.Minute, rulebook)
-		w.stream(100*time.Millisecond, 2*time.Minute, lookup)
-		w.run(4 * time.Minute)
-		Expect(w.goodput(shortOnes)).To(BeNumerically(">=", 0.97))
-		Expect(w.goodput(ofAccount("marshals"))).To(BeNumerically(">=", 0.9))
+	// Prompts a hundred times as long as a lookup arrive one after the other. A lookup
+	// behind one of them misses its deadline; but if lookups always went first, the
+	// long prompts would starve.
+	It("serves short lookups beside long rulebooks and starves neither", func() {
+		sim := newSimulation(configWithFleet(4))
+		sim.stream(1500*time.Millisecond, 2*time.Minute, rulebook)
+		sim.stream(100*time.Millisecond, 2*time.Minute, lookup)
+		sim.run(4 * time.Minute)
+		Expect(sim.goodput(isShort)).To(BeNumerically(">=", 0.97))
+		Expect(sim.goodput(ofAccount("marshals"))).To(BeNumerically(">=", 0.9))
 	})
 
-	// Demand is twice what the fleet can do for minutes. A fleet that starts everything
-	// finishes nothing in time. The triage notes leave letters 0.18 of what they ask for:
-	// 900 of the 1,920 slot seconds in two minutes and 960 in the one that follows, at
-	// 17 for each of 600 letters.
-	It("fills the fleet with work that is in time when saturated, the lowest tier losing first", func() {
-		w := newWorld(plainFleet(2))
-		w.stream(400*time.Millisecond, 2*time.Minute, triage)
-		w.stream(200*time.Millisecond, 2*time.Minute, letter)
-		w.run(4 * time.Minute)
-		Expect(w.goodput(ofRank(0))).To(BeNumerically(">=", 0.99))
-		Expect(w.goodput(ofRank(2))).To(BeNumerically(">", 0.15))
-		Expect(w.count(missed, everybody)).To(BeNumerically("<=", len(w.reqs)/50))
+	// Demand is twice the capacity for minutes; a leader that grants everything
+	// finishes nothing in time. Urgent requests leave letters 0.18 of the capacity that
+	// they need: 900 of the 1,920 slot seconds in two minutes and 960 in the following
+	// one, while each of the 600 letters takes 17 slot seconds.
+	It("when saturated, fills the fleet with requests that meet their deadline, and the lowest tier loses first", func() {
+		sim := newSimulation(configWithFleet(2))
+		sim.stream(400*time.Millisecond, 2*time.Minute, triage)
+		sim.stream(200*time.Millisecond, 2*time.Minute, letter)
+		sim.run(4 * time.Minute)
+		Expect(sim.goodput(ofRank(0))).To(BeNumerically(">=", 0.99))
+		Expect(sim.goodput(ofRank(2))).To(BeNumerically(">", 0.15))
+		Expect(sim.count(outcomeMissed, anyRequest)).To(BeNumerically("<=", len(sim.reqs)/50))
 	})
 
-	// A refused caller is told when to come back. If that time is a guess, it comes back
-	// into the same overload and is refused again.
-	It("serves most of those who come back when they were told to", func() {
-		w := newWorld(plainFleet(1))
-		w.stream(100*time.Millisecond, 20*time.Second, triage)
-		w.run(25 * time.Second)
-		Expect(w.count(refused, everybody)).To(BeNumerically(">", 20))
-		var again []*request
-		for _, req := range w.reqs {
-			if req.fate == refused && req.ended.After(epoch.Add(15*time.Second)) {
-				w.at(req.ended.Add(req.back), func() { again = append(again, w.offer(triage())) })
+	// If the retry-after time of a refusal is a guess, the caller retries into the same
+	// overload and is refused again.
+	It("serves most callers that retry after the time given in the refusal", func() {
+		sim := newSimulation(configWithFleet(1))
+		sim.stream(100*time.Millisecond, 20*time.Second, triage)
+		sim.run(25 * time.Second)
+		Expect(sim.count(outcomeRefused, anyRequest)).To(BeNumerically(">", 20))
+		var retries []*request
+		for _, req := range sim.reqs {
+			if req.outcome == outcomeRefused && req.ended.After(epoch.Add(15*time.Second)) {
+				sim.at(req.ended.Add(req.retryAfter), func() { retries = append(retries, sim.submit(triage())) })
 			}
 		}
-		w.run(2 * time.Minute)
+		sim.run(2 * time.Minute)
 		served := 0
-		for _, req := range again {
-			if req.fate == met {
+		for _, req := range retries {
+			if req.outcome == outcomeMet {
 				served++
 			}
 		}
-		Expect(again).NotTo(BeEmpty())
-		Expect(float64(served) / float64(len(again))).To(BeNumerically(">=", 0.5))
+		Expect(retries).NotTo(BeEmpty())
+		Expect(float64(served) / float64(len(retries))).To(BeNumerically(">=", 0.5))
 	})
 })
 
 var _ = Describe("a single decision", func() {
-	// A caller whose deadline nobody can meet is kept waiting until it has passed, and
-	// has no time left to turn elsewhere.
+	// A request whose deadline no target can meet waits until the deadline has passed,
+	// and its caller has no time left to try elsewhere.
 	It("refuses at once what even an idle pool couldn't finish in time", func() {
-		w := newWorld(plainFleet(1))
-		ask := rulebook()
-		ask.Remaining = 2 * time.Second
-		req := w.offer(ask)
-		Expect(req.fate).To(Equal(refused))
+		sim := newSimulation(configWithFleet(1))
+		msg := rulebook()
+		msg.Remaining = 2 * time.Second
+		req := sim.submit(msg)
+		Expect(req.outcome).To(Equal(outcomeRefused))
 		Expect(req.reason).To(Equal(yuccaqueue.ReasonDeadline))
-		Expect(req.back).To(BeZero())
+		Expect(req.retryAfter).To(BeZero())
 	})
 
-	// A fee charge is cancelled half way for an urgent call; nobody knows whether it was
-	// filed, and the member pays twice.
-	It("never cancels what may not run again, nor a plain service's call", func() {
+	// If a run that is not idempotent is cancelled, it is unknown whether its effect
+	// took place, and a retry may repeat it.
+	It("never cancels a run that is not idempotent, nor a call of a plain service", func() {
 		for _, plain := range []bool{false, true} {
-			view := plainFleet(1)
-			view.PlainService = plain
-			view.Targets[0].Slots = 1
-			w := newWorld(view)
-			ask := letter()
-			ask.Idempotent = plain
-			running := w.offer(ask)
-			w.offer(triage())
-			w.run(time.Minute)
-			Expect(running.fate).To(Equal(met))
+			config := configWithFleet(1)
+			config.PlainService = plain
+			config.Targets[0].Slots = 1
+			sim := newSimulation(config)
+			msg := letter()
+			msg.Idempotent = plain
+			running := sim.submit(msg)
+			sim.submit(triage())
+			sim.run(time.Minute)
+			Expect(running.outcome).To(Equal(outcomeMet))
 		}
 	})
 
-	// A run of a lower tier holds the only place while an urgent call's time runs out.
-	// The run goes on to its end, and the crew rolls late.
-	It("cancels the run that wastes the least prefill, and not before it has to", func() {
-		view := plainFleet(2)
-		view.Targets[0].Slots, view.Targets[1].Slots = 1, 1
-		w := newWorld(view)
+	// A run of a lower tier holds the only slot and continues to its end, while an
+	// urgent request misses its deadline.
+	It("cancels the run that wastes the least prefill, at the last moment that helps", func() {
+		config := configWithFleet(2)
+		config.Targets[0].Slots, config.Targets[1].Slots = 1, 1
+		sim := newSimulation(config)
 		large := letter()
 		large.Prompt, large.Answer, large.Remaining = 8000, 5000, 3*time.Minute
-		w.offer(large)
-		small := w.offer(func() yuccapool.Ask { ask := large; ask.Prompt = 500; return ask }())
-		w.run(5 * time.Second)
-		urgent := w.offer(triage())
-		w.run(time.Second)
-		Expect(small.fate).To(Equal(runs))
-		w.run(time.Minute)
-		Expect(small.fate).To(Equal(cancelled))
+		sim.submit(large)
+		small := sim.submit(func() yuccapool.Ask { msg := large; msg.Prompt = 500; return msg }())
+		sim.run(5 * time.Second)
+		urgent := sim.submit(triage())
+		sim.run(time.Second)
+		Expect(small.outcome).To(Equal(outcomeRunning))
+		sim.run(time.Minute)
+		Expect(small.outcome).To(Equal(outcomeCancelled))
 		Expect(small.reason).To(Equal(yuccaqueue.ReasonPreempted))
-		Expect(urgent.fate).To(Equal(met))
-		Expect(w.wasted).To(BeNumerically("==", 500))
+		Expect(urgent.outcome).To(Equal(outcomeMet))
+		Expect(sim.wasted).To(BeNumerically("==", 500))
 	})
 
-	// A new leader knows nothing of what runs. If it grants at once it fills every
-	// target a second time, and urgent requests wait inside the engines.
-	It("grants nothing while it gathers, and counts what it is told", func() {
-		w := newWorld(plainFleet(1))
-		w.lead.HoldGrantsUntil(w.now, w.now.Add(time.Second))
+	// A new leader does not know what runs. If it grants at once, it fills every target
+	// a second time, and urgent requests wait inside the engines.
+	It("grants nothing while it gathers, and counts the runs that owners report", func() {
+		sim := newSimulation(configWithFleet(1))
+		sim.lead.HoldGrantsUntil(sim.now, sim.now.Add(time.Second))
 		for at := range 8 {
-			ask := letter()
-			ask.Idempotent = false
-			ask.ID = yuccaid.RequestID([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[at])
-			w.lead.AddRunning(w.now, yuccapool.Running{Request: ask, Target: "engine-0", Answered: 10})
+			msg := letter()
+			msg.Idempotent = false
+			msg.ID = yuccaid.RequestID([]string{"a", "b", "c", "d", "e", "f", "g", "h"}[at])
+			sim.lead.AddRunning(sim.now, yuccapool.Running{Request: msg, Target: "engine-0", Answered: 10})
 		}
-		ask := lookup()
-		ask.Remaining = 5 * time.Second
-		req := w.offer(ask)
-		Expect(req.fate).To(Equal(waits))
-		w.run(1500 * time.Millisecond)
-		Expect(req.fate).To(Equal(waits))
-		w.apply(w.lead.RunFinished(w.now, yuccapool.Finished{ID: "c", Target: "engine-0", Ran: true}))
-		Expect(req.fate).To(Equal(runs))
+		msg := lookup()
+		msg.Remaining = 5 * time.Second
+		req := sim.submit(msg)
+		Expect(req.outcome).To(Equal(outcomeWaiting))
+		sim.run(1500 * time.Millisecond)
+		Expect(req.outcome).To(Equal(outcomeWaiting))
+		sim.apply(sim.lead.RunFinished(sim.now, yuccapool.Finished{ID: "c", Target: "engine-0", Ran: true}))
+		Expect(req.outcome).To(Equal(outcomeRunning))
 	})
 
-	// A target that is about to go is sent new work, and cuts it off when it leaves.
+	// A target that is about to leave is sent new requests and cuts them off when it
+	// leaves.
 	DescribeTable("sends nothing to a target that leaves",
-		func(tell func(*world)) {
-			w := newWorld(plainFleet(1))
-			tell(w)
-			w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Age: time.Second})
-			Expect(w.offer(lookup()).fate).To(Equal(refused))
+		func(announce func(*simulation)) {
+			sim := newSimulation(configWithFleet(1))
+			announce(sim)
+			sim.lead.ApplyReport(sim.now, yuccapool.LoadReport{Target: "engine-0", Age: time.Second})
+			Expect(sim.submit(lookup()).outcome).To(Equal(outcomeRefused))
 		},
-		Entry("told by its report", func(w *world) {
-			w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Leaving: true})
+		Entry("reported by the target", func(sim *simulation) {
+			sim.lead.ApplyReport(sim.now, yuccapool.LoadReport{Target: "engine-0", Leaving: true})
 		}),
-		Entry("told by its answer", func(w *world) {
-			w.lead.RunFinished(w.now, yuccapool.Finished{ID: "x", Target: "engine-0", Refused: true, Leaving: true})
+		Entry("stated in a refusal by the target", func(sim *simulation) {
+			sim.lead.RunFinished(sim.now, yuccapool.Finished{ID: "x", Target: "engine-0", Refused: true, Leaving: true})
 		}),
-		Entry("told by the configuration", func(w *world) {
-			view := plainFleet(1)
-			view.Targets[0].Leaving = true
-			w.lead.Configure(w.now, view)
+		Entry("set in the configuration", func(sim *simulation) {
+			config := configWithFleet(1)
+			config.Targets[0].Leaving = true
+			sim.lead.Configure(sim.now, config)
 		}),
 	)
 
-	// A daemon dies with a run on the engine. The engine knows nothing of it; a leader
-	// that frees the place at once sends a request to wait behind the orphan.
-	It("keeps a lost owner's place until the target's report or the longest run", func() {
-		view := plainFleet(1)
-		view.Targets[0].Slots = 1
-		view.LongestRun = 30 * time.Second
+	// A daemon dies while its run continues on the engine. A leader that frees the slot
+	// at once sends the next request to wait behind that run.
+	It("keeps the slot of a lost owner until the target's report or the longest run ends it", func() {
+		config := configWithFleet(1)
+		config.Targets[0].Slots = 1
+		config.LongestRun = 30 * time.Second
 		for _, reported := range []bool{true, false} {
-			w := newWorld(view)
-			w.offer(letter())
-			w.run(time.Second)
-			w.lead.DropOwner(w.now, self)
+			sim := newSimulation(config)
+			sim.submit(letter())
+			sim.run(time.Second)
+			sim.lead.DropOwner(sim.now, self)
 			other := letter()
 			other.ID, other.Owner = "other", yuccaid.NewIncarnation("vm-2", [16]byte{2})
-			Expect(w.lead.Submit(w.now, other).Grants).To(BeEmpty())
+			Expect(sim.lead.Submit(sim.now, other).Grants).To(BeEmpty())
 			if reported {
-				dec := w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0"})
+				dec := sim.lead.ApplyReport(sim.now, yuccapool.LoadReport{Target: "engine-0"})
 				Expect(dec.Grants).To(HaveLen(1))
 				continue
 			}
-			Expect(w.lead.Tick(w.now.Add(20 * time.Second)).Grants).To(BeEmpty())
-			Expect(w.lead.Tick(w.now.Add(33 * time.Second)).Grants).To(HaveLen(1))
+			Expect(sim.lead.Tick(sim.now.Add(20 * time.Second)).Grants).To(BeEmpty())
+			Expect(sim.lead.Tick(sim.now.Add(33 * time.Second)).Grants).To(HaveLen(1))
 		}
 	})
 
-	// An owner has no use for a grant, or never heard of it. If the place isn't given
-	// back, the target idles; if a second offer counts twice, the account is cut short.
-	It("takes back an unused grant and repeats a lost one", func() {
-		view := plainFleet(1)
-		view.Targets[0].Slots = 1
-		view.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{"members": {Limits: yuccapool.Limits{RequestsPerSecond: 1}}}
-		lead := newWorld(view).lead
-		ask := lookup()
-		ask.ID = "one"
-		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
-		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
+	// An owner does not use a grant, or never receives it. If the slot is not given
+	// back, the target idles; if the second submission is charged too, the account is
+	// limited too early.
+	It("frees the slot of an unused grant and repeats a lost grant", func() {
+		config := configWithFleet(1)
+		config.Targets[0].Slots = 1
+		config.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{"members": {Limits: yuccapool.Limits{RequestsPerSecond: 1}}}
+		lead := newSimulation(config).lead
+		msg := lookup()
+		msg.ID = "one"
+		Expect(lead.Submit(epoch, msg).Grants).To(HaveLen(1))
+		Expect(lead.Submit(epoch, msg).Grants).To(HaveLen(1))
 		Expect(lead.RunFinished(epoch, yuccapool.Finished{ID: "one", Target: "engine-0"}).Empty()).To(BeTrue())
-		ask.ID = "two"
-		Expect(lead.Submit(epoch, ask).Grants).To(HaveLen(1))
+		msg.ID = "two"
+		Expect(lead.Submit(epoch, msg).Grants).To(HaveLen(1))
 	})
 
-	// Two leaders fill one target during a partition, and each wonders at its slowness.
-	It("leaves room for what others run on a target, as its report shows", func() {
-		view := plainFleet(1)
-		w := newWorld(view)
-		w.lead.ApplyReport(w.now, yuccapool.LoadReport{Target: "engine-0", Running: 8})
-		req := w.offer(lookup())
-		Expect(req.fate).To(Equal(waits))
-		Expect(w.lead.Tick(w.now.Add(6 * time.Second)).Refusals).To(HaveLen(1))
+	// During a partition two leaders fill the same target, and each takes it for a slow
+	// one.
+	It("counts runs of other leaders that a target's report shows", func() {
+		config := configWithFleet(1)
+		sim := newSimulation(config)
+		sim.lead.ApplyReport(sim.now, yuccapool.LoadReport{Target: "engine-0", Running: 8})
+		req := sim.submit(lookup())
+		Expect(req.outcome).To(Equal(outcomeWaiting))
+		Expect(sim.lead.Tick(sim.now.Add(6 * time.Second)).Refusals).To(HaveLen(1))
 	})
 
-	// An account is sold a rate. If the limit holds for each daemon alone, it gets seven
-	// times that; if one long prompt is larger than a second's tokens, it never runs.
-	It("holds an account's limits exactly", func() {
-		view := plainFleet(8)
-		view.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{
+	// If each of seven daemons enforced an account's rate alone, the account would get
+	// seven times its rate. If a prompt larger than a second's tokens were always
+	// refused, it would never run.
+	It("enforces an account's limits exactly", func() {
+		config := configWithFleet(8)
+		config.Accounts = map[yuccaid.Account]yuccapool.AccountConfig{
 			"rated":  {Limits: yuccapool.Limits{RequestsPerSecond: 5}},
 			"few":    {Limits: yuccapool.Limits{Running: 2}},
 			"tokens": {Limits: yuccapool.Limits{TokensPerSecond: 1000}},
 		}
-		w := newWorld(view)
+		sim := newSimulation(config)
 		most := 0
-		w.check = func(yuccapool.Decisions) { most = max(most, w.count(runs, ofAccount("few"))) }
+		sim.check = func(yuccapool.Decisions) { most = max(most, sim.count(outcomeRunning, ofAccount("few"))) }
 		for _, acc := range []yuccaid.Account{"rated", "few", "tokens"} {
-			w.stream(50*time.Millisecond, 20*time.Second, func() yuccapool.Ask { return from(acc, lookup()) })
+			sim.stream(50*time.Millisecond, 20*time.Second, func() yuccapool.Ask { return withAccount(acc, lookup()) })
 		}
-		w.run(time.Minute)
-		Expect(w.count(met, ofAccount("rated"))).To(BeNumerically("~", 105, 2))
+		sim.run(time.Minute)
+		Expect(sim.count(outcomeMet, ofAccount("rated"))).To(BeNumerically("~", 105, 2))
 		Expect(most).To(Equal(2))
-		Expect(w.count(met, ofAccount("tokens")) * 220).To(BeNumerically("~", 21_000, 500))
-		limited := func(req *request) bool { return req.reason == yuccaqueue.ReasonLimit && req.back > 0 }
-		Expect(w.count(refused, limited)).To(BeNumerically(">", 400))
+		Expect(sim.count(outcomeMet, ofAccount("tokens")) * 220).To(BeNumerically("~", 21_000, 500))
+		limited := func(req *request) bool { return req.reason == yuccaqueue.ReasonLimit && req.retryAfter > 0 }
+		Expect(sim.count(outcomeRefused, limited)).To(BeNumerically(">", 400))
 	})
 })
 
 var _ = Describe("a target that can't be reached", func() {
-	// An engine's process has died. Each request that goes there fails at once, so the
-	// engine looks idle, draws the next request too, and callers are refused in a row
-	// beside an engine that works.
-	It("draws one request and then no more", func() {
+	// The process of an engine has died. Each request sent there fails at once, so the
+	// engine looks idle and attracts the next request too; callers are refused one
+	// after the other while another engine works.
+	It("is sent one request and then no more", func() {
 		lead := yuccapool.New("draft", yuccaid.Incarnation{VM: "entry-1"}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_700_000_000, 0)
-		lead.Configure(now, plainFleet(2))
+		lead.Configure(now, configWithFleet(2))
 		failed := make(map[yuccaid.Target]int)
 		for i := range 20 {
 			now = now.Add(100 * time.Millisecond)
-			ask := triage()
-			ask.ID = yuccaid.RequestID(fmt.Sprint("r", i))
-			for _, grant := range lead.Submit(now, ask).Grants {
-				dead := grant.Target == plainFleet(2).Targets[0].Name
+			msg := triage()
+			msg.ID = yuccaid.RequestID(fmt.Sprint("r", i))
+			for _, grant := range lead.Submit(now, msg).Grants {
+				dead := grant.Target == configWithFleet(2).Targets[0].Name
 				if dead {
 					failed[grant.Target]++
 				}
@@ -339,21 +343,22 @@
 	})
 })
 
-var _ = Describe("engines whose configured speed is a guess", func() {
-	// The note says what a prompt of thousands of tokens reaches. Short lookups pay a
-	// fixed cost for each step and look many times slower, on every engine alike. If that
-	// made stragglers of all of them, callers would wait before idle engines.
-	DescribeTable("serve what comes",
+var _ = Describe("engines whose configured speed is only an estimate", func() {
+	// The configuration states the speed for prompts of thousands of tokens. Short
+	// lookups have a fixed cost for each step and look many times slower, on all
+	// engines alike. If all engines counted as stragglers, callers would wait while the
+	// engines idle.
+	DescribeTable("serve all requests",
 		func(fixed time.Duration, real float64, prompt yuccaid.Tokens) {
 			lead := yuccapool.New("draft", yuccaid.Incarnation{VM: "entry-1"}, rand.New(rand.NewPCG(1, 2)))
 			now := time.Unix(1_700_000_000, 0)
-			lead.Configure(now, plainFleet(4))
+			lead.Configure(now, configWithFleet(4))
 			ends := map[time.Time][]yuccapool.Finished{}
 			served := 0
 			const step = 10 * time.Millisecond
 			prefill := fixed + time.Duration(float64(prompt)/real*float64(time.Second))
 			decode := 400 * time.Millisecond
-			take := func(dec yuccapool.Decisions) {
+			collect := func(dec yuccapool.Decisions) {
 				for _, grant := range dec.Grants {
 					at := now.Add((prefill + decode).Truncate(step) + step)
 					ends[at] = append(ends[at], yuccapool.Finished{
@@ -365,14 +370,14 @@
 				now = now.Add(step)
 				for _, done := range ends[now] {
 					served++
-					take(lead.RunFinished(now, done))
+					collect(lead.RunFinished(now, done))
 				}
 				if i%10 == 0 && i < 2000 {
-					ask := lookup()
-					ask.ID, ask.Prompt, ask.Remaining = yuccaid.RequestID(fmt.Sprint("r", i)), prompt, time.Minute
-					take(lead.Submit(now, ask))
+					msg := lookup()
+					msg.ID, msg.Prompt, msg.Remaining = yuccaid.RequestID(fmt.Sprint("r", i)), prompt, time.Minute
+					collect(lead.Submit(now, msg))
 				}
-				take(lead.Tick(now))
+				collect(lead.Tick(now))
 			}
 			Expect(served).To(Equal(200))
 		},
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -12,8 +12,8 @@
 
 // Grant allows an owner to dispatch one request to one target.
 //
-// Expires counts from when the leader sent it. A grant that is used later would run
-// on a slot which the leader may have given to somebody else.
+// ValidFor counts from when the leader sent the grant. The owner must not use it later,
+// because the leader may have granted the slot to another request by then.
 type Grant struct {
 	ID           yuccaid.RequestID    `msgpack:"id"`
 	Owner        yuccaid.Incarnation  `msgpack:"owner"`
@@ -23,10 +23,11 @@
 	Leader       yuccaid.Incarnation  `msgpack:"leader"`
 }
 
-// Refusal is the final answer to an ask that gets no grant.
+// Refusal is the final answer to a request that gets no grant.
 //
-// Back is the time after which coming back makes sense; zero says that waiting won't
-// help, since the deadline couldn't be met by an idle pool either.
+// RetryAfter is the time after which a retry makes sense. Zero means that waiting does
+// not help: even an idle pool could not meet the deadline, or the account may use no
+// target.
 type Refusal struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
@@ -34,7 +35,7 @@
 	RetryAfter time.Duration       `msgpack:"back"`
 }
 
-// Cancel tells an owner to stop a running request.
+// Cancel asks an owner to stop a running request.
 type Cancel struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
@@ -43,7 +44,7 @@
 	RetryAfter time.Duration       `msgpack:"back"`
 }
 
-// Decisions is what one event led to.
+// Decisions holds the messages that follow from one event.
 type Decisions struct {
 	Grants   []Grant   `msgpack:"grants"`
 	Refusals []Refusal `msgpack:"refusals"`
@@ -55,28 +56,32 @@
 	return len(dec.Grants)+len(dec.Refusals)+len(dec.Cancels) == 0
 }
 
-// Running is a run that an owner reports to a new leader.
+// Running is a run that an owner reports to a new leader; Answered is the number of
+// answer tokens received so far.
 type Running struct {
 	Request  Ask            `msgpack:"ask"`
 	Target   yuccaid.Target `msgpack:"target"`
 	Answered yuccaid.Tokens `msgpack:"answered"`
 }
 
-// Progress is what an owner saw of a run: the first token ends its prefill.
+// Progress is an owner's report on a run: FirstToken says that the prefill has ended,
+// Answered how many answer tokens have been received.
 //
-// An owner sends one without tokens when it dispatches, one at the first token and
-// some on the way; the more often, the sooner a straggler is found.
+// An owner sends one without tokens when it dispatches, one at the first token and some
+// during the answer. The more often it does, the sooner a straggler is detected.
 type Progress struct {
 	ID         yuccaid.RequestID `msgpack:"id"`
 	FirstToken bool              `msgpack:"firstToken"`
 	Answered   yuccaid.Tokens    `msgpack:"answered"`
 }
 
-// Finished gives back a grant: the run has ended, or never began.
+// Finished gives back a grant because the run has ended or never began.
 //
-// Partial says that the answer was cut short, so that its length says nothing.
-// Ran is false for a grant that was not used and for a refusal by the target
-// (Refused), which says Leaving when it takes no more work at all.
+// Ran is false for a grant that was not used and for a request that the target refused
+// (Refused). Leaving says that the target refused it because it takes no more requests.
+// Partial says that the answer was cut short, so that nothing is learned from its
+// length. Prompt, Cached and Answer are numbers of tokens; Cached is the part of the
+// prompt that the target's prefix cache held.
 type Finished struct {
 	ID      yuccaid.RequestID `msgpack:"id"`
 	Target  yuccaid.Target    `msgpack:"target"`
@@ -84,7 +89,7 @@
 	Partial bool              `msgpack:"partial"`
 	Refused bool              `msgpack:"refused"`
 	Leaving bool              `msgpack:"leaving"`
-	// Failed says that the target could not be reached or broke off.
+	// Failed says that the target could not be reached or broke the connection.
 	Failed  bool           `msgpack:"failed"`
 	Prompt  yuccaid.Tokens `msgpack:"prompt"`
 	Cached  yuccaid.Tokens `msgpack:"cached"`
@@ -93,7 +98,7 @@
 	Decode  time.Duration  `msgpack:"decode"`
 }
 
-// LoadReport is a target's own word on its load, Age ago.
+// LoadReport is a target's report on its load; Age is the time since it was made.
 type LoadReport struct {
 	Target  yuccaid.Target `msgpack:"target"`
 	Age     time.Duration  `msgpack:"age"`
@@ -103,7 +108,8 @@
 	Leaving bool           `msgpack:"leaving"`
 }
 
-// CacheEvent is a target's word on its prefix cache; Gap says that some were lost.
+// CacheEvent reports blocks that a target's prefix cache stored and evicted, by hash.
+// EventsLost says that earlier events were lost.
 type CacheEvent struct {
 	Target     yuccaid.Target `msgpack:"target"`
 	Stored     []uint64       `msgpack:"stored"`
--- a/core/yuccapool/oracle_test.go
+++ b/core/yuccapool/oracle_test.go
@@ -15,37 +15,38 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// A letter is answered while a triage note is turned away: the caller with the leak
-// waits for nothing, and the crew rolls late. It comes about when a full queue refuses
-// whoever comes last, when a run of a lower tier keeps its place to the end, or when
-// the order among the waiting isn't strict. The oracle reads the trace of decisions
-// and knows the engines' true state; it shares no estimate with the leader.
+// oracle checks the tier rule: no request is refused or kept waiting while one of a
+// lower tier is served in its stead. The rule breaks when a full queue refuses every
+// arrival, when a run of a lower tier keeps its slot to the end, or when the order
+// among waiting requests is not strict. The oracle reads the trace of decisions and
+// knows the true state of the engines; it shares no estimate with the leader.
 type oracle struct {
-	w *world
-	// freed lists the targets on which this decision took back a grant of its own.
+	sim *simulation
+	// freed lists the targets of grants that the present decision made and removed
+	// again.
 	freed []yuccaid.Target
 }
 
 func (orc *oracle) check(dec yuccapool.Decisions) (fault string) {
 	for _, refusal := range dec.Refusals {
-		req := orc.w.byID[refusal.ID]
+		req := orc.sim.byID[refusal.ID]
 		switch refusal.Reason {
 		case yuccaqueue.ReasonOverload:
 			fault = firstOf(fault, orc.waitsBelow(req, dec), orc.runsBelow(req, dec))
 		case yuccaqueue.ReasonDisplaced:
-			fault = firstOf(fault, orc.waitsBelow(req, dec), orc.displacedFor(req, dec))
+			fault = firstOf(fault, orc.waitsBelow(req, dec), orc.displacedWithoutCause(req, dec))
 		case yuccaqueue.ReasonDeadline:
 			fault = firstOf(fault, orc.runsBelow(req, dec))
 		}
 	}
 	for _, grant := range dec.Grants {
 		if !evicts(dec, grant.Target) && !slices.Contains(orc.freed, grant.Target) {
-			fault = firstOf(fault, orc.overtakes(orc.w.byID[grant.ID], grant.Target, dec))
+			fault = firstOf(fault, orc.overtakes(orc.sim.byID[grant.ID], grant.Target, dec))
 		}
 	}
 	for _, cancel := range dec.Cancels {
-		if victim := orc.w.byID[cancel.ID]; !victim.Idempotent || orc.w.view.PlainService {
-			fault = firstOf(fault, fmt.Sprintf("%s was cancelled though it may not run again", victim.ID))
+		if victim := orc.sim.byID[cancel.ID]; !victim.Idempotent || orc.sim.config.PlainService {
+			fault = firstOf(fault, fmt.Sprintf("%s was cancelled though it is not idempotent or its service is plain", victim.ID))
 		}
 	}
 	orc.freed = nil
@@ -61,13 +62,13 @@
 }
 
 func (orc *oracle) stillWaits(req *request, dec yuccapool.Decisions) bool {
-	return req.fate == waits &&
+	return req.outcome == outcomeWaiting &&
 		!slices.ContainsFunc(dec.Refusals, func(refusal yuccapool.Refusal) bool { return refusal.ID == req.ID }) &&
 		!slices.ContainsFunc(dec.Grants, func(grant yuccapool.Grant) bool { return grant.ID == req.ID })
 }
 
 func (orc *oracle) waitsBelow(req *request, dec yuccapool.Decisions) string {
-	for _, other := range orc.w.reqs {
+	for _, other := range orc.sim.reqs {
 		if other.Rank > req.Rank && orc.stillWaits(other, dec) {
 			return fmt.Sprintf("%s of rank %d was shed while %s of rank %d waits", req.ID, req.Rank, other.ID, other.Rank)
 		}
@@ -75,64 +76,65 @@
 	return ""
 }
 
-// displacedFor wants a reason for a displacement: somebody of a higher tier has just
-// arrived or been granted.
-func (orc *oracle) displacedFor(req *request, dec yuccapool.Decisions) string {
-	newest := orc.w.reqs[len(orc.w.reqs)-1]
-	if newest.Rank < req.Rank && newest.arrived.Equal(orc.w.now) {
+// displacedWithoutCause reports a displacement for which no request of a higher tier
+// has just arrived or been granted.
+func (orc *oracle) displacedWithoutCause(req *request, dec yuccapool.Decisions) string {
+	newest := orc.sim.reqs[len(orc.sim.reqs)-1]
+	if newest.Rank < req.Rank && newest.arrived.Equal(orc.sim.now) {
 		return ""
 	}
 	for _, grant := range dec.Grants {
-		if orc.w.byID[grant.ID].Rank < req.Rank {
+		if orc.sim.byID[grant.ID].Rank < req.Rank {
 			return ""
 		}
 	}
-	return fmt.Sprintf("%s of rank %d was displaced by nobody above it", req.ID, req.Rank)
+	return fmt.Sprintf("%s of rank %d was displaced though no request of a higher tier arrived or was granted", req.ID, req.Rank)
 }
 
-// runsBelow looks for a target on which the request would have met its deadline had
-// every cancellable run of a lower tier there been cancelled now.
+// runsBelow looks for a target on which the request would have met its deadline if
+// every cancellable run of a lower tier there had been cancelled now.
 func (orc *oracle) runsBelow(req *request, dec yuccapool.Decisions) string {
 	if orc.atLimit(req, dec) {
 		return ""
 	}
-	for _, eng := range orc.w.engines {
-		kept, below := orc.split(eng, req, dec)
-		if below == 0 || len(kept) >= eng.Slots || !orc.allowed(req, eng.Name) {
+	for _, eng := range orc.sim.engines {
+		remaining, below := orc.remainingRuns(eng, req, dec)
+		if below == 0 || len(remaining) >= eng.Slots || !orc.allowed(req, eng.Name) {
 			continue
 		}
-		if orc.fits(eng, kept, req, refusalMargin) {
-			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (%+v kept %d wait %v service %v left %v)", req.ID, req.Rank, below, eng.Name, req.Ask, len(kept), orc.wait(eng, kept), orc.service(eng, req), req.deadline.Sub(orc.w.now))
+		if orc.fits(eng, remaining, req, refusalMargin) {
+			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (%+v remaining %d wait %v service %v left %v)", req.ID, req.Rank, below, eng.Name, req.Ask, len(remaining), orc.wait(eng, remaining), orc.service(eng, req), req.deadline.Sub(orc.sim.now))
 		}
 	}
 	return ""
 }
 
-// split returns what the target would keep and how many runs could be cancelled.
-func (orc *oracle) split(eng *engine, req *request, dec yuccapool.Decisions) ([]*request, int) {
-	var kept []*request
+// remainingRuns returns the requests that a target keeps after the decision, without the
+// runs that could be cancelled for the request, and the number of these runs.
+func (orc *oracle) remainingRuns(eng *engine, req *request, dec yuccapool.Decisions) ([]*request, int) {
+	var remaining []*request
 	below := 0
 	for _, run := range slices.Concat(eng.running, eng.queue) {
-		gone := slices.ContainsFunc(dec.Cancels, func(cancel yuccapool.Cancel) bool { return cancel.ID == run.ID })
+		isCancelled := slices.ContainsFunc(dec.Cancels, func(cancel yuccapool.Cancel) bool { return cancel.ID == run.ID })
 		switch {
-		case gone:
+		case isCancelled:
 		case run.Idempotent && run.Rank > req.Rank:
 			below++
 		default:
-			kept = append(kept, run)
+			remaining = append(remaining, run)
 		}
 	}
 	for _, grant := range dec.Grants {
 		if grant.Target == eng.Name {
-			kept = append(kept, orc.w.byID[grant.ID])
+			remaining = append(remaining, orc.sim.byID[grant.ID])
 		}
 	}
-	return kept, below
+	return remaining, below
 }
 
-func (orc *oracle) wait(eng *engine, kept []*request) time.Duration {
+func (orc *oracle) wait(eng *engine, remaining []*request) time.Duration {
 	var sum time.Duration
-	for _, run := range kept {
+	for _, run := range remaining {
 		if run.first.IsZero() {
 			sum += eng.prefillTime(run.Prompt)
 		}
@@ -140,20 +142,21 @@
 	return sum
 }
 
-// Margins by which an answer may outgrow its estimate and still be in time. The leader
-// knows no lengths: it grants later to what would end late if its answer were long, but
-// it refuses for load only what an ordinary answer beside the kept runs would miss too.
+// Margins by which an answer may outgrow its estimate and still meet the deadline. The
+// leader does not know the length of an answer. It prefers requests that would meet
+// their deadline even with a long answer, but refuses for load only those that would
+// miss it even with an ordinary answer beside the remaining runs.
 const (
 	orderMargin   = 1.3
 	refusalMargin = 1.0
 )
 
-// fits reports whether a request would meet its deadline on a target beside the kept
-// runs with an answer that much longer than expected.
-func (orc *oracle) fits(eng *engine, kept []*request, req *request, margin float64) bool {
+// fits reports whether a request would meet its deadline on a target beside the
+// remaining runs, with an answer longer than expected by the factor margin.
+func (orc *oracle) fits(eng *engine, remaining []*request, req *request, margin float64) bool {
 	long := *req
 	long.Answer = yuccaid.Tokens(float64(long.Answer) * margin)
-	return !orc.w.now.Add(orc.wait(eng, kept) + orc.service(eng, &long)).After(req.deadline)
+	return !orc.sim.now.Add(orc.wait(eng, remaining) + orc.service(eng, &long)).After(req.deadline)
 }
 
 func (orc *oracle) service(eng *engine, req *request) time.Duration {
@@ -161,55 +164,56 @@
 }
 
 func (orc *oracle) allowed(req *request, tgt yuccaid.Target) bool {
-	list := orc.w.view.Accounts[req.Account].Targets
+	list := orc.sim.config.Accounts[req.Account].Targets
 	return len(list) == 0 || slices.Contains(list, tgt)
 }
 
 func (orc *oracle) atLimit(req *request, dec yuccapool.Decisions) bool {
-	limit := orc.w.view.Accounts[req.Account].Limits.Running
+	limit := orc.sim.config.Accounts[req.Account].Limits.Running
 	same := func(other *request) bool { return other.Account == req.Account }
-	running := orc.w.count(runs, same)
+	running := orc.sim.count(outcomeRunning, same)
 	for _, grant := range dec.Grants {
-		if same(orc.w.byID[grant.ID]) {
+		if same(orc.sim.byID[grant.ID]) {
 			running++
 		}
 	}
 	return limit > 0 && running >= limit
 }
 
-// longPrompt is the prompt that takes more than a second on the mean target. It may
-// wait while a short one of a lower tier uses room that is kept for short ones, but
-// may not be refused for that.
+// longPrompt is a prompt that takes more than a second on the mean target. Such a
+// request may wait while a short one of a lower tier uses a slot that is reserved for
+// short ones, but may not be refused for that.
 const longPrompt yuccaid.Tokens = 6000
 
-// keptOff reports whether room may be kept from a waiting request that a smaller one of
-// a lower tier may use: for short requests, or for tiers above both.
-func keptOff(req *request) bool {
+// slotsMayBeReserved reports whether slots may be reserved that a waiting request may
+// not use, but a smaller one of a lower tier may: they are reserved for short requests,
+// or for tiers above both.
+func slotsMayBeReserved(req *request) bool {
 	return req.Prompt >= longPrompt || req.Rank > 0
 }
 
-// overtakes looks for a request of a higher tier that waits while a lower one gets a
-// target on which the higher one would have met its deadline.
+// overtakes looks for a request of a higher tier that waits while one of a lower tier
+// is granted a target on which the first would have met its deadline.
 func (orc *oracle) overtakes(granted *request, tgt yuccaid.Target, dec yuccapool.Decisions) string {
-	eng := orc.w.engines[tgt]
-	kept := slices.Concat(eng.running, eng.queue)
-	for _, other := range orc.w.reqs {
-		if keptOff(other) && granted.Prompt < other.Prompt {
+	eng := orc.sim.engines[tgt]
+	remaining := slices.Concat(eng.running, eng.queue)
+	for _, other := range orc.sim.reqs {
+		if slotsMayBeReserved(other) && granted.Prompt < other.Prompt {
 			continue
 		}
 		if other.Rank >= granted.Rank || !orc.stillWaits(other, dec) || !orc.allowed(other, tgt) || orc.atLimit(other, dec) {
 			continue
 		}
-		if orc.fits(eng, kept, other, orderMargin) {
-			return fmt.Sprintf("%s of rank %d got %s while %s of rank %d waits (%d tokens, kept %d, wait %v, service %v, left %v)", granted.ID, granted.Rank, tgt, other.ID, other.Rank, other.Prompt, len(kept), orc.wait(eng, kept), orc.service(eng, other), other.deadline.Sub(orc.w.now))
+		if orc.fits(eng, remaining, other, orderMargin) {
+			return fmt.Sprintf("%s of rank %d got %s while %s of rank %d waits (%d tokens, remaining %d, wait %v, service %v, left %v)", granted.ID, granted.Rank, tgt, other.ID, other.Rank, other.Prompt, len(remaining), orc.wait(eng, remaining), orc.service(eng, other), other.deadline.Sub(orc.sim.now))
 		}
 	}
 	return ""
 }
 
-// oracleView has three unlike targets, one account with fewer targets and one with a
-// limit of running requests.
-func oracleView() yuccapool.PoolConfig {
+// oracleConfig has three unequal targets, one account that may use only two of them and
+// one with a limit of running requests.
+func oracleConfig() yuccapool.PoolConfig {
 	return yuccapool.PoolConfig{
 		ConfigNumber: 1,
 		Targets: []yuccapool.Target{
@@ -226,7 +230,7 @@
 	}
 }
 
-func drawAsk(rt *rapid.T) yuccapool.Ask {
+func drawRequest(rt *rapid.T) yuccapool.Ask {
 	prompt := rapid.SampledFrom([]yuccaid.Tokens{100, 400, 1200, longPrompt}).Draw(rt, "prompt")
 	return yuccapool.Ask{
 		Account:    rapid.SampledFrom([]yuccaid.Account{"large", "small", "capped"}).Draw(rt, "account"),
@@ -238,31 +242,31 @@
 	}
 }
 
-// drive puts a leader through random arrivals and pauses and returns the first fault.
+// drive runs a leader with random arrivals and pauses and returns the first fault.
 func drive(rt *rapid.T, queue []yuccaqueue.Option, options []yuccapool.Option) (fault string) {
 	bounds := yuccaqueue.BoundsFor(12, 40_000)
 	bounds.AccountRequests = 8
 	queue = append([]yuccaqueue.Option{yuccaqueue.WithBounds(bounds)}, queue...)
 	orc := &oracle{}
 	freed := yuccapool.OnRequeue(func(tgt yuccaid.Target) { orc.freed = append(orc.freed, tgt) })
-	w := newWorld(oracleView(), append([]yuccapool.Option{yuccapool.WithQueue(queue...), freed}, options...)...)
-	orc.w = w
-	w.check = func(dec yuccapool.Decisions) { fault = firstOf(fault, orc.check(dec)) }
+	sim := newSimulation(oracleConfig(), append([]yuccapool.Option{yuccapool.WithQueue(queue...), freed}, options...)...)
+	orc.sim = sim
+	sim.check = func(dec yuccapool.Decisions) { fault = firstOf(fault, orc.check(dec)) }
 	steps := rapid.IntRange(20, 200).Draw(rt, "steps")
 	for range steps {
 		if rapid.IntRange(0, 3).Draw(rt, "pause") == 0 {
-			w.run(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "millis")) * time.Millisecond)
+			sim.run(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "millis")) * time.Millisecond)
 		} else {
-			w.offer(drawAsk(rt))
+			sim.submit(drawRequest(rt))
 		}
 		if fault != "" {
 			return fault
 		}
 	}
-	w.run(2 * time.Minute)
-	left := w.count(waits, everybody) + w.count(runs, everybody)
+	sim.run(2 * time.Minute)
+	left := sim.count(outcomeWaiting, anyRequest) + sim.count(outcomeRunning, anyRequest)
 	if left > 0 && fault == "" {
-		fault = fmt.Sprintf("%d requests never got an answer", left)
+		fault = fmt.Sprintf("%d requests are still waiting or running at the end", left)
 	}
 	return fault
 }
@@ -275,19 +279,19 @@
 	})
 }
 
-// Each mechanism that keeps the tier rule is turned off in turn. Over the same fixed
-// seeds, on which the whole leader has no fault, the oracle then has to find one.
+// Each mechanism that the tier rule needs is turned off in turn. The oracle must find a
+// fault on the same fixed seeds on which the complete leader has none.
 var _ = DescribeTable("the tier rule",
 	func(want string, queue []yuccaqueue.Option, options []yuccapool.Option) {
 		found := ""
-		runs := rapid.Custom(func(rt *rapid.T) string { return drive(rt, queue, options) })
+		drives := rapid.Custom(func(rt *rapid.T) string { return drive(rt, queue, options) })
 		for seed := 0; seed < 300 && found == ""; seed++ {
-			found = runs.Example(seed)
+			found = drives.Example(seed)
 		}
 		Expect(found).To(MatchRegexp(want))
 	},
 	Entry("holds with all mechanisms", "^$", nil, nil),
 	Entry("breaks without displacement", "was shed while", []yuccaqueue.Option{yuccaqueue.WithoutDisplacement()}, nil),
 	Entry("breaks without preemption", "was refused while", nil, []yuccapool.Option{yuccapool.WithoutPreemption()}),
-	Entry("breaks without the second look", "got engine-. while", []yuccaqueue.Option{yuccaqueue.WithoutRecheck()}, nil),
+	Entry("breaks without the recheck of parked classes", "got engine-. while", []yuccaqueue.Option{yuccaqueue.WithoutRecheck()}, nil),
 )
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -6,7 +6,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// TierStatus counts one tier's requests at the leader.
+// TierStatus describes the waiting and running requests of one tier.
 type TierStatus struct {
 	Tier    yuccaid.Tier   `msgpack:"tier" json:"tier"`
 	Rank    int            `msgpack:"rank" json:"rank"`
@@ -15,7 +15,8 @@
 	Running int            `msgpack:"running" json:"running"`
 }
 
-// TargetStatus is what the leader believes of one target.
+// TargetStatus is the leader's view of one target; Backlog is the time that its waiting
+// prompts will take.
 type TargetStatus struct {
 	Target  yuccaid.Target    `msgpack:"target" json:"target"`
 	Running int               `msgpack:"running" json:"running"`
@@ -27,7 +28,8 @@
 	Leaving bool              `msgpack:"leaving" json:"leaving"`
 }
 
-// Status is the leader's state for operators and metrics.
+// Status is the leader's state for operators and metrics. Gathering says that the
+// leader still withholds grants, as set by HoldGrantsUntil.
 type Status struct {
 	Pool         yuccaid.Pool         `msgpack:"pool" json:"pool"`
 	ConfigNumber yuccaid.ConfigNumber `msgpack:"number" json:"number"`
@@ -36,12 +38,12 @@
 	Targets      []TargetStatus       `msgpack:"targets" json:"targets"`
 }
 
-// Status returns what the leader believes.
+// Status returns the leader's present state.
 func (lead *Leader) Status(now time.Time) Status {
-	status := Status{Pool: lead.pool, ConfigNumber: lead.view.ConfigNumber, Gathering: lead.gathering(now)}
+	status := Status{Pool: lead.pool, ConfigNumber: lead.config.ConfigNumber, Gathering: lead.gathering(now)}
 	for _, tr := range lead.queue.TierLoads() {
 		status.Tiers = append(status.Tiers, TierStatus{
-			Tier: tr.Tier, Rank: tr.Rank, Waiting: tr.Requests, Queued: tr.Tokens, Running: lead.runningAt(tr.Rank),
+			Tier: tr.Tier, Rank: tr.Rank, Waiting: tr.Requests, Queued: tr.Tokens, Running: lead.runningOfRank(tr.Rank),
 		})
 	}
 	for _, node := range lead.fleet.Nodes() {
@@ -54,10 +56,10 @@
 	return status
 }
 
-func (lead *Leader) runningAt(rank int) int {
+func (lead *Leader) runningOfRank(rank int) int {
 	count := 0
-	for _, one := range lead.runs {
-		if one.Rank == rank {
+	for _, run := range lead.runs {
+		if run.Rank == rank {
 			count++
 		}
 	}
--- a/core/yuccapool/view.go
+++ b/core/yuccapool/view.go
@@ -7,32 +7,35 @@
 	"yuccacleat/core/yuccaplace"
 )
 
-// Target is what the configuration says of one target.
+// Target is the configuration of one target.
 type Target = yuccaplace.Target
 
 // Policy weighs goodput against wasted prefill.
 type Policy = yuccaplace.Policy
 
-// Limits bounds one client account at this pool; a zero field sets no limit.
+// Limits bounds one client account's use of the pool; a zero field sets no limit.
 type Limits struct {
 	RequestsPerSecond float64
 	Running           int
 	TokensPerSecond   yuccaid.TokenRate
 }
 
-// AccountConfig is what the leader has to know of a client account.
+// AccountConfig is the configuration of one client account.
 //
-// Targets lists what it may use; none listed means every target of the pool.
+// Targets lists the targets that the account may use; an empty list allows all targets
+// of the pool.
 type AccountConfig struct {
 	Weight  int
 	Limits  Limits
 	Targets []yuccaid.Target
 }
 
-// PoolConfig is the part of the configuration that concerns one pool in one data centre.
+// PoolConfig is the part of the configuration that concerns one pool in one data
+// centre.
 //
-// Plain marks a plain service: slots, no tokens, nothing cancelled. LongestRun bounds
-// how long a run of a lost owner keeps its slot.
+// PlainService marks a service that is not a model: its targets have slots but no
+// tokens, and no run is cancelled. LongestRun bounds how long a run of a lost owner
+// keeps its slot.
 type PoolConfig struct {
 	ConfigNumber yuccaid.ConfigNumber
 	Targets      []Target
