--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -287,6 +287,7 @@
 	})
 }
 
+// requeue queues the request of a run again whose grant was removed before it was sent.
 func (lead *Leader) requeue(now time.Time, run *grantedRun) {
 	lead.onRequeue(run.Target())
 	run.req.Remaining = run.deadline.Sub(now)
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -112,6 +112,7 @@
 	return cls.parked || len(cls.held) > 0
 }
 
+// park sets the whole class aside, because no free slot was found for it, until unpark.
 func (cls *class) park(serveTurn uint64) {
 	cls.parked = true
 	cls.asideTurn = serveTurn
@@ -129,6 +130,7 @@
 	}
 }
 
+// unpark lets all requests of the class, held ones included, be served again.
 func (cls *class) unpark() {
 	cls.parked = false
 	for at, item := range cls.held {
@@ -140,6 +142,7 @@
 	cls.held = cls.held[:0]
 }
 
+// release removes a request from held without queueing it again.
 func (cls *class) release(item *Item) {
 	for at, other := range cls.held {
 		if other == item {
