--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -6,107 +6,113 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// ID names a request by the daemon that holds its caller's connection.
+// ID identifies a request by its owner, which is the daemon that holds the caller's connection,
+// and a number that the owner assigned.
 type ID struct {
 	Owner  yuccaid.Incarnation
 	Number uint64
 }
 
-// Class is who asks for what: the requests of one class are alike in how far their lengths
-// differ from what they announce.
+// Class identifies the requests of one account on one route, as a hash of both. Their actual
+// lengths are assumed to deviate similarly from the announced ones.
 type Class uint32
 
-// Request is a request that waits for a target.
+// Request is a request for a target.
 type Request struct {
 	ID    ID
 	Class Class
-	// Tier orders requests strictly, and Rank within a tier; 0 is the most urgent of both.
+	// Tier orders requests strictly, and Rank within a tier; 0 is the most urgent in both.
 	Tier int
 	Rank int
-	// OverQuota says that the request's account is beyond its quota and only tolerated.
+	// OverQuota reports that the request's account is over its quota, so that it is less
+	// urgent.
 	OverQuota bool
-	// Prompt and Answer are the tokens that the request announces, zero where it doesn't.
+	// Prompt and Answer are the numbers of tokens that the request announces, zero if it
+	// announces none.
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// SoftDeadline is until when the first event is on time, and Until is when the caller leaves.
+	// SoftDeadline is when the first event is due, and Deadline is when the caller leaves.
 	SoftDeadline time.Time
 	Deadline     time.Time
-	// MaxGap is the longest pause between two events that counts as on time.
+	// MaxGap is the longest time between two events that counts as on time. It is zero for
+	// requests to a plain service, which answers with a single event.
 	MaxGap time.Duration
-	// FailedTargets are the targets that failed this request before.
+	// FailedTargets lists the targets on which this request has failed before.
 	FailedTargets []yuccaid.Target
 }
 
-// rank returns the request's rank, which is lower when its account has had its share.
-func (ask *Request) rank() int {
-	rank := min(max(ask.Rank, 0), mostRank)
-	if ask.OverQuota {
-		rank += overRanks
+// effectiveRank returns the request's rank, which is less urgent if its account is over its
+// quota.
+func (req *Request) effectiveRank() int {
+	rank := min(max(req.Rank, 0), maxRank)
+	if req.OverQuota {
+		rank += overQuotaRanks
 	}
 	return rank
 }
 
-// Grant sends a request to a target.
+// Grant assigns a request to a target.
 type Grant struct {
 	ID     ID
 	Target yuccaid.Target
-	// ExpectedFirst is when the first event was expected after the sending, and Busy how many runs
-	// the target had before, for the log.
+	// ExpectedFirst is the expected time from sending to the first event, and Busy the number
+	// of slots that were occupied on the target before; both are logged.
 	ExpectedFirst time.Duration
 	Busy          int
 }
 
-// Reason says why a request is refused.
+// Reason is why a request is refused.
 type Reason string
 
 // The reasons of refusals.
 const (
-	// ReasonNoTarget says that the pool has no target at all.
+	// ReasonNoTarget means that the pool has no target.
 	ReasonNoTarget Reason = "noTarget"
-	// ReasonLate says that the answer would begin too late to be of use.
+	// ReasonLate means that the answer would start too late to be of use.
 	ReasonLate Reason = "late"
-	// ReasonQueueFull says that too many wait.
+	// ReasonQueueFull means that too many requests are waiting.
 	ReasonQueueFull Reason = "full"
 )
 
-// Refusal is the final answer to an ask; Back is when coming back makes sense.
+// Refusal is the final decision not to serve a request; RetryAfter is the time after which the
+// caller should retry.
 type Refusal struct {
 	ID         ID
 	Reason     Reason
 	RetryAfter time.Duration
-	// QueueLength and Free are how many waited before the request and how many places were free,
-	// and Wait how long it would have waited, for the log.
+	// QueueLength is the number of requests that were waiting, FreeSlots the number of free
+	// slots, and EstimatedWait how long the request would have waited; all are logged.
 	QueueLength   int
 	FreeSlots     int
 	EstimatedWait time.Duration
 }
 
-// Decisions is what one event led to.
+// Decisions are the grants and refusals that follow from one call of a Leader.
 type Decisions struct {
 	Grants   []Grant
 	Refusals []Refusal
 }
 
-// Outcome says how a run ended.
+// Outcome is how a run finished.
 type Outcome uint8
 
 // The outcomes of runs.
 const (
-	// Served says that the target answered as it should.
+	// Served means that the target answered without an error.
 	Served Outcome = iota
-	// Failed says that the target answered with a failure of its own.
+	// Failed means that the target answered with an error of its own.
 	Failed
-	// Rejected says that the target was full and didn't run the request.
+	// Rejected means that the target was full and did not run the request.
 	Rejected
-	// Misdirected says that another target has the address.
+	// Misdirected means that another target answered at the address.
 	Misdirected
-	// Unreachable says that no connection could be opened.
+	// Unreachable means that no connection could be opened.
 	Unreachable
-	// Lost says that the request was sent and no answer came.
+	// Lost means that the request was sent and no answer came.
 	Lost
-	// Broken says that the answer broke off.
+	// Broken means that the answer was cut off.
 	Broken
-	// Dropped says that the caller left, or that the grant was not used.
+	// Dropped means that the caller left, or that the grant was not used.
 	Dropped
 )
 
@@ -120,45 +126,48 @@
 	return "unknown"
 }
 
-// Finished gives a target's place back and tells how the run went.
+// Finished is how a run went. Reporting it to the leader frees the run's slot.
 type Finished struct {
 	ID      ID
 	Outcome Outcome
 	// TimeToFirst is the time from sending to the first event, zero if there was none.
 	TimeToFirst time.Duration
-	// Events counts the events, Span is the time from the first to the last, and Pause the
-	// longest between two.
+	// Events counts the events, Span is the time from the first to the last event, and
+	// LongestGap the longest time between two of them.
 	Events     int
 	Span       time.Duration
 	LongestGap time.Duration
-	// Load is the target's own word on its load, if it gave one.
+	// Load is the load that the target reported, if it did.
 	Load ReportedLoad
 }
 
-// ReportedLoad is what a target says runs and waits there.
+// ReportedLoad is the number of requests that a target reports as running and waiting there.
+// Known is false if it reported none.
 type ReportedLoad struct {
 	Known   bool
 	Running int
 	Waiting int
 }
 
-// Running is a run that an owner tells a new leader of.
+// Running is a run that an owner reports to a new leader.
 type Running struct {
 	Request Request
 	Target  yuccaid.Target
 	Sent    time.Time
-	// Started says that the first event has come.
+	// Started reports that the first event has come.
 	Started bool
 }
 
-// Target is what is known of one target without having used it.
+// Target is a target as configured, without what is learned from its answers.
 type Target struct {
 	Name  yuccaid.Target
 	Slots int
-	// StartMillis tells a restarted target from its predecessor.
+	// StartMillis is when the target's process started, in Unix milliseconds. A different value
+	// means that the target was restarted.
 	StartMillis int64
-	// RoundTrip is the time that a message takes there and back.
+	// RoundTrip is the network round-trip time to the target.
 	RoundTrip time.Duration
-	// Remote says that the way is paid by volume.
+	// Remote reports that the target is in another region, so that traffic to it is billed by
+	// volume.
 	Remote bool
 }
--- a/core/yuccagrant/bench_test.go
+++ b/core/yuccagrant/bench_test.go
@@ -10,8 +10,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// BenchmarkFleet is one request from its ask to its end, and one turn of the clock, at a
-// leader whose pool is as large as a fleet: a third of the targets in its own data centre.
+// BenchmarkFleet measures a request from submission to finish, and a Tick, for a leader with
+// many targets, a third of which are in its own data centre.
 func BenchmarkFleet(b *testing.B) {
 	for _, targets := range []int{300, 3000} {
 		lead := yuccagrant.New(rand.New(rand.NewPCG(1, 2)))
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -5,135 +5,137 @@
 	"time"
 )
 
-// choice is a target for a request and when its first event is expected.
+// choice is a target for a request. suitable reports that the target is expected to serve the
+// request on time.
 type choice struct {
-	node  *node
-	first time.Duration
-	cost  time.Duration
-	suits bool
+	target        *targetState
+	expectedFirst time.Duration
+	cost          time.Duration
+	suitable      bool
 }
 
-// basis is what the estimates of one request at all targets have in common.
-type basis struct {
-	// first is the time to the first event on the quickest target, held how long a run holds
-	// its place, gap the time between events, and read what reading the prompt takes, the
-	// last three in seconds.
-	first           time.Duration
-	held, gap, read float64
+// baseline is the part of the estimates of a request that is the same for all targets, as times
+// on the fastest target.
+type baseline struct {
+	// first is the time to the first event. In seconds, hold is how long a run occupies its
+	// slot, gap the time between two events, and prefill the time to read the prompt.
+	first              time.Duration
+	hold, gap, prefill float64
 }
 
-func (lead *Leader) basis(ask *Request) basis {
-	_, slope := lead.model.line()
-	return basis{
-		first: seconds(lead.first(ask)), held: lead.model.held(), gap: lead.model.gap(),
-		read: slope * float64(ask.Prompt),
+func (lead *Leader) baseline(req *Request) baseline {
+	_, slope := lead.model.fitLine()
+	return baseline{
+		first: seconds(lead.expectedFirst(req)), hold: lead.model.expectedHold(), gap: lead.model.expectedGap(),
+		prefill: slope * float64(req.Prompt),
 	}
 }
 
-// bound is what no target of another region can cost less than.
+// remoteBound is a lower bound on the cost of targets in other regions.
 //
-// A leader of a large pool would else look at the targets of all regions for each request,
-// and almost always take one of its own. The limit follows from the cost itself, so what is
-// chosen is the same.
-type bound struct {
-	// near is how many of the nodes are of this region; they come first.
-	near int
-	// way is the shortest way to another region, and pace the pace of the quickest target.
-	way  time.Duration
-	pace float64
+// Without it the leader of a large pool would evaluate the targets of all regions for each
+// request, and almost always choose one of its own region. The bound is derived from the cost
+// function, so the choice is the same with and without it.
+type remoteBound struct {
+	// localCount is the number of targets in this region; they come first.
+	localCount int
+	// minRoundTrip is the shortest round trip to another region, and minPace the pace of the
+	// fastest target.
+	minRoundTrip time.Duration
+	minPace      float64
 }
 
-func (bnd *bound) configure(nodes []*node) {
-	*bnd = bound{near: len(nodes), pace: math.Inf(1)}
-	for at, nd := range nodes {
-		bnd.pace = min(bnd.pace, nd.pace)
-		if !nd.Remote {
+func (bound *remoteBound) configure(targets []*targetState) {
+	*bound = remoteBound{localCount: len(targets), minPace: math.Inf(1)}
+	for at, tgt := range targets {
+		bound.minPace = min(bound.minPace, tgt.pace)
+		if !tgt.Remote {
 			continue
 		}
-		if at < bnd.near {
-			bnd.near, bnd.way = at, nd.RoundTrip
+		if at < bound.localCount {
+			bound.localCount, bound.minRoundTrip = at, tgt.RoundTrip
 		}
-		bnd.way = min(bnd.way, nd.RoundTrip)
+		bound.minRoundTrip = min(bound.minRoundTrip, tgt.RoundTrip)
 	}
 }
 
-// choose returns the best target with a free place, one that suits before one that
-// doesn't, or a choice without a target.
+// chooseTarget returns the target with the lowest cost among those that may be sent a request.
+// Suitable targets come before others. The choice has no target if none may be sent a request.
 //
-// Made for targets of unlike pace in several data centres. The cost is the time to the
-// first event, and what it adds that the target is crowded, that its answers pause or
-// fail, and that the way there is paid for.
-func (lead *Leader) choose(now time.Time, ask *Request) choice {
+// The cost allows for targets of different pace in several data centres. It is the time to the
+// first event plus penalties for a busy target, for long gaps and failures in its answers, and
+// for billed traffic to another region.
+func (lead *Leader) chooseTarget(now time.Time, req *Request) choice {
 	best := choice{cost: math.MaxInt64}
-	view := lead.basis(ask)
-	least := time.Duration(lead.bound.pace*float64(view.first)) + lead.bound.way + awayCost
-	for at, nd := range lead.nodes {
-		if at >= lead.bound.near && best.suits && best.cost <= least {
+	base := lead.baseline(req)
+	minRemote := time.Duration(lead.remoteBound.minPace*float64(base.first)) + lead.remoteBound.minRoundTrip + remoteCost
+	for at, tgt := range lead.targets {
+		if at >= lead.remoteBound.localCount && best.suitable && best.cost <= minRemote {
 			return best
 		}
-		if nd.room(now) == 0 || nd.resting(now) || nd.tried(ask) {
+		if tgt.grantableSlots(now) == 0 || tgt.backingOff(now) || tgt.failedBefore(req) {
 			continue
 		}
-		one := lead.estimate(now, nd, ask, &view)
-		if one.suits && !best.suits || one.suits == best.suits && one.cost < best.cost {
-			best = one
+		candidate := lead.estimate(now, tgt, req, &base)
+		if candidate.suitable && !best.suitable || candidate.suitable == best.suitable && candidate.cost < best.cost {
+			best = candidate
 		}
 	}
 	return best
 }
 
-func (lead *Leader) estimate(now time.Time, nd *node, ask *Request, view *basis) choice {
-	work := time.Duration(nd.pace * float64(view.first))
-	busy := nd.busy(now)
-	slots := float64(max(nd.Slots, 1))
-	crowd := crowdCost * float64(busy) / slots
-	wait := seconds(float64(max(busy-nd.Slots+1, 0)) * view.held * nd.pace / slots)
-	one := choice{node: nd, first: wait + work + nd.RoundTrip}
-	one.cost = one.first + time.Duration((crowd+nd.bias)*float64(work)) +
-		time.Duration(nd.late*float64(lateCost)) + time.Duration(nd.failed*float64(failCost))
-	if nd.Remote {
-		one.cost += awayCost
+func (lead *Leader) estimate(now time.Time, tgt *targetState, req *Request, base *baseline) choice {
+	work := time.Duration(tgt.pace * float64(base.first))
+	busy := tgt.busySlots(now)
+	slots := float64(max(tgt.Slots, 1))
+	crowding := crowdingShare * float64(busy) / slots
+	wait := seconds(float64(max(busy-tgt.Slots+1, 0)) * base.hold * tgt.pace / slots)
+	candidate := choice{target: tgt, expectedFirst: wait + work + tgt.RoundTrip}
+	candidate.cost = candidate.expectedFirst + time.Duration((crowding+tgt.bias)*float64(work)) +
+		time.Duration(tgt.lateFraction*float64(lateGapCost)) + time.Duration(tgt.failureRate*float64(failureCost))
+	if tgt.Remote {
+		candidate.cost += remoteCost
 	}
-	left := ask.SoftDeadline.Sub(now)
-	one.suits = one.first <= time.Duration(margin*float64(left)) && !pauses(nd, ask, view)
-	return one
+	left := req.SoftDeadline.Sub(now)
+	candidate.suitable = candidate.expectedFirst <= time.Duration(softDeadlineShare*float64(left)) && !exceedsMaxGap(tgt, req, base)
+	return candidate
 }
 
-// pauses reports whether the events of a target follow one another too slowly even when
-// nothing disturbs it, or whether reading the prompt would make the answers beside it pause.
-// An engine reads a long prompt in parts between the tokens of its other answers; on a slow
-// target each part takes as long as several pauses may last.
-func pauses(nd *node, ask *Request, view *basis) bool {
-	if ask.MaxGap <= 0 {
+// exceedsMaxGap reports whether the events of a target follow one another too slowly even
+// without other load, or whether reading the prompt would delay the other answers on the target
+// too much. An engine reads a long prompt in chunks between the tokens of its other answers; on
+// a slow target each chunk takes several times as long as a gap may last.
+func exceedsMaxGap(tgt *targetState, req *Request, base *baseline) bool {
+	if req.MaxGap <= 0 {
 		return false
 	}
-	read := seconds(nd.pace * view.read)
-	return seconds(nd.pace*view.gap) > ask.MaxGap/2 || nd.pace > slowPace && read > ask.MaxGap
+	prefill := seconds(tgt.pace * base.prefill)
+	return seconds(tgt.pace*base.gap) > req.MaxGap/2 || tgt.pace > slowPace && prefill > req.MaxGap
 }
 
-// free returns how many places are free on targets that get work.
-func (lead *Leader) free(now time.Time) int {
+// freeSlots returns the number of free slots on targets that are not backing off.
+func (lead *Leader) freeSlots(now time.Time) int {
 	sum := 0
-	for _, nd := range lead.nodes {
-		if !nd.resting(now) {
-			sum += nd.free(now)
+	for _, tgt := range lead.targets {
+		if !tgt.backingOff(now) {
+			sum += tgt.freeSlots(now)
 		}
 	}
 	return sum
 }
 
-// places returns how many places the targets that get work have, a slower target's
-// counting for less. Of those that come free this leader gets the part that it uses; the
-// leaders of other data centres get theirs.
-func (lead *Leader) places(now time.Time) float64 {
+// slotCapacity returns how many slots of the fastest target the targets that are not backing
+// off are worth: a slot counts for 1/pace. This leader gets the share of them that matches its
+// share of the runs; the rest is for the leaders of other data centres.
+func (lead *Leader) slotCapacity(now time.Time) float64 {
 	sum, own, all := 0.0, 1, 1
-	for _, nd := range lead.nodes {
-		if nd.resting(now) {
+	for _, tgt := range lead.targets {
+		if tgt.backingOff(now) {
 			continue
 		}
-		sum += float64(nd.Slots) / nd.pace
-		own += len(nd.runs)
-		all += len(nd.runs) + nd.others
+		sum += float64(tgt.Slots) / tgt.pace
+		own += len(tgt.runs)
+		all += len(tgt.runs) + tgt.remoteRuns
 	}
 	return sum * float64(own) / float64(all)
 }
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -12,9 +12,9 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// A leader passes over the targets of other regions once one of its own costs less than any
-// of them can. If that limit were too high, requests would wait in a full region beside idle
-// engines elsewhere.
+// A leader skips the targets of other regions once a target of its own region costs less than
+// any of them can. If that bound were too high, requests would wait in a full region while
+// engines in other regions are idle.
 func TestTheBoundNeverChangesTheChoice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
@@ -29,17 +29,17 @@
 		}
 		lead.Configure(now, targets)
 		for number := range uint64(rapid.IntRange(0, 60).Draw(rt, "requests")) {
-			ask := Request{
+			req := Request{
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
 				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
 			}
-			if got, want := lead.choose(now, &ask), lead.bestOfAll(now, &ask); got.node != want.node {
+			if got, want := lead.chooseTarget(now, &req), lead.chooseWithoutBound(now, &req); got.target != want.target {
 				rt.Fatalf("chose %+v instead of %+v", got, want)
 			}
-			lead.Submit(now, ask)
+			lead.Submit(now, req)
 			if rapid.Bool().Draw(rt, "ends") {
 				took := time.Duration(rapid.IntRange(1, 2000).Draw(rt, "took")) * time.Millisecond
-				lead.RunFinished(now, Finished{ID: ask.ID, Outcome: Served, TimeToFirst: took})
+				lead.RunFinished(now, Finished{ID: req.ID, Outcome: Served, TimeToFirst: took})
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "pause")) * time.Millisecond)
 			lead.Tick(now)
@@ -47,9 +47,9 @@
 	})
 }
 
-// bestOfAll is choose without the bound.
-func (lead *Leader) bestOfAll(now time.Time, ask *Request) choice {
-	lead.bound.near = math.MaxInt
-	defer lead.bound.configure(lead.nodes)
-	return lead.choose(now, ask)
+// chooseWithoutBound is chooseTarget without the bound.
+func (lead *Leader) chooseWithoutBound(now time.Time, req *Request) choice {
+	lead.remoteBound.localCount = math.MaxInt
+	defer lead.remoteBound.configure(lead.targets)
+	return lead.chooseTarget(now, req)
 }
--- a/core/yuccagrant/doc.go
+++ b/core/yuccagrant/doc.go
@@ -1,14 +1,15 @@
-// Package yuccagrant decides which waiting request gets which target, and which is told to
-// come back later.
+// Package yuccagrant schedules the requests of a pool: it decides which waiting request is sent
+// to which target, and which is refused with a time after which to retry.
 //
-// It serves requests whose first event has an aim: an answer that begins in time and then
-// flows is worth much more than one that begins late. One Leader decides for one pool as
-// seen from one data centre. It counts what runs on each target, keeps targets' own queues
-// empty, and lets the rest wait in an order that urgency decides. Speeds are learned from
-// the answers themselves: what a first event takes, what a further event takes, and how
-// much slower than the quickest each target is.
+// It is made for requests with a latency target for the first event: an answer whose first
+// event is on time and whose events then follow without long gaps is worth much more than one
+// that starts late. A Leader decides for one pool as seen from one data centre. It counts the
+// runs on each target, keeps the targets' own queues nearly empty, and holds the other requests
+// in a queue ordered by urgency and expected work. It learns latencies from the answers: the
+// time to the first event, the time between two events, and the pace of each target, which is
+// how many times longer it takes than the fastest target.
 //
-// The package has no clock, no sockets and no goroutines; the present time is an argument
-// of what decides. Two leaders at once can fill a target twice for a moment; that a request
-// runs once is its owner's part.
+// The package has no clock, no sockets and no goroutines; the caller passes the current time to
+// each method that needs it. Two leaders that decide at once can briefly overfill a target. The
+// owner of a request, not this package, ensures that it is run only once.
 package yuccagrant
--- a/core/yuccagrant/empty_test.go
+++ b/core/yuccagrant/empty_test.go
@@ -21,9 +21,10 @@
 		return lead
 	}
 
-	// A daemon was restarted. It knows its configuration and reads its targets, and a caller
-	// comes between the two. Sent away, it would come back half a second later for nothing.
-	It("serves who came just before its first target", func() {
+	// A daemon has restarted and has its configuration, and a request arrives before the daemon
+	// has read its targets. If the request were refused, its caller would retry half a second
+	// later for no reason.
+	It("serves a request that came just before its first target", func() {
 		lead := empty()
 		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
 		dec := lead.Configure(start.Add(50*time.Millisecond), []yuccagrant.Target{{Name: "a", Slots: 1}})
@@ -31,9 +32,10 @@
 		Expect(dec.Grants[0].Target).To(BeEquivalentTo("a"))
 	})
 
-	// All registrations lapsed in an outage and no target renews its own. Callers are told
-	// when they can no longer be served on time, and at once when the targets are gone.
-	It("refuses who has waited in vain, and everybody once its targets are gone", func() {
+	// All registrations expired in an outage and no target renews its own. Requests are refused
+	// when they can no longer be served on time, and at once when no target is expected any
+	// more.
+	It("refuses requests past their soft deadline, and all requests once no target is expected", func() {
 		lead := empty()
 		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
 		Expect(lead.Tick(start.Add(900 * time.Millisecond)).Refusals).To(BeEmpty())
--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -7,155 +7,157 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// batch is how an engine works that gives all its runs a token in each step, reads prompts in
-// chunks between, and so slows all its answers down while it reads a long one.
-type batch struct {
-	step      time.Duration
-	perRun    time.Duration
-	readToken time.Duration
-	chunk     yuccaid.Tokens
-	// eventTokens is how many tokens an event has.
+// batching simulates an engine that generates one token for each of its runs in every step. It
+// reads prompts in chunks between the steps, so all its answers slow down while it reads a long
+// prompt.
+type batching struct {
+	step            time.Duration
+	perRun          time.Duration
+	prefillPerToken time.Duration
+	chunk           yuccaid.Tokens
+	// eventTokens is the number of tokens in an event.
 	eventTokens int
-	// memory is how many tokens the runs may hold; the newest gives way and begins anew.
+	// memory is the number of tokens that the runs may occupy. If it is exceeded, the newest
+	// run is preempted and starts again later.
 	memory yuccaid.Tokens
 
-	// at is until when steps have been played.
-	at time.Time
+	// playedUntil is the time until which steps have been simulated.
+	playedUntil time.Time
 }
 
-// quickBatch is the engine that the others are measured by.
-func quickBatch() *batch {
-	return &batch{
-		step: 2600 * time.Microsecond, perRun: 120 * time.Microsecond, readToken: 20 * time.Microsecond,
+// fastBatching returns the parameters of an engine of pace 1.
+func fastBatching() *batching {
+	return &batching{
+		step: 2600 * time.Microsecond, perRun: 120 * time.Microsecond, prefillPerToken: 20 * time.Microsecond,
 		chunk: 2048, eventTokens: 6, memory: 475_969,
 	}
 }
 
-// batches returns engines of that kind with eight places and a pace each.
-func batches(paces ...float64) []*engine {
+// batchingEngines returns batching engines with eight slots each and the given paces.
+func batchingEngines(paces ...float64) []*engine {
 	engines := fleet(8, paces...)
 	for _, eng := range engines {
-		eng.batch = quickBatch()
+		eng.batch = fastBatching()
 	}
 	return engines
 }
 
-// progress is how far a run has come on a batching engine.
+// progress is the state of a run on a batching engine.
 type progress struct {
-	unread yuccaid.Tokens
-	tokens int
-	events int
-	last   time.Time
-	pause  time.Duration
+	unreadPrompt yuccaid.Tokens
+	tokens       int
+	events       int
+	lastEvent    time.Time
+	longestGap   time.Duration
 }
 
-// advanceBatch plays an engine's steps up to the present.
-func (wld *world) advanceBatch(eng *engine) {
-	if eng.batch.at.IsZero() {
-		eng.batch.at = wld.now
+// advanceBatch simulates an engine's steps up to the current time.
+func (sim *simulation) advanceBatch(eng *engine) {
+	if eng.batch.playedUntil.IsZero() {
+		eng.batch.playedUntil = sim.now
 	}
-	wld.admitBatch(eng)
+	sim.admitBatch(eng)
 	for len(eng.runs) > 0 {
-		next := eng.batch.at.Add(eng.stepTime())
-		if next.After(wld.now) {
+		next := eng.batch.playedUntil.Add(eng.stepDuration())
+		if next.After(sim.now) {
 			return
 		}
-		eng.batch.at = next
-		wld.stepBatch(eng)
-		wld.admitBatch(eng)
+		eng.batch.playedUntil = next
+		sim.stepBatch(eng)
+		sim.admitBatch(eng)
 	}
-	eng.batch.at = wld.now
+	eng.batch.playedUntil = sim.now
 }
 
-// stepTime is how long the next step takes.
-func (eng *engine) stepTime() time.Duration {
-	bat := eng.batch
-	took := bat.step + time.Duration(len(eng.runs))*bat.perRun
-	if reading := eng.reading(); reading != nil {
-		took += time.Duration(min(reading.went.unread, bat.chunk)) * bat.readToken
+// stepDuration returns how long the next step takes.
+func (eng *engine) stepDuration() time.Duration {
+	batch := eng.batch
+	took := batch.step + time.Duration(len(eng.runs))*batch.perRun
+	if reading := eng.prefilling(); reading != nil {
+		took += time.Duration(min(reading.progress.unreadPrompt, batch.chunk)) * batch.prefillPerToken
 	}
 	return time.Duration(eng.pace * float64(took))
 }
 
-// reading returns the run whose prompt is read next, or nil.
-func (eng *engine) reading() *job {
-	for _, one := range eng.runs {
-		if one.went.unread > 0 {
-			return one
+// prefilling returns the run whose prompt is read next, or nil.
+func (eng *engine) prefilling() *job {
+	for _, jb := range eng.runs {
+		if jb.progress.unreadPrompt > 0 {
+			return jb
 		}
 	}
 	return nil
 }
 
-func (wld *world) stepBatch(eng *engine) {
-	reading := eng.reading()
-	var going []*job
-	for _, one := range eng.runs {
+func (sim *simulation) stepBatch(eng *engine) {
+	reading := eng.prefilling()
+	var remaining []*job
+	for _, jb := range eng.runs {
 		switch {
-		case one == reading:
-			one.went.unread -= min(one.went.unread, eng.batch.chunk)
-		case one.went.unread == 0:
-			wld.token(eng, one)
+		case jb == reading:
+			jb.progress.unreadPrompt -= min(jb.progress.unreadPrompt, eng.batch.chunk)
+		case jb.progress.unreadPrompt == 0:
+			sim.emitToken(eng, jb)
 		}
-		if one.went.events < one.events {
-			going = append(going, one)
+		if jb.progress.events < jb.events {
+			remaining = append(remaining, jb)
 			continue
 		}
-		one.done = true
-		wld.finish(eng, one, yuccagrant.Served)
+		jb.done = true
+		sim.finish(eng, jb, yuccagrant.Served)
 	}
-	eng.runs = going
+	eng.runs = remaining
 	eng.preempt()
 }
 
-// token gives a run a token, and an event when it has enough.
-func (wld *world) token(eng *engine, one *job) {
-	went := &one.went
-	went.tokens++
-	if went.tokens%eng.batch.eventTokens != 0 {
+// emitToken generates a token of a run, and an event when there are enough tokens for one.
+func (sim *simulation) emitToken(eng *engine, jb *job) {
+	state := &jb.progress
+	state.tokens++
+	if state.tokens%eng.batch.eventTokens != 0 {
 		return
 	}
-	went.events++
-	if went.events == 1 {
-		one.first = eng.batch.at
-		one.onTime = !one.first.After(one.ask.SoftDeadline)
-		wld.apply(wld.lead.RunStarted(wld.now, one.ask.ID, one.first.Sub(one.sent), yuccagrant.ReportedLoad{}))
+	state.events++
+	if state.events == 1 {
+		jb.first = eng.batch.playedUntil
+		jb.onTime = !jb.first.After(jb.req.SoftDeadline)
+		sim.apply(sim.lead.RunStarted(sim.now, jb.req.ID, jb.first.Sub(jb.sent), yuccagrant.ReportedLoad{}))
 	} else {
-		went.pause = max(went.pause, eng.batch.at.Sub(went.last))
-		one.onTime = one.onTime && went.pause <= one.ask.MaxGap
+		state.longestGap = max(state.longestGap, eng.batch.playedUntil.Sub(state.lastEvent))
+		jb.onTime = jb.onTime && state.longestGap <= jb.req.MaxGap
 	}
-	went.last = eng.batch.at
+	state.lastEvent = eng.batch.playedUntil
 }
 
-// preempt sends the newest runs back to the queue while memory is short.
+// preempt moves the newest runs back to the queue while the runs exceed the memory.
 func (eng *engine) preempt() {
-	for len(eng.runs) > 1 && eng.held() > eng.batch.memory {
+	for len(eng.runs) > 1 && eng.tokensHeld() > eng.batch.memory {
 		newest := eng.runs[len(eng.runs)-1]
 		eng.runs = eng.runs[:len(eng.runs)-1]
-		newest.went.unread = newest.ask.Prompt
+		newest.progress.unreadPrompt = newest.req.Prompt
 		eng.queue = append([]*job{newest}, eng.queue...)
 	}
 }
 
-func (eng *engine) held() yuccaid.Tokens {
+func (eng *engine) tokensHeld() yuccaid.Tokens {
 	var sum yuccaid.Tokens
-	for _, one := range eng.runs {
-		sum += one.ask.Prompt + yuccaid.Tokens(one.went.tokens)
+	for _, jb := range eng.runs {
+		sum += jb.req.Prompt + yuccaid.Tokens(jb.progress.tokens)
 	}
 	return sum
 }
 
-func (wld *world) admitBatch(eng *engine) {
+func (sim *simulation) admitBatch(eng *engine) {
 	for len(eng.queue) > 0 && len(eng.runs) < eng.slots {
-		one := eng.queue[0]
-		if len(eng.runs) > 0 && eng.held()+one.ask.Prompt > eng.batch.memory {
+		jb := eng.queue[0]
+		if len(eng.runs) > 0 && eng.tokensHeld()+jb.req.Prompt > eng.batch.memory {
 			return
 		}
 		eng.queue = eng.queue[1:]
-		if one.began.IsZero() {
-			one.began = eng.batch.at
-			one.went.unread = one.prompt
+		if jb.starts.IsZero() {
+			jb.starts = eng.batch.playedUntil
+			jb.progress.unreadPrompt = jb.prompt
 		}
-		eng.runs = append(eng.runs, one)
+		eng.runs = append(eng.runs, jb)
 	}
 }
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -10,66 +10,66 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Leader decides for one pool. It isn't safe for concurrent use.
+// Leader schedules the requests of one pool. It isn't safe for concurrent use.
 type Leader struct {
 	rng *rand.Rand
-	// nodes are the targets, those of this region before the others.
-	nodes  []*node
-	byName map[yuccaid.Target]*node
-	// sharers is how many daemons each use their part of the places.
-	sharers int
-	// bound is what no target of another region can cost less than.
-	bound bound
-	// newPaces says that a pace has changed since the last normalising.
-	newPaces bool
-	runs     map[ID]*run
-	queue    queue
-	model    model
-	lengths  lengths
-	sizes    sizes
-	// empty is since when there is no target, as long as there is none.
-	empty time.Time
+	// targets are sorted so that those of this region come before the others.
+	targets       []*targetState
+	targetsByName map[yuccaid.Target]*targetState
+	// leaderCount is the number of leaders that each use their share of the slots.
+	leaderCount int
+	// remoteBound is a lower bound on the cost of targets in other regions.
+	remoteBound remoteBound
+	// pacesChanged reports that a pace has changed since paces were last normalised.
+	pacesChanged bool
+	runs         map[ID]*activeRun
+	queue        queue
+	model        latencyModel
+	lengths      lengthModel
+	sizes        sizeStats
+	// emptySince is since when there has been no target; it is zero while there are targets.
+	emptySince time.Time
 }
 
-// New returns a leader without targets; Configure gives it some.
+// New returns a leader without targets; they are set by Configure.
 func New(rng *rand.Rand) *Leader {
-	return &Leader{rng: rng, sharers: 1, runs: make(map[ID]*run), queue: newQueue(), lengths: newLengths(), sizes: newSizes()}
+	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengths: newLengthModel(), sizes: newSizeStats()}
 }
 
-// Configure sets the targets. What is known of one stays as long as it is the same
-// process; what runs on one that takes no more work goes on.
+// Configure sets the targets. What was learned of a target is kept as long as its process is
+// the same. Runs on targets that are no longer listed continue.
 func (lead *Leader) Configure(now time.Time, targets []Target) Decisions {
-	old := lead.byName
-	lead.byName = make(map[yuccaid.Target]*node, len(targets))
-	lead.nodes = make([]*node, 0, len(targets))
-	usual := usualPace(old)
+	old := lead.targetsByName
+	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(targets))
+	lead.targets = make([]*targetState, 0, len(targets))
+	pace := medianPace(old)
 	for _, target := range targets {
-		nd := old[target.Name]
-		if nd == nil || nd.StartMillis != target.StartMillis {
-			nd = newNode(target, biasPart*lead.rng.Float64())
-			nd.pace = usual
+		tgt := old[target.Name]
+		if tgt == nil || tgt.StartMillis != target.StartMillis {
+			tgt = newTargetState(target, biasShare*lead.rng.Float64())
+			tgt.pace = pace
 		}
-		nd.Target = target
-		nd.whole = target.Slots
-		nd.share(lead.sharers)
-		lead.nodes = append(lead.nodes, nd)
-		lead.byName[target.Name] = nd
+		tgt.Target = target
+		tgt.totalSlots = target.Slots
+		tgt.setLeaderCount(lead.leaderCount)
+		lead.targets = append(lead.targets, tgt)
+		lead.targetsByName[target.Name] = tgt
 	}
-	slices.SortFunc(lead.nodes, func(a, b *node) int { return cmp.Or(compareAway(a, b), cmp.Compare(a.Name, b.Name)) })
-	lead.bound.configure(lead.nodes)
-	lead.newPaces = true
+	slices.SortFunc(lead.targets, func(a, b *targetState) int { return cmp.Or(compareRemote(a, b), cmp.Compare(a.Name, b.Name)) })
+	lead.remoteBound.configure(lead.targets)
+	lead.pacesChanged = true
 	switch {
-	case len(lead.nodes) > 0:
-		lead.empty = time.Time{}
-	case lead.empty.IsZero():
-		lead.empty = now
+	case len(lead.targets) > 0:
+		lead.emptySince = time.Time{}
+	case lead.emptySince.IsZero():
+		lead.emptySince = now
 	}
 	var dec Decisions
-	lead.serve(now, &dec)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-func compareAway(a, b *node) int {
+func compareRemote(a, b *targetState) int {
 	switch {
 	case a.Remote == b.Remote:
 		return 0
@@ -79,27 +79,28 @@
 	return 1
 }
 
-// SetLeaderCount sets how many daemons decide on the same targets without knowing of one another:
-// each takes its part of the places. There is one at least.
-func (lead *Leader) SetLeaderCount(now time.Time, sharers int) Decisions {
+// SetLeaderCount sets the number of leaders, at least 1, that decide on the same targets
+// without knowing of one another's runs. Each uses its share of the slots.
+func (lead *Leader) SetLeaderCount(now time.Time, leaders int) Decisions {
 	var dec Decisions
-	if sharers == lead.sharers {
+	if leaders == lead.leaderCount {
 		return dec
 	}
-	lead.sharers = sharers
-	for _, nd := range lead.nodes {
-		nd.share(sharers)
+	lead.leaderCount = leaders
+	for _, tgt := range lead.targets {
+		tgt.setLeaderCount(leaders)
 	}
-	lead.serve(now, &dec)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-// usualPace is what an unknown target is taken for: the middle of those that are known.
-func usualPace(nodes map[yuccaid.Target]*node) float64 {
+// medianPace returns the pace assumed for a target that has not been seen: the median of the
+// known ones.
+func medianPace(targets map[yuccaid.Target]*targetState) float64 {
 	var known []float64
-	for _, nd := range nodes {
-		if nd.paced > 0 {
-			known = append(known, nd.pace)
+	for _, tgt := range targets {
+		if tgt.paceSamples > 0 {
+			known = append(known, tgt.pace)
 		}
 	}
 	if len(known) == 0 {
@@ -109,213 +110,215 @@
 	return known[len(known)/2]
 }
 
-// Submit takes a request: it is granted, refused or left waiting.
-func (lead *Leader) Submit(now time.Time, ask Request) Decisions {
+// Submit hands in a request, which is granted, refused or queued.
+func (lead *Leader) Submit(now time.Time, req Request) Decisions {
 	var dec Decisions
-	if _, runs := lead.runs[ask.ID]; runs {
+	if _, found := lead.runs[req.ID]; found {
 		return dec
 	}
-	if _, waits := lead.queue.byID[ask.ID]; waits {
+	if _, found := lead.queue.byID[req.ID]; found {
 		return dec
 	}
-	if lead.deserted(now) {
-		lead.refuse(now, lead.newWaiting(now, ask), ReasonNoTarget, &dec)
+	if lead.withoutTargets(now) {
+		lead.refuse(now, lead.newEntry(now, req), ReasonNoTarget, &dec)
 		return dec
 	}
-	if lead.queue.len() >= mostWaiting {
-		lead.refuse(now, lead.newWaiting(now, ask), ReasonQueueFull, &dec)
+	if lead.queue.len() >= maxQueued {
+		lead.refuse(now, lead.newEntry(now, req), ReasonQueueFull, &dec)
 		return dec
 	}
-	item := lead.newWaiting(now, ask)
-	lead.queue.push(item)
-	lead.serve(now, &dec)
-	if lead.IsWaiting(ask.ID) && lead.hopeless(now, item) {
-		lead.queue.remove(ask.ID)
-		lead.refuse(now, item, ReasonLate, &dec)
+	entry := lead.newEntry(now, req)
+	lead.queue.push(entry)
+	lead.grantSlots(now, &dec)
+	if lead.IsWaiting(req.ID) && lead.cannotMeetDeadline(now, entry) {
+		lead.queue.remove(req.ID)
+		lead.refuse(now, entry, ReasonLate, &dec)
 	}
 	return dec
 }
 
-// deserted reports whether there is no target and hardly will be one soon.
+// withoutTargets reports whether there is no target and none is expected soon.
 //
-// A daemon that has just started learns of its targets a moment after its first requests,
-// and after an outage of the platform all registrations may be missing until the targets
-// renew them. Who comes meanwhile is better served late than sent away.
-func (lead *Leader) deserted(now time.Time) bool {
-	return len(lead.nodes) == 0 && now.Sub(lead.empty) >= renewal
+// A daemon that has just started learns of its targets shortly after its first requests, and
+// after an outage of the platform all registrations may be missing until the targets renew
+// them. Requests that arrive in that time are queued, because a late answer is better than a
+// refusal.
+func (lead *Leader) withoutTargets(now time.Time) bool {
+	return len(lead.targets) == 0 && now.Sub(lead.emptySince) >= noTargetGrace
 }
 
-// Withdraw takes a waiting request out; its caller left.
+// Withdraw removes a waiting request whose caller has left.
 func (lead *Leader) Withdraw(now time.Time, id ID) Decisions {
 	var dec Decisions
 	if lead.queue.remove(id) == nil {
 		return dec
 	}
-	lead.serve(now, &dec)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-// RunStarted notes a run's first event, and what its target said of its load with it.
+// RunStarted records a run's first event, which came the given time after sending, and the load
+// that its target reported with it.
 func (lead *Leader) RunStarted(now time.Time, id ID, took time.Duration, load ReportedLoad) Decisions {
 	var dec Decisions
-	one, runs := lead.runs[id]
-	if !runs || one.begun {
+	run, found := lead.runs[id]
+	if !found || run.started {
 		return dec
 	}
-	one.begun = true
-	one.node.reported(now, load)
-	lead.learnFirst(one, took)
-	lead.serve(now, &dec)
+	run.started = true
+	run.target.recordReport(now, load)
+	lead.learnFirst(run, took)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-// RunFinished frees a place and learns from how the run went.
-func (lead *Leader) RunFinished(now time.Time, end Finished) Decisions {
+// RunFinished frees the slot of a run and learns from its outcome.
+func (lead *Leader) RunFinished(now time.Time, result Finished) Decisions {
 	var dec Decisions
-	one, runs := lead.runs[end.ID]
-	if !runs {
+	run, found := lead.runs[result.ID]
+	if !found {
 		return dec
 	}
-	if end.TimeToFirst > 0 && !one.begun {
-		lead.learnFirst(one, end.TimeToFirst)
+	if result.TimeToFirst > 0 && !run.started {
+		lead.learnFirst(run, result.TimeToFirst)
 	}
-	if !one.begun {
-		one.node.reported(now, end.Load)
+	if !run.started {
+		run.target.recordReport(now, result.Load)
 	}
-	lead.finish(one)
-	lead.judge(now, one, end)
-	lead.serve(now, &dec)
+	lead.removeRun(run)
+	lead.recordOutcome(now, run, result)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
 // AddRunning counts a run that was granted by another leader.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
-	if _, runs := lead.runs[running.Request.ID]; runs {
+	if _, found := lead.runs[running.Request.ID]; found {
 		return
 	}
 	lead.queue.remove(running.Request.ID)
-	nd, known := lead.byName[running.Target]
-	if !known {
+	tgt, found := lead.targetsByName[running.Target]
+	if !found {
 		return
 	}
-	one := lead.start(now, nd, running.Request)
-	one.sent = running.Sent
-	one.begun = running.Started
+	run := lead.addRun(now, tgt, running.Request)
+	run.sent = running.Sent
+	run.started = running.Started
 }
 
-// DropOwner drops what a lost daemon had waiting and running. Targets drop a request whose
-// connection closes.
+// DropOwner removes the waiting and running requests of a daemon that is no longer a peer.
+// Targets abort a request when its connection closes, so their slots become free.
 func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
-	for id, item := range lead.queue.byID {
-		if item.ID.Owner == owner {
+	for id, entry := range lead.queue.byID {
+		if entry.ID.Owner == owner {
 			lead.queue.remove(id)
 		}
 	}
-	for id, one := range lead.runs {
+	for id, run := range lead.runs {
 		if id.Owner == owner {
-			lead.finish(one)
+			lead.removeRun(run)
 		}
 	}
-	lead.serve(now, &dec)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-// DropOtherOwners drops what other owners than one have waiting and running, when leadership has gone
-// to another daemon.
+// DropOtherOwners removes the waiting and running requests of all owners but the given one. It
+// is called when another daemon has become leader.
 func (lead *Leader) DropOtherOwners(owner yuccaid.Incarnation) {
 	for id := range lead.queue.byID {
 		if id.Owner != owner {
 			lead.queue.remove(id)
 		}
 	}
-	for id, one := range lead.runs {
+	for id, run := range lead.runs {
 		if id.Owner != owner {
-			lead.finish(one)
+			lead.removeRun(run)
 		}
 	}
 }
 
-// SetRemoteLoads sets how many runs the leaders of other data centres have on some targets, and
-// takes over the paces that they have learned where this leader knows none.
+// SetRemoteLoads sets how many runs the leaders of other data centres have on the given
+// targets, and adopts the paces that they have learned where this leader has too few samples.
 func (lead *Leader) SetRemoteLoads(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
 	var dec Decisions
 	for target, load := range loads {
-		if nd, known := lead.byName[target]; known {
-			nd.others = load.Runs
-			if nd.adopt(load.Pace) {
-				lead.repaced(nd)
+		if tgt, found := lead.targetsByName[target]; found {
+			tgt.remoteRuns = load.Runs
+			if tgt.adoptPace(load.Pace) {
+				lead.notePaceChange(tgt)
 			}
 		}
 	}
-	lead.serve(now, &dec)
+	lead.grantSlots(now, &dec)
 	return dec
 }
 
-// ClearRemoteLoads drops what SetOthers set.
+// ClearRemoteLoads clears the numbers of runs that were set by SetRemoteLoads.
 func (lead *Leader) ClearRemoteLoads() {
-	for _, nd := range lead.nodes {
-		nd.others = 0
+	for _, tgt := range lead.targets {
+		tgt.remoteRuns = 0
 	}
 }
 
-// TargetLoad is how many runs a leader has on one target and the pace that it has learned,
-// zero if it knows none.
+// TargetLoad is the number of runs that a leader has on one target, and the pace that it has
+// learned, zero if it knows none.
 type TargetLoad struct {
 	Runs int
 	Pace float64
 }
 
-// Loads goes over the targets that have runs or a pace.
+// Loads iterates over the targets with runs or a known pace.
 func (lead *Leader) Loads() iter.Seq2[yuccaid.Target, TargetLoad] {
 	return func(yield func(yuccaid.Target, TargetLoad) bool) {
-		for _, nd := range lead.nodes {
-			if load := nd.load(); load != (TargetLoad{}) && !yield(nd.Name, load) {
+		for _, tgt := range lead.targets {
+			if load := tgt.load(); load != (TargetLoad{}) && !yield(tgt.Name, load) {
 				return
 			}
 		}
 	}
 }
 
-// Load returns what the leader has on one target.
+// Load returns this leader's load on one target.
 func (lead *Leader) Load(target yuccaid.Target) TargetLoad {
-	if nd, known := lead.byName[target]; known {
-		return nd.load()
+	if tgt, found := lead.targetsByName[target]; found {
+		return tgt.load()
 	}
 	return TargetLoad{}
 }
 
-// IsWaiting reports whether a request waits.
+// IsWaiting reports whether a request is in the queue.
 func (lead *Leader) IsWaiting(id ID) bool {
-	_, waits := lead.queue.byID[id]
-	return waits
+	_, found := lead.queue.byID[id]
+	return found
 }
 
-// Tick decides what the passing of time has changed; call it every few tens of
-// milliseconds while something waits.
+// Tick makes the decisions that depend only on the current time. Call it every few tens of
+// milliseconds while requests are waiting.
 func (lead *Leader) Tick(now time.Time) Decisions {
 	var dec Decisions
-	for _, one := range lead.runs {
-		if now.Sub(one.sent) > lostFor {
-			lead.finish(one)
+	for _, run := range lead.runs {
+		if now.Sub(run.sent) > maxRunAge {
+			lead.removeRun(run)
 		}
 	}
-	lead.normalise()
-	lead.lengths.settle()
-	lead.serve(now, &dec)
-	lead.expire(now, &dec)
+	lead.normalisePaces()
+	lead.lengths.updateMedian()
+	lead.grantSlots(now, &dec)
+	lead.refuseExpired(now, &dec)
 	return dec
 }
 
-// QueueLength returns how many requests wait.
+// QueueLength returns the number of waiting requests.
 func (lead *Leader) QueueLength() int { return lead.queue.len() }
 
-// Targets returns how the targets look to the leader.
+// Targets returns the status of all targets.
 func (lead *Leader) Targets(now time.Time) []TargetStatus {
-	list := make([]TargetStatus, 0, len(lead.nodes))
-	for _, nd := range lead.nodes {
+	list := make([]TargetStatus, 0, len(lead.targets))
+	for _, tgt := range lead.targets {
 		list = append(list, TargetStatus{
-			Target: nd.Name, Busy: nd.busy(now), Slots: nd.Slots, Pace: nd.pace, LateFraction: nd.late, FailureRate: nd.failed, BackingOff: nd.resting(now),
+			Target: tgt.Name, Busy: tgt.busySlots(now), Slots: tgt.Slots, Pace: tgt.pace, LateFraction: tgt.lateFraction, FailureRate: tgt.failureRate, BackingOff: tgt.backingOff(now),
 		})
 	}
 	return list
--- a/core/yuccagrant/learn.go
+++ b/core/yuccagrant/learn.go
@@ -5,88 +5,89 @@
 	"time"
 )
 
-// learnFirst takes a first event into the pool's model and the target's pace.
-func (lead *Leader) learnFirst(one *run, took time.Duration) {
-	net := max(took-one.node.RoundTrip, time.Millisecond).Seconds()
-	expected := max(lead.model.first(one.ask.Prompt), time.Millisecond).Seconds()
-	honest := one.ask.MaxGap == 0 || lead.lengths.learnFirst(one.ask.Class, net/one.node.pace/expected)
-	if honest {
-		lead.model.learnFirst(one.ask.Prompt, net/one.node.pace)
+// learnFirst includes the time to a first event in the pool's latency model and the target's
+// pace.
+func (lead *Leader) learnFirst(run *activeRun, took time.Duration) {
+	net := max(took-run.target.RoundTrip, time.Millisecond).Seconds()
+	expected := max(lead.model.first(run.request.Prompt), time.Millisecond).Seconds()
+	reliable := run.request.MaxGap == 0 || lead.lengths.learnFirst(run.request.Class, net/run.target.pace/expected)
+	if reliable {
+		lead.model.learnFirst(run.request.Prompt, net/run.target.pace)
 	}
-	if lead.model.seen > 1 && one.ask.MaxGap == 0 {
-		one.node.learnPace(net/expected, callWeight)
-		lead.repaced(one.node)
+	if lead.model.firstSamples > 1 && run.request.MaxGap == 0 {
+		run.target.learnPace(net/expected, singlePaceWeight)
+		lead.notePaceChange(run.target)
 	}
 }
 
-// judge learns from how a run ended.
-func (lead *Leader) judge(now time.Time, one *run, end Finished) {
-	nd := one.node
-	switch end.Outcome {
+// recordOutcome learns from the outcome of a run.
+func (lead *Leader) recordOutcome(now time.Time, run *activeRun, result Finished) {
+	tgt := run.target
+	switch result.Outcome {
 	case Served:
-		lead.learnServed(now, one, end)
+		lead.learnServed(now, run, result)
 	case Failed:
-		nd.strikes = 0
-		nd.outcome(true)
+		tgt.consecutiveFailures = 0
+		tgt.learnFailure(true)
 	case Rejected:
-		nd.outcome(true)
-		nd.rest = now.Add(restFirst / 2)
+		tgt.learnFailure(true)
+		tgt.backoffUntil = now.Add(minBackoff / 2)
 	case Broken:
-		nd.outcome(true)
+		tgt.learnFailure(true)
 	case Unreachable, Lost, Misdirected:
-		nd.outcome(true)
-		nd.strike(now)
+		tgt.learnFailure(true)
+		tgt.backOff(now)
 	case Dropped:
 	}
 }
 
-func (lead *Leader) learnServed(now time.Time, one *run, end Finished) {
-	nd := one.node
-	nd.strikes = 0
-	nd.outcome(false)
-	lead.model.learnHold(now.Sub(one.sent).Seconds() / nd.pace)
-	if one.ask.MaxGap > 0 {
-		lead.lengths.learnAnswer(&one.ask, end.Events)
+func (lead *Leader) learnServed(now time.Time, run *activeRun, result Finished) {
+	tgt := run.target
+	tgt.consecutiveFailures = 0
+	tgt.learnFailure(false)
+	lead.model.learnHold(now.Sub(run.sent).Seconds() / tgt.pace)
+	if run.request.MaxGap > 0 {
+		lead.lengths.learnAnswer(&run.request, result.Events)
 	}
-	if end.Events > eventsForPace && end.Span > 0 {
-		gap := end.Span.Seconds() / float64(end.Events-1)
-		expected := lead.model.gap()
-		lead.model.learnEvent(gap / nd.pace)
-		if lead.model.events > 1 {
-			nd.learnPace(gap/expected, paceWeight)
-			lead.repaced(nd)
+	if result.Events > minPaceEvents && result.Span > 0 {
+		gap := result.Span.Seconds() / float64(result.Events-1)
+		expected := lead.model.expectedGap()
+		lead.model.learnGap(gap / tgt.pace)
+		if lead.model.gapSamples > 1 {
+			tgt.learnPace(gap/expected, streamPaceWeight)
+			lead.notePaceChange(tgt)
 		}
 	}
-	if one.ask.MaxGap > 0 {
-		nd.learnPause(end.LongestGap > one.ask.MaxGap)
+	if run.request.MaxGap > 0 {
+		tgt.learnLateGap(result.LongestGap > run.request.MaxGap)
 	}
 }
 
-// repaced notes that a target's pace has changed.
-func (lead *Leader) repaced(nd *node) {
-	lead.newPaces = true
-	lead.bound.pace = min(lead.bound.pace, nd.pace)
+// notePaceChange records that the pace of a target has changed.
+func (lead *Leader) notePaceChange(tgt *targetState) {
+	lead.pacesChanged = true
+	lead.remoteBound.minPace = min(lead.remoteBound.minPace, tgt.pace)
 }
 
-// normalise keeps the quickest known target at a pace of one, so that the model and the
-// paces don't drift apart together.
-func (lead *Leader) normalise() {
-	if !lead.newPaces {
+// normalisePaces scales the paces and the latency model so that the fastest known target has a
+// pace of 1. Answers determine only the product of both, so without it both could drift.
+func (lead *Leader) normalisePaces() {
+	if !lead.pacesChanged {
 		return
 	}
-	lead.newPaces = false
+	lead.pacesChanged = false
 	best := math.Inf(1)
-	for _, nd := range lead.nodes {
-		if nd.paced >= pacedEnough {
-			best = min(best, nd.pace)
+	for _, tgt := range lead.targets {
+		if tgt.paceSamples >= minPaceSamples {
+			best = min(best, tgt.pace)
 		}
 	}
 	if math.IsInf(best, 1) || math.Abs(best-1) < 0.02 {
 		return
 	}
-	for _, nd := range lead.nodes {
-		nd.pace /= best
+	for _, tgt := range lead.targets {
+		tgt.pace /= best
 	}
-	lead.bound.configure(lead.nodes)
+	lead.remoteBound.configure(lead.targets)
 	lead.model.scale(best)
 }
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -3,126 +3,131 @@
 import "slices"
 
 const (
-	// mostClasses bounds how many classes lengths are remembered of.
-	mostClasses = 4096
-	// lengthKept is the part of what is known of a class that stays after one more answer.
-	lengthKept = 0.95
-	// lengthsEnough is how many answers of a class say more than what is usual.
-	lengthsEnough = 4
-	// firstWeight is the weight of one answer in how far a class's first events are from
-	// what its prompts let expect.
-	firstWeight = 0.15
-	// honest is how many times longer or shorter than expected the first events of a class
-	// may take on average before its prompts are taken to be announced wrongly.
-	honest = 3.0
+	// maxClasses bounds the number of classes for which lengths are stored.
+	maxClasses = 4096
+	// lengthDecay is the factor by which earlier answers of a class are weighted down with each
+	// new one.
+	lengthDecay = 0.95
+	// minLengthSamples is the number of answers from which a class's own lengths are used
+	// instead of the median of all classes.
+	minLengthSamples = 4
+	// firstRatioWeight is the weight of one answer in a class's ratio of actual to expected
+	// times to the first event.
+	firstRatioWeight = 0.15
+	// maxPromptError is the mean factor by which a class's first events may be later or earlier
+	// than expected before its announced prompt lengths are considered wrong.
+	maxPromptError = 3.0
 )
 
-// lengths holds what is learned of how long answers are, and how far prompts are from what
-// is announced, by class: what one class announces wrongly doesn't move what is expected of
-// another that has been seen.
-type lengths struct {
-	classes map[Class]*length
-	// usual is the events for each announced token of the class in the middle, for classes
-	// that haven't been seen, and stale says that it has to be worked out again.
-	usual float64
-	stale bool
+// lengthModel stores, by class, how long answers are and how far prompts deviate from their
+// announced length. Classes are kept apart so that wrong announcements of one class do not
+// affect what is expected of another class that has been seen.
+type lengthModel struct {
+	classes map[Class]*classLengths
+	// medianRatio is the median over all classes of the number of events for each announced
+	// token. It is used for classes with too few answers. medianStale reports that it must be
+	// computed again.
+	medianRatio float64
+	medianStale bool
 }
 
-// length is what is learned of one class, in sums that forget.
-type length struct {
-	// weight counts answers, and events sums their events. Of those that announced a length,
-	// told sums the events and announced the tokens.
-	weight, events  float64
-	told, announced float64
-	// late is how many times longer than expected of its prompt a first event took, and
-	// firsts counts them.
-	late   float64
-	firsts int
+// classLengths are the decaying sums over the answers of one class.
+type classLengths struct {
+	// weight counts answers, and events sums their events. Over the answers with an announced
+	// length, announcedEvents sums the events and announcedTokens the announced tokens.
+	weight, events                   float64
+	announcedEvents, announcedTokens float64
+	// firstRatio is the mean ratio of actual to expected times to the first event, over
+	// firstSamples answers.
+	firstRatio   float64
+	firstSamples int
 }
 
-func newLengths() lengths {
-	return lengths{classes: make(map[Class]*length)}
+func newLengthModel() lengthModel {
+	return lengthModel{classes: make(map[Class]*classLengths)}
 }
 
-// events returns how many events an answer is expected to have, or false if nothing like it
-// has been seen.
-func (known *lengths) events(ask *Request) (float64, bool) {
-	past := known.classes[ask.Class]
-	enough := past != nil && past.weight >= lengthsEnough
+// expectedEvents returns the expected number of events of an answer, or false if it can't be
+// estimated.
+func (lm *lengthModel) expectedEvents(req *Request) (float64, bool) {
+	cls := lm.classes[req.Class]
+	enough := cls != nil && cls.weight >= minLengthSamples
 	switch {
-	case ask.Answer > 0 && enough && past.announced > 0:
-		return float64(ask.Answer) * past.told / past.announced, true
-	case ask.Answer > 0 && known.usual > 0:
-		return float64(ask.Answer) * known.usual, true
-	case ask.Answer == 0 && enough:
-		return past.events / past.weight, true
+	case req.Answer > 0 && enough && cls.announcedTokens > 0:
+		return float64(req.Answer) * cls.announcedEvents / cls.announcedTokens, true
+	case req.Answer > 0 && lm.medianRatio > 0:
+		return float64(req.Answer) * lm.medianRatio, true
+	case req.Answer == 0 && enough:
+		return cls.events / cls.weight, true
 	}
 	return 0, false
 }
 
-// firstRatio returns how many times longer than its prompt lets expect a first event takes.
-func (known *lengths) firstRatio(class Class) float64 {
-	past := known.classes[class]
-	if past == nil || past.honest() {
+// firstRatio returns the factor by which a class's first events come later than expected from
+// its announced prompts. It is 1 while the announcements are reliable.
+func (lm *lengthModel) firstRatio(class Class) float64 {
+	cls := lm.classes[class]
+	if cls == nil || cls.promptsReliable() {
 		return 1
 	}
-	return past.late
+	return cls.firstRatio
 }
 
-// learnAnswer takes a whole answer in.
-func (known *lengths) learnAnswer(ask *Request, events int) {
-	past := known.of(ask.Class)
-	past.weight = past.weight*lengthKept + 1
-	past.events = past.events*lengthKept + float64(events)
-	if ask.Answer > 0 {
-		past.told = past.told*lengthKept + float64(events)
-		past.announced = past.announced*lengthKept + float64(ask.Answer)
-		known.stale = true
+// learnAnswer includes the length of a complete answer.
+func (lm *lengthModel) learnAnswer(req *Request, events int) {
+	cls := lm.forClass(req.Class)
+	cls.weight = cls.weight*lengthDecay + 1
+	cls.events = cls.events*lengthDecay + float64(events)
+	if req.Answer > 0 {
+		cls.announcedEvents = cls.announcedEvents*lengthDecay + float64(events)
+		cls.announcedTokens = cls.announcedTokens*lengthDecay + float64(req.Answer)
+		lm.medianStale = true
 	}
 }
 
-// learnFirst takes in how many times longer than expected a first event took, and reports
-// whether the class announces its prompts well enough for others to learn from it.
-func (known *lengths) learnFirst(class Class, ratio float64) bool {
-	past := known.of(class)
-	past.firsts++
-	past.late += max(firstWeight, 1/float64(past.firsts)) * (min(ratio, mostPace) - past.late)
-	return past.honest()
+// learnFirst includes the ratio of the actual to the expected time to a first event, and
+// reports whether the class announces its prompts reliably enough for the latency model to
+// learn from them.
+func (lm *lengthModel) learnFirst(class Class, ratio float64) bool {
+	cls := lm.forClass(class)
+	cls.firstSamples++
+	cls.firstRatio += max(firstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.firstRatio)
+	return cls.promptsReliable()
 }
 
-// settle works out what is usual.
-func (known *lengths) settle() {
-	if !known.stale {
+// updateMedian computes medianRatio if it is stale.
+func (lm *lengthModel) updateMedian() {
+	if !lm.medianStale {
 		return
 	}
-	known.stale = false
+	lm.medianStale = false
 	var ratios []float64
-	for _, past := range known.classes {
-		if past.announced > 0 {
-			ratios = append(ratios, past.told/past.announced)
+	for _, cls := range lm.classes {
+		if cls.announcedTokens > 0 {
+			ratios = append(ratios, cls.announcedEvents/cls.announcedTokens)
 		}
 	}
 	slices.Sort(ratios)
-	known.usual = ratios[len(ratios)/2]
+	lm.medianRatio = ratios[len(ratios)/2]
 }
 
-// of returns what is learned of a class, to learn more. Where there are too many classes,
-// any one of them is forgotten.
-func (known *lengths) of(class Class) *length {
-	if past := known.classes[class]; past != nil {
-		return past
+// forClass returns the lengths of a class for updating. If there are too many classes, an
+// arbitrary one is deleted to make space.
+func (lm *lengthModel) forClass(class Class) *classLengths {
+	if cls := lm.classes[class]; cls != nil {
+		return cls
 	}
-	if len(known.classes) >= mostClasses {
-		for other := range known.classes {
-			delete(known.classes, other)
+	if len(lm.classes) >= maxClasses {
+		for other := range lm.classes {
+			delete(lm.classes, other)
 			break
 		}
 	}
-	past := &length{late: 1}
-	known.classes[class] = past
-	return past
+	cls := &classLengths{firstRatio: 1}
+	lm.classes[class] = cls
+	return cls
 }
 
-func (past *length) honest() bool {
-	return past.firsts < lengthsEnough || past.late > 1/honest && past.late < honest
+func (cls *classLengths) promptsReliable() bool {
+	return cls.firstSamples < minLengthSamples || cls.firstRatio > 1/maxPromptError && cls.firstRatio < maxPromptError
 }
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -8,45 +8,45 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// An account announces wrong lengths. If that moved what is expected of others, their short
-// requests would be taken for long ones and refused.
+// One account announces wrong lengths. If that affected what is expected of other accounts,
+// their short requests would be treated as long ones and refused.
 func TestOneClassNeverMovesWhatIsExpectedOfAnother(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		alone, beside := newLengths(), newLengths()
-		for range rapid.IntRange(lengthsEnough+1, 40).Draw(rt, "honest answers") {
-			ask := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced"))}
+		alone, beside := newLengthModel(), newLengthModel()
+		for range rapid.IntRange(minLengthSamples+1, 40).Draw(rt, "honest answers") {
+			req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced"))}
 			events := rapid.IntRange(1, 400).Draw(rt, "events")
 			ratio := rapid.Float64Range(0.5, 2).Draw(rt, "first")
-			for _, known := range []*lengths{&alone, &beside} {
-				known.learnAnswer(&ask, events)
-				known.learnFirst(1, ratio)
+			for _, model := range []*lengthModel{&alone, &beside} {
+				model.learnAnswer(&req, events)
+				model.learnFirst(1, ratio)
 			}
-			lie := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "lie"))}
-			beside.learnAnswer(&lie, rapid.IntRange(1, 10_000).Draw(rt, "its events"))
+			wrong := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "lie"))}
+			beside.learnAnswer(&wrong, rapid.IntRange(1, 10_000).Draw(rt, "its events"))
 			beside.learnFirst(2, rapid.Float64Range(0, 1000).Draw(rt, "its first"))
-			alone.settle()
-			beside.settle()
+			alone.updateMedian()
+			beside.updateMedian()
 		}
-		ask := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
-		want, _ := alone.events(&ask)
-		if got, _ := beside.events(&ask); got != want && !(ask.Answer > 0 && alone.classes[1].announced == 0) {
-			rt.Fatalf("expected %v events, and %v beside a liar", want, got)
+		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
+		want, _ := alone.expectedEvents(&req)
+		if got, _ := beside.expectedEvents(&req); got != want && !(req.Answer > 0 && alone.classes[1].announcedTokens == 0) {
+			rt.Fatalf("expected %v events, and %v beside a class with wrong announcements", want, got)
 		}
 		if got := beside.firstRatio(1); got != alone.firstRatio(1) {
-			rt.Fatalf("expected a first event after %v times its prompt's, not %v", alone.firstRatio(1), got)
+			rt.Fatalf("expected a first event after %v times the estimate, got %v", alone.firstRatio(1), got)
 		}
 	})
 }
 
-// A caller makes up routes or keys without end. What is learned of them must not fill the
-// machine's memory.
+// A caller makes up an unlimited number of routes or keys. What is stored for them must not
+// exhaust memory.
 func TestClassesAreBounded(t *testing.T) {
-	known := newLengths()
-	for class := range Class(3 * mostClasses) {
-		known.learnAnswer(&Request{Class: class, Answer: 10}, 5)
-		known.learnFirst(class, 1)
+	model := newLengthModel()
+	for class := range Class(3 * maxClasses) {
+		model.learnAnswer(&Request{Class: class, Answer: 10}, 5)
+		model.learnFirst(class, 1)
 	}
-	if len(known.classes) > mostClasses {
-		t.Fatalf("%d classes are remembered", len(known.classes))
+	if len(model.classes) > maxClasses {
+		t.Fatalf("%d classes are stored", len(model.classes))
 	}
 }
--- a/core/yuccagrant/model.go
+++ b/core/yuccagrant/model.go
@@ -7,34 +7,37 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// model is what an answer takes on the quickest targets of a pool: a first event after a
-// time that grows with the prompt, and then one event after the other.
-type model struct {
-	// The sums of a least-squares line through (prompt, first event), which forget.
+// latencyModel estimates the latencies of the fastest targets of a pool: the time to the first
+// event grows linearly with the prompt, and events then follow at a fixed gap.
+type latencyModel struct {
+	// These are exponentially decaying sums for a least-squares line through the pairs of
+	// prompt length in tokens and time to the first event in seconds.
 	weight, sumX, sumY, sumXX, sumXY float64
-	seen                             int
-	event                            float64
-	events                           int
-	hold                             float64
-	holds                            int
+	firstSamples                     int
+	// meanGap and meanHold are the mean time between two events and the mean time that a run
+	// occupies its slot, in seconds.
+	meanGap     float64
+	gapSamples  int
+	meanHold    float64
+	holdSamples int
 }
 
 // first returns the expected time to the first event.
-func (mod *model) first(prompt yuccaid.Tokens) time.Duration {
-	base, slope := mod.line()
+func (mod *latencyModel) first(prompt yuccaid.Tokens) time.Duration {
+	base, slope := mod.fitLine()
 	return seconds(base + slope*float64(prompt))
 }
 
-// line returns the line's constant and its slope, in seconds and seconds for a token.
-// While the prompts seen are alike the slope stays at its guess, and it never falls below
-// zero: a longer prompt takes no less time.
-func (mod *model) line() (base, slope float64) {
+// fitLine returns the intercept of the line in seconds, and its slope in seconds per token.
+// While all prompts seen have about the same length the slope stays at its default. It is never
+// negative, because a longer prompt takes no less time.
+func (mod *latencyModel) fitLine() (base, slope float64) {
 	if mod.weight == 0 {
-		return firstGuess.Seconds(), promptGuess.Seconds()
+		return defaultFirst.Seconds(), defaultPerPromptToken.Seconds()
 	}
 	meanX, meanY := mod.sumX/mod.weight, mod.sumY/mod.weight
 	spread := mod.sumXX/mod.weight - meanX*meanX
-	slope = promptGuess.Seconds()
+	slope = defaultPerPromptToken.Seconds()
 	if meanX == 0 {
 		return meanY, 0
 	}
@@ -44,7 +47,7 @@
 	return max(meanY-slope*meanX, 0), slope
 }
 
-func (mod *model) learnFirst(prompt yuccaid.Tokens, took float64) {
+func (mod *latencyModel) learnFirst(prompt yuccaid.Tokens, took float64) {
 	keep := 1 - modelWeight
 	x := float64(prompt)
 	mod.weight = mod.weight*keep + 1
@@ -52,40 +55,41 @@
 	mod.sumY = mod.sumY*keep + took
 	mod.sumXX = mod.sumXX*keep + x*x
 	mod.sumXY = mod.sumXY*keep + x*took
-	mod.seen++
+	mod.firstSamples++
 }
 
-// gap returns the expected time between two events, in seconds.
-func (mod *model) gap() float64 {
-	if mod.events == 0 {
-		return eventGuess.Seconds()
+// expectedGap returns the expected time between two events, in seconds.
+func (mod *latencyModel) expectedGap() float64 {
+	if mod.gapSamples == 0 {
+		return defaultEventGap.Seconds()
 	}
-	return mod.event
+	return mod.meanGap
 }
 
-func (mod *model) learnEvent(gap float64) {
-	mod.events++
-	mod.event += max(modelWeight, 1/float64(mod.events)) * (gap - mod.event)
+func (mod *latencyModel) learnGap(gap float64) {
+	mod.gapSamples++
+	mod.meanGap += max(modelWeight, 1/float64(mod.gapSamples)) * (gap - mod.meanGap)
 }
 
-// held returns how long a run holds its place on average, in seconds.
-func (mod *model) held() float64 {
-	if mod.holds == 0 {
-		return holdGuess.Seconds()
+// expectedHold returns the mean time that a run occupies its slot, in seconds.
+func (mod *latencyModel) expectedHold() float64 {
+	if mod.holdSamples == 0 {
+		return defaultHold.Seconds()
 	}
-	return mod.hold
+	return mod.meanHold
 }
 
-func (mod *model) learnHold(took float64) {
-	mod.holds++
-	mod.hold += max(holdWeight, 1/float64(mod.holds)) * (took - mod.hold)
+func (mod *latencyModel) learnHold(took float64) {
+	mod.holdSamples++
+	mod.meanHold += max(holdWeight, 1/float64(mod.holdSamples)) * (took - mod.meanHold)
 }
 
-// scale changes the unit of pace: all times become factor times as long.
-func (mod *model) scale(factor float64) {
+// scale multiplies the times to first events and between events by a factor, after the paces
+// have been divided by it.
+func (mod *latencyModel) scale(factor float64) {
 	mod.sumY *= factor
 	mod.sumXY *= factor
-	mod.event *= factor
+	mod.meanGap *= factor
 }
 
 func seconds(value float64) time.Duration {
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -6,158 +6,167 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// node is one target as a leader sees it.
-type node struct {
+// targetState is a target as configured, and what a leader knows of it.
+type targetState struct {
 	Target
-	// whole are the target's places; Slots is this leader's part of them.
-	whole int
-	runs  map[ID]*run
-	// pace is how many times longer than on the quickest target things take.
-	pace   float64
-	paced  int
-	late   float64
-	failed float64
-	// rest is until when the target gets nothing, and strikes counts the failures in a row.
-	rest    time.Time
-	strikes int
-	// foreign are runs that the target reported beyond ours, until they are out of date.
-	foreign      int
-	foreignUntil time.Time
-	// others are the runs that other leaders told of.
-	others int
-	// bias differs from leader to leader. Without it all that know nothing yet would send
-	// their first requests to the same target.
+	// totalSlots is the number of the target's slots; Slots is this leader's share of them.
+	totalSlots int
+	runs       map[ID]*activeRun
+	// pace is how many times longer the target takes than the fastest one, learned from
+	// paceSamples answers.
+	pace        float64
+	paceSamples int
+	// lateFraction is the fraction of the target's answers that had a gap longer than MaxGap,
+	// and failureRate the fraction of its runs that failed.
+	lateFraction float64
+	failureRate  float64
+	// backoffUntil is until when the target gets no requests after a failure.
+	backoffUntil        time.Time
+	consecutiveFailures int
+	// unaccounted is the number of runs that the target reported beyond those that the leaders
+	// know of. It counts until unaccountedUntil.
+	unaccounted      int
+	unaccountedUntil time.Time
+	// remoteRuns is the number of runs that leaders of other data centres reported.
+	remoteRuns int
+	// bias is a small random share of the cost that differs from leader to leader. Without it
+	// all leaders that have not learned anything yet would send their first requests to the
+	// same target.
 	bias float64
 }
 
-// run is one request on a target.
-type run struct {
-	ask    Request
-	node   *node
-	sent   time.Time
-	begun  bool
-	expect time.Duration
+// activeRun is a request that was sent to a target. started reports that its first event has
+// come.
+type activeRun struct {
+	request       Request
+	target        *targetState
+	sent          time.Time
+	started       bool
+	expectedFirst time.Duration
 }
 
-func newNode(target Target, bias float64) *node {
-	return &node{Target: target, runs: make(map[ID]*run), pace: 1, bias: bias}
+func newTargetState(target Target, bias float64) *targetState {
+	return &targetState{Target: target, runs: make(map[ID]*activeRun), pace: 1, bias: bias}
 }
 
-// share sets the leader's part of the places.
-func (nd *node) share(sharers int) {
-	nd.Slots = (nd.whole + sharers - 1) / sharers
+// setLeaderCount sets Slots to this leader's share of the slots, rounded up.
+func (tgt *targetState) setLeaderCount(leaders int) {
+	tgt.Slots = (tgt.totalSlots + leaders - 1) / leaders
 }
 
-// load is what other leaders are told of the target.
-func (nd *node) load() TargetLoad {
-	load := TargetLoad{Runs: len(nd.runs)}
-	if nd.paced >= pacedEnough {
-		load.Pace = nd.pace
+// load returns what is reported to other leaders about the target.
+func (tgt *targetState) load() TargetLoad {
+	load := TargetLoad{Runs: len(tgt.runs)}
+	if tgt.paceSamples >= minPaceSamples {
+		load.Pace = tgt.pace
 	}
 	return load
 }
 
-// busy returns how many places of the target are taken, as far as is known.
-func (nd *node) busy(now time.Time) int {
-	sum := len(nd.runs) + nd.others
-	if now.Before(nd.foreignUntil) {
-		sum += nd.foreign
+// busySlots returns how many slots of the target are occupied, as far as is known.
+func (tgt *targetState) busySlots(now time.Time) int {
+	sum := len(tgt.runs) + tgt.remoteRuns
+	if now.Before(tgt.unaccountedUntil) {
+		sum += tgt.unaccounted
 	}
 	return sum
 }
 
-func (nd *node) free(now time.Time) int {
-	return max(nd.Slots-nd.busy(now), 0)
+func (tgt *targetState) freeSlots(now time.Time) int {
+	return max(tgt.Slots-tgt.busySlots(now), 0)
 }
 
-// room returns how many requests more the target may be sent. A few wait there beyond its
-// places, so that a place that comes free doesn't idle while the news of it is on its way;
-// more would wait where no rank counts.
-func (nd *node) room(now time.Time) int {
-	return max(nd.Slots+(nd.Slots+spareParts-1)/spareParts-nd.busy(now), 0)
+// grantableSlots returns how many more requests the target may be sent. A few may wait there
+// beyond its slots, so that a slot that becomes free is not idle until the leader learns of it.
+// More than a few would wait in the target's own queue, which ignores ranks.
+func (tgt *targetState) grantableSlots(now time.Time) int {
+	return max(tgt.Slots+(tgt.Slots+overcommitDivisor-1)/overcommitDivisor-tgt.busySlots(now), 0)
 }
 
-// reported takes the target's own word on its load. What the leaders of other data centres
-// told is a moment older, so a difference of a run or two means nothing.
-func (nd *node) reported(now time.Time, load ReportedLoad) {
+// recordReport records the load that the target reported. The numbers of runs that leaders of
+// other data centres reported are slightly older, so a difference of one or two runs is
+// ignored.
+func (tgt *targetState) recordReport(now time.Time, load ReportedLoad) {
 	if !load.Known {
 		return
 	}
-	nd.foreign = max(load.Running+load.Waiting-len(nd.runs)-nd.others-foreignSlack, 0)
-	nd.foreignUntil = now.Add(foreignFor)
+	tgt.unaccounted = max(load.Running+load.Waiting-len(tgt.runs)-tgt.remoteRuns-unaccountedSlack, 0)
+	tgt.unaccountedUntil = now.Add(unaccountedTTL)
 }
 
-// resting reports whether the target gets nothing now.
+// backingOff reports whether the target gets no requests at present.
 //
-// A target that hangs or drops what it gets fails each request after a long time, and one
-// that refuses connections fails it at once and so always looks idle. Either would draw
-// request after request. One failure gives it a short rest, failures in a row longer ones,
-// and a run that is overdue keeps others away until it shows something.
-func (nd *node) resting(now time.Time) bool {
-	return now.Before(nd.rest) || nd.overdue(now)
+// A target that hangs or drops requests fails each one after a long time, and a target that
+// refuses connections fails each one at once and so always looks idle. Either would attract
+// request after request. One failure causes a short backoff, consecutive failures cause longer
+// ones, and an overdue run keeps other requests away until its first event or its end.
+func (tgt *targetState) backingOff(now time.Time) bool {
+	return now.Before(tgt.backoffUntil) || tgt.hasOverdueRun(now)
 }
 
-func (nd *node) overdue(now time.Time) bool {
-	for _, one := range nd.runs {
-		if !one.begun && now.Sub(one.sent) > time.Duration(overdueRatio*float64(one.expect))+overdueSlack {
+func (tgt *targetState) hasOverdueRun(now time.Time) bool {
+	for _, run := range tgt.runs {
+		if !run.started && now.Sub(run.sent) > time.Duration(overdueRatio*float64(run.expectedFirst))+overdueSlack {
 			return true
 		}
 	}
 	return false
 }
 
-// strike notes a failure after which the target had better be left alone for a while.
-func (nd *node) strike(now time.Time) {
-	pause := min(restFirst<<min(nd.strikes, 8), restLast)
-	nd.strikes++
-	nd.rest = now.Add(pause)
+// backOff records a failure after which the target gets no requests for a while.
+func (tgt *targetState) backOff(now time.Time) {
+	delay := min(minBackoff<<min(tgt.consecutiveFailures, 8), maxBackoff)
+	tgt.consecutiveFailures++
+	tgt.backoffUntil = now.Add(delay)
 }
 
-func (nd *node) outcome(failed bool) {
+func (tgt *targetState) learnFailure(failed bool) {
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	nd.failed += failWeight * (sample - nd.failed)
+	tgt.failureRate += failureWeight * (sample - tgt.failureRate)
 }
 
-// learnPace takes one answer into the target's pace. The time between events says much of a
-// target, the time to a single answer as much of the request.
-func (nd *node) learnPace(ratio, weight float64) {
-	ratio = min(max(ratio, 1/mostPace), mostPace)
-	nd.paced++
-	nd.pace += max(weight, 1/float64(nd.paced)) * (ratio - nd.pace)
+// learnPace includes one answer in the target's pace: ratio is its duration divided by the one
+// expected on the fastest target. The weight depends on the kind of answer, because the time
+// between events depends mostly on the target and the time to a single answer depends as much
+// on the request.
+func (tgt *targetState) learnPace(ratio, weight float64) {
+	ratio = min(max(ratio, 1/maxPace), maxPace)
+	tgt.paceSamples++
+	tgt.pace += max(weight, 1/float64(tgt.paceSamples)) * (ratio - tgt.pace)
 }
 
-// adopt takes over a pace that another leader has learned, as long as this one has seen
-// less, and reports whether it did.
-func (nd *node) adopt(pace float64) bool {
-	if nd.paced >= pacedEnough || pace <= 0 {
+// adoptPace sets the pace to one that another leader has learned, unless this leader has enough
+// samples, and reports whether it did.
+func (tgt *targetState) adoptPace(pace float64) bool {
+	if tgt.paceSamples >= minPaceSamples || pace <= 0 {
 		return false
 	}
-	nd.pace = pace
-	nd.paced = pacedEnough
+	tgt.pace = pace
+	tgt.paceSamples = minPaceSamples
 	return true
 }
 
-func (nd *node) learnPause(late bool) {
+func (tgt *targetState) learnLateGap(late bool) {
 	sample := 0.0
 	if late {
 		sample = 1
 	}
-	nd.late += lateWeight * (sample - nd.late)
+	tgt.lateFraction += lateGapWeight * (sample - tgt.lateFraction)
 }
 
-func (nd *node) tried(ask *Request) bool {
-	for _, name := range ask.FailedTargets {
-		if name == nd.Name {
+func (tgt *targetState) failedBefore(req *Request) bool {
+	for _, name := range req.FailedTargets {
+		if name == tgt.Name {
 			return true
 		}
 	}
 	return false
 }
 
-// TargetStatus is one target as the leader sees it, for operators.
+// TargetStatus is a target as the leader sees it, for operators.
 type TargetStatus struct {
 	Target       yuccaid.Target `json:"target"`
 	Busy         int            `json:"busy"`
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -7,83 +7,85 @@
 	"time"
 )
 
-// hopeless reports whether a request that found no place had better be told so at once.
+// cannotMeetDeadline reports whether a request that got no slot should be refused at once.
 //
-// Under overload a queue that takes everything makes everybody late. A caller who hears at
-// once when to come back loses nothing by it. But while requests of lower ranks run, their
-// places will come free, and a higher rank is not sent away before them.
-func (lead *Leader) hopeless(now time.Time, item *waiting) bool {
-	if lead.model.holds < fewHolds {
-		// Nobody knows yet how long a place is held.
-		return !now.Before(item.Deadline)
+// Under overload a queue that accepts all requests makes all of them late. A caller who is
+// refused at once and told when to retry loses nothing. But while requests of lower ranks run,
+// their slots will become free, and a request of a higher rank is not refused before that.
+func (lead *Leader) cannotMeetDeadline(now time.Time, entry *queueEntry) bool {
+	if lead.model.holdSamples < minHoldSamples {
+		// Too few runs have finished to estimate waiting times.
+		return !now.Before(entry.Deadline)
 	}
-	begin := lead.wait(now, lead.queue.ahead(item.Tier, item.index)) + seconds(lead.first(&item.Request))
-	if begin <= item.SoftDeadline.Sub(now)+soon {
+	start := lead.workDuration(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedFirst(&entry.Request))
+	if start <= entry.SoftDeadline.Sub(now)+lateStartSlack {
 		return false
 	}
-	if lead.lowerRuns(&item.Request) {
-		return begin > time.Duration(patience*float64(item.Deadline.Sub(now)))
+	if lead.lessUrgentRunning(&entry.Request) {
+		return start > time.Duration(lateStartShare*float64(entry.Deadline.Sub(now)))
 	}
 	return true
 }
 
-// lowerRuns reports whether something less urgent runs.
-func (lead *Leader) lowerRuns(ask *Request) bool {
-	for _, one := range lead.runs {
-		if cmp.Or(cmp.Compare(one.ask.Tier, ask.Tier), cmp.Compare(one.ask.rank(), ask.rank())) > 0 {
+// lessUrgentRunning reports whether a less urgent request is running.
+func (lead *Leader) lessUrgentRunning(req *Request) bool {
+	for _, run := range lead.runs {
+		if cmp.Or(cmp.Compare(run.request.Tier, req.Tier), cmp.Compare(run.request.effectiveRank(), req.effectiveRank())) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// expire refuses what waited in vain.
-func (lead *Leader) expire(now time.Time, dec *Decisions) {
-	if len(lead.nodes) == 0 {
-		lead.expireDeserted(now, dec)
+// refuseExpired refuses the waiting requests that can no longer be served in time.
+func (lead *Leader) refuseExpired(now time.Time, dec *Decisions) {
+	if len(lead.targets) == 0 {
+		lead.refuseWithoutTargets(now, dec)
 		return
 	}
-	var gone []*waiting
-	for _, item := range lead.queue.byID {
-		if !item.onTime(now) && lead.hopeless(now, item) || !now.Before(item.Deadline) {
-			gone = append(gone, item)
+	var expired []*queueEntry
+	for _, entry := range lead.queue.byID {
+		if !entry.onTime(now) && lead.cannotMeetDeadline(now, entry) || !now.Before(entry.Deadline) {
+			expired = append(expired, entry)
 		}
 	}
-	lead.refuseAll(now, gone, ReasonLate, dec)
+	lead.refuseAll(now, expired, ReasonLate, dec)
 }
 
-// expireDeserted refuses what waited in vain for a first target.
-func (lead *Leader) expireDeserted(now time.Time, dec *Decisions) {
-	var gone []*waiting
-	for _, item := range lead.queue.byID {
-		if !item.onTime(now) || lead.deserted(now) {
-			gone = append(gone, item)
+// refuseWithoutTargets refuses waiting requests of a pool without targets: those past their
+// soft deadline, or all if no target is expected soon.
+func (lead *Leader) refuseWithoutTargets(now time.Time, dec *Decisions) {
+	var expired []*queueEntry
+	for _, entry := range lead.queue.byID {
+		if !entry.onTime(now) || lead.withoutTargets(now) {
+			expired = append(expired, entry)
 		}
 	}
-	lead.refuseAll(now, gone, ReasonNoTarget, dec)
+	lead.refuseAll(now, expired, ReasonNoTarget, dec)
 }
 
-func (lead *Leader) refuseAll(now time.Time, gone []*waiting, reason Reason, dec *Decisions) {
-	slices.SortFunc(gone, func(a, b *waiting) int { return cmp.Compare(a.ID.Number, b.ID.Number) })
-	for _, item := range gone {
-		lead.queue.remove(item.ID)
-		lead.refuse(now, item, reason, dec)
+func (lead *Leader) refuseAll(now time.Time, expired []*queueEntry, reason Reason, dec *Decisions) {
+	slices.SortFunc(expired, func(a, b *queueEntry) int { return cmp.Compare(a.ID.Number, b.ID.Number) })
+	for _, entry := range expired {
+		lead.queue.remove(entry.ID)
+		lead.refuse(now, entry, reason, dec)
 	}
 }
 
-func (lead *Leader) refuse(now time.Time, item *waiting, reason Reason, dec *Decisions) {
-	lead.sizes.learn(item.rank(), item.work, false)
-	wait := lead.wait(now, lead.queue.ahead(item.Tier, item.index))
+func (lead *Leader) refuse(now time.Time, entry *queueEntry, reason Reason, dec *Decisions) {
+	lead.sizes.learn(entry.effectiveRank(), entry.work, false)
+	wait := lead.workDuration(now, lead.queue.workAhead(entry.Tier, entry.sortKey))
 	dec.Refusals = append(dec.Refusals, Refusal{
-		ID: item.ID, Reason: reason, RetryAfter: lead.back(now, item.Tier),
-		QueueLength: lead.queue.len(), FreeSlots: lead.free(now), EstimatedWait: wait,
+		ID: entry.ID, Reason: reason, RetryAfter: lead.retryAfter(now, entry.Tier),
+		QueueLength: lead.queue.len(), FreeSlots: lead.freeSlots(now), EstimatedWait: wait,
 	})
 }
 
-// back is when a refused caller should come again: when what waits of its tier and above
-// has been served. Those refused together are spread, or they would come as one burst.
-func (lead *Leader) back(now time.Time, tier int) time.Duration {
-	wait := lead.wait(now, lead.queue.ahead(tier, math.Inf(1))+lead.model.held())
-	wait = min(max(wait, leastBack), mostBack)
-	return wait + time.Duration(lead.rng.Float64()*backSpread*float64(wait))
+// retryAfter returns the time after which a refused caller should retry: when the requests
+// waiting in its tier and in more urgent ones have been served. It is spread at random, because
+// callers that are refused together would otherwise retry as one burst.
+func (lead *Leader) retryAfter(now time.Time, tier int) time.Duration {
+	wait := lead.workDuration(now, lead.queue.workAhead(tier, math.Inf(1))+lead.model.expectedHold())
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
+	return wait + time.Duration(lead.rng.Float64()*retryJitter*float64(wait))
 }
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// serve grants places, the most urgent tier first.
+// grantSlots grants slots to waiting requests, the most urgent tier first.
 //
-// Within a tier it is shared by expected work: a request that holds its place briefly goes
-// before a longer one, and before one of a more urgent rank if it is shorter by more than
-// the ranks differ by. Those that can still be on time go before those that are late. A
-// request that has waited for long is no longer passed by less urgent ones.
-func (lead *Leader) serve(now time.Time, dec *Decisions) {
-	for _, ln := range lead.queue.lines {
-		rank, found := ln.pressed(now)
+// Within a tier requests are ordered by expected work: a request that occupies its slot briefly
+// goes before a longer one, and before one of a more urgent rank if it is shorter by more than
+// the factor between the ranks. Requests that can still be on time go before late ones. A
+// request that has waited for long is no longer overtaken by less urgent ones.
+func (lead *Leader) grantSlots(now time.Time, dec *Decisions) {
+	for _, tier := range lead.queue.tiers {
+		rank, found := tier.starvedRank(now)
 		if !found {
-			lead.serveLine(now, ln, anyRank, dec)
+			lead.grantTier(now, tier, anyRank, dec)
 			continue
 		}
-		lead.serveLine(now, ln, func(item *waiting) bool { return item.rank() <= rank }, dec)
-		lead.serveLine(now, ln, func(item *waiting) bool { return item.rank() > rank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() <= rank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() > rank }, dec)
 	}
 }
 
-func anyRank(*waiting) bool { return true }
+func anyRank(*queueEntry) bool { return true }
 
-// serveLine grants places to the requests of one tier that are chosen.
-func (lead *Leader) serveLine(now time.Time, ln *line, chosen func(*waiting) bool, dec *Decisions) {
+// grantTier grants slots to the eligible requests of one tier.
+func (lead *Leader) grantTier(now time.Time, tier *tierQueue, eligible func(*queueEntry) bool, dec *Decisions) {
 	for _, onTime := range []bool{true, false} {
 		missed := 0
-		for at := 0; at < len(ln.items) && missed < looks; {
-			item := ln.items[at]
+		for at := 0; at < len(tier.entries) && missed < maxMisses; {
+			entry := tier.entries[at]
 			switch {
-			case item.onTime(now) != onTime || !chosen(item):
+			case entry.onTime(now) != onTime || !eligible(entry):
 				at++
-			case !lead.place(now, item, dec):
+			case !lead.tryGrant(now, entry, dec):
 				at++
 				missed++
 			}
@@ -42,81 +42,84 @@
 	}
 }
 
-// place grants a request its best target. One that can still be on time waits rather than
-// take a target where it would be late, while a better one may become free in time.
-func (lead *Leader) place(now time.Time, item *waiting, dec *Decisions) bool {
-	best := lead.choose(now, &item.Request)
-	if best.node == nil {
+// tryGrant grants a request its best target and reports whether it did. A request that can
+// still be on time waits instead of taking a target where it would be late, if a better one is
+// likely to become free in time.
+func (lead *Leader) tryGrant(now time.Time, entry *queueEntry, dec *Decisions) bool {
+	best := lead.chooseTarget(now, &entry.Request)
+	if best.target == nil {
 		return false
 	}
-	if !best.suits && item.onTime(now) && lead.worthWaiting(now, &item.Request) {
+	if !best.suitable && entry.onTime(now) && lead.worthWaiting(now, &entry.Request) {
 		return false
 	}
-	lead.queue.remove(item.ID)
-	lead.sizes.learn(item.rank(), item.work, true)
-	busy := best.node.busy(now)
-	lead.start(now, best.node, item.Request)
-	dec.Grants = append(dec.Grants, Grant{ID: item.ID, Target: best.node.Name, ExpectedFirst: best.first, Busy: busy})
+	lead.queue.remove(entry.ID)
+	lead.sizes.learn(entry.effectiveRank(), entry.work, true)
+	busy := best.target.busySlots(now)
+	lead.addRun(now, best.target, entry.Request)
+	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.target.Name, ExpectedFirst: best.expectedFirst, Busy: busy})
 	return true
 }
 
-// worthWaiting reports whether a target that would suit the request is full now and
-// likely to have a place while the request can still be on time.
-func (lead *Leader) worthWaiting(now time.Time, ask *Request) bool {
-	wait := lead.nextPlace(now)
-	view := lead.basis(ask)
-	for _, nd := range lead.nodes {
-		if nd.resting(now) || nd.tried(ask) {
+// worthWaiting reports whether a target that is suitable for the request is likely to have a
+// free slot while the request can still be on time.
+func (lead *Leader) worthWaiting(now time.Time, req *Request) bool {
+	wait := lead.nextFreeSlot(now)
+	base := lead.baseline(req)
+	for _, tgt := range lead.targets {
+		if tgt.backingOff(now) || tgt.failedBefore(req) {
 			continue
 		}
-		one := lead.estimate(now, nd, ask, &view)
-		if one.suits && one.first+wait <= time.Duration(margin*float64(ask.SoftDeadline.Sub(now))) {
+		candidate := lead.estimate(now, tgt, req, &base)
+		if candidate.suitable && candidate.expectedFirst+wait <= time.Duration(softDeadlineShare*float64(req.SoftDeadline.Sub(now))) {
 			return true
 		}
 	}
 	return false
 }
 
-// nextPlace is the mean time until some place becomes free.
-func (lead *Leader) nextPlace(now time.Time) time.Duration {
-	return lead.wait(now, lead.model.held())
+// nextFreeSlot returns the mean time until a slot becomes free.
+func (lead *Leader) nextFreeSlot(now time.Time) time.Duration {
+	return lead.workDuration(now, lead.model.expectedHold())
 }
 
-// wait is how long it takes until so much work is done, in seconds of the quickest target.
-func (lead *Leader) wait(now time.Time, work float64) time.Duration {
-	return seconds(work / max(lead.places(now), 0.5))
+// workDuration returns how long the targets take for the given work, which is in seconds of one
+// slot of the fastest target.
+func (lead *Leader) workDuration(now time.Time, work float64) time.Duration {
+	return seconds(work / max(lead.slotCapacity(now), 0.5))
 }
 
-// newWaiting returns an ask for the queue.
-func (lead *Leader) newWaiting(now time.Time, ask Request) *waiting {
-	work := lead.work(&ask)
-	weight := math.Pow(rankWeight, float64(ask.rank()))
-	return &waiting{Request: ask, asked: now, work: work, index: weight * lead.sizes.weigh(ask.rank(), work)}
+// newEntry returns a queue entry for a request.
+func (lead *Leader) newEntry(now time.Time, req Request) *queueEntry {
+	work := lead.expectedWork(&req)
+	weight := math.Pow(rankFactor, float64(req.effectiveRank()))
+	return &queueEntry{Request: req, submitted: now, work: work, sortKey: weight * lead.sizes.orderingWork(req.effectiveRank(), work)}
 }
 
-// work is how long a run is expected to hold a place of the quickest target, in seconds.
-func (lead *Leader) work(ask *Request) float64 {
-	events, known := lead.lengths.events(ask)
-	if ask.MaxGap <= 0 || !known {
-		return lead.model.held()
+// expectedWork returns how long a run is expected to occupy a slot of the fastest target, in
+// seconds.
+func (lead *Leader) expectedWork(req *Request) float64 {
+	events, known := lead.lengths.expectedEvents(req)
+	if req.MaxGap <= 0 || !known {
+		return lead.model.expectedHold()
 	}
-	return lead.first(ask) + lead.model.gap()*max(events-1, 0)
+	return lead.expectedFirst(req) + lead.model.expectedGap()*max(events-1, 0)
 }
 
-// first is how long the quickest target is expected to take to the first event, in seconds.
-func (lead *Leader) first(ask *Request) float64 {
-	return lead.model.first(ask.Prompt).Seconds() * lead.lengths.firstRatio(ask.Class)
+// expectedFirst returns the expected time to the first event on the fastest target, in seconds.
+func (lead *Leader) expectedFirst(req *Request) float64 {
+	return lead.model.first(req.Prompt).Seconds() * lead.lengths.firstRatio(req.Class)
 }
 
-func (lead *Leader) start(now time.Time, nd *node, ask Request) *run {
-	view := lead.basis(&ask)
-	one := &run{ask: ask, node: nd, sent: now, expect: lead.estimate(now, nd, &ask, &view).first}
-	lead.runs[ask.ID] = one
-	nd.runs[ask.ID] = one
-	return one
+func (lead *Leader) addRun(now time.Time, tgt *targetState, req Request) *activeRun {
+	base := lead.baseline(&req)
+	run := &activeRun{request: req, target: tgt, sent: now, expectedFirst: lead.estimate(now, tgt, &req, &base).expectedFirst}
+	lead.runs[req.ID] = run
+	tgt.runs[req.ID] = run
+	return run
 }
 
-func (lead *Leader) finish(one *run) {
-	delete(lead.runs, one.ask.ID)
-	delete(one.node.runs, one.ask.ID)
+func (lead *Leader) removeRun(run *activeRun) {
+	delete(lead.runs, run.request.ID)
+	delete(run.target.runs, run.request.ID)
 }
--- a/core/yuccagrant/sizes.go
+++ b/core/yuccagrant/sizes.go
@@ -1,62 +1,65 @@
 package yuccagrant
 
 const (
-	// largeWork is how many times the usual work of its rank makes a request large.
-	largeWork = 2.0
-	// fairPart is the part of how often all requests of a rank are served below which large
-	// ones are no longer put behind the others.
-	fairPart = 0.6
-	// slightedPart is the part of the usual work that large requests count for then.
-	slightedPart = 4
-	// sizeWeight is the weight of one request in how often requests are served, and largeWeight
-	// that of a large one, of which there are few.
-	sizeWeight  = 0.02
-	largeWeight = 0.05
+	// largeFactor is the factor above the mean work of its rank that makes a request large.
+	largeFactor = 2.0
+	// Large requests are moved forward in the queue while the share of them that is served is
+	// below minServedRatio times the share of all requests of their rank.
+	minServedRatio = 0.6
+	// priorityDivisor divides the mean work of the rank to give the work that such a large
+	// request is ordered by.
+	priorityDivisor = 4
+	// rankStatsWeight is the weight of one request in the mean work and the served share of its
+	// rank, and largeServedWeight the weight of a large one in the served share of large
+	// requests, of which there are few.
+	rankStatsWeight   = 0.02
+	largeServedWeight = 0.05
 )
 
-// sizes keeps large requests from being refused for as long as engines are full.
+// sizeStats prevents large requests from being refused for as long as engines are full.
 //
-// Ordered by work alone, the largest tenth of a rank gets nothing as long as twice as much
-// comes as the engines take, though most of the others are served.
-type sizes struct {
-	ranks map[int]*sizeRank
+// If requests were ordered by work alone, the largest tenth of a rank would get no slots while
+// twice as many requests arrive as the engines can serve, although most of the others are
+// served.
+type sizeStats struct {
+	ranks map[int]*rankStats
 }
 
-// sizeRank is what is known of the requests of one rank: their usual work, and how often all
-// and the large ones are served.
-type sizeRank struct {
-	usual      float64
-	all, large float64
+// rankStats are the mean work of the requests of one rank, and the shares of all and of the
+// large ones that are served.
+type rankStats struct {
+	meanWork                      float64
+	servedShare, largeServedShare float64
 }
 
-func newSizes() sizes {
-	return sizes{ranks: make(map[int]*sizeRank)}
+func newSizeStats() sizeStats {
+	return sizeStats{ranks: make(map[int]*rankStats)}
 }
 
-// weigh returns the work that a request is ordered by: its own, or what is usual where large
-// requests are served too seldom.
-func (known *sizes) weigh(rank int, work float64) float64 {
-	of := known.ranks[rank]
-	if of == nil || work <= largeWork*of.usual || of.large >= fairPart*of.all {
+// orderingWork returns the work that a request is ordered by: its own, or a fraction of the
+// mean if large requests are served too seldom.
+func (ss *sizeStats) orderingWork(rank int, work float64) float64 {
+	stats := ss.ranks[rank]
+	if stats == nil || work <= largeFactor*stats.meanWork || stats.largeServedShare >= minServedRatio*stats.servedShare {
 		return work
 	}
-	return of.usual / slightedPart
+	return stats.meanWork / priorityDivisor
 }
 
-// learn takes in whether a request was served.
-func (known *sizes) learn(rank int, work float64, served bool) {
-	of := known.ranks[rank]
-	if of == nil {
-		of = &sizeRank{usual: work, all: 1, large: 1}
-		known.ranks[rank] = of
+// learn records whether a request was served.
+func (ss *sizeStats) learn(rank int, work float64, served bool) {
+	stats := ss.ranks[rank]
+	if stats == nil {
+		stats = &rankStats{meanWork: work, servedShare: 1, largeServedShare: 1}
+		ss.ranks[rank] = stats
 	}
 	sample := 0.0
 	if served {
 		sample = 1
 	}
-	if work > largeWork*of.usual {
-		of.large += largeWeight * (sample - of.large)
+	if work > largeFactor*stats.meanWork {
+		stats.largeServedShare += largeServedWeight * (sample - stats.largeServedShare)
 	}
-	of.all += sizeWeight * (sample - of.all)
-	of.usual += sizeWeight * (work - of.usual)
+	stats.servedShare += rankStatsWeight * (sample - stats.servedShare)
+	stats.meanWork += rankStatsWeight * (work - stats.meanWork)
 }
--- a/core/yuccagrant/waiting.go
+++ b/core/yuccagrant/waiting.go
@@ -6,95 +6,95 @@
 	"time"
 )
 
-// waiting is an ask in the queue.
-type waiting struct {
+// queueEntry is a waiting request.
+type queueEntry struct {
 	Request
-	asked time.Time
-	// work is how long a run is expected to hold a place of the quickest target, in seconds,
-	// and index that work counted by the rank: within a tier the least goes first.
-	work  float64
-	index float64
+	submitted time.Time
+	// work is how long a run is expected to occupy a slot of the fastest target, in seconds.
+	// sortKey is the work weighted by rank; within a tier the entry with the lowest goes first.
+	work    float64
+	sortKey float64
 }
 
 // onTime reports whether the first event can still be on time.
-func (item *waiting) onTime(now time.Time) bool { return !item.SoftDeadline.Before(now) }
+func (entry *queueEntry) onTime(now time.Time) bool { return !entry.SoftDeadline.Before(now) }
 
-// pressed reports whether the request has waited so long that no less urgent one may go
-// before it any more.
-func (item *waiting) pressed(now time.Time) bool {
-	return now.Sub(item.asked) > time.Duration(passedPart*float64(item.Deadline.Sub(item.asked)))
+// starved reports whether the request has waited so long that less urgent ones may no longer
+// overtake it.
+func (entry *queueEntry) starved(now time.Time) bool {
+	return now.Sub(entry.submitted) > time.Duration(starvationShare*float64(entry.Deadline.Sub(entry.submitted)))
 }
 
-// line is what waits of one tier, the least index first.
-type line struct {
-	tier  int
-	items []*waiting
+// tierQueue holds the waiting requests of one tier, sorted by sortKey.
+type tierQueue struct {
+	tier    int
+	entries []*queueEntry
 }
 
-// pressed returns the rank of the most urgent request that is pressed, and whether there is
+// starvedRank returns the rank of the most urgent request that is starved, and whether there is
 // one.
-func (ln *line) pressed(now time.Time) (rank int, found bool) {
-	for _, item := range ln.items {
-		if (!found || item.rank() < rank) && item.pressed(now) {
-			rank, found = item.rank(), true
+func (tq *tierQueue) starvedRank(now time.Time) (rank int, found bool) {
+	for _, entry := range tq.entries {
+		if (!found || entry.effectiveRank() < rank) && entry.starved(now) {
+			rank, found = entry.effectiveRank(), true
 		}
 	}
 	return rank, found
 }
 
-// queue holds what waits, the most urgent tier first.
+// queue holds the waiting requests, the most urgent tier first.
 type queue struct {
-	lines []*line
-	byID  map[ID]*waiting
+	tiers []*tierQueue
+	byID  map[ID]*queueEntry
 }
 
 func newQueue() queue {
-	return queue{byID: make(map[ID]*waiting)}
+	return queue{byID: make(map[ID]*queueEntry)}
 }
 
-func (q *queue) push(item *waiting) {
-	at, found := slices.BinarySearchFunc(q.lines, item.Tier, func(ln *line, tier int) int { return cmp.Compare(ln.tier, tier) })
+func (q *queue) push(entry *queueEntry) {
+	at, found := slices.BinarySearchFunc(q.tiers, entry.Tier, func(tq *tierQueue, tier int) int { return cmp.Compare(tq.tier, tier) })
 	if !found {
-		q.lines = slices.Insert(q.lines, at, &line{tier: item.Tier})
+		q.tiers = slices.Insert(q.tiers, at, &tierQueue{tier: entry.Tier})
 	}
-	ln := q.lines[at]
-	place, _ := slices.BinarySearchFunc(ln.items, item.index, func(other *waiting, index float64) int {
-		if other.index > index {
+	tq := q.tiers[at]
+	pos, _ := slices.BinarySearchFunc(tq.entries, entry.sortKey, func(other *queueEntry, sortKey float64) int {
+		if other.sortKey > sortKey {
 			return 1
 		}
 		return -1
 	})
-	ln.items = slices.Insert(ln.items, place, item)
-	q.byID[item.ID] = item
+	tq.entries = slices.Insert(tq.entries, pos, entry)
+	q.byID[entry.ID] = entry
 }
 
-func (q *queue) remove(id ID) *waiting {
-	item, waits := q.byID[id]
-	if !waits {
+func (q *queue) remove(id ID) *queueEntry {
+	entry, found := q.byID[id]
+	if !found {
 		return nil
 	}
 	delete(q.byID, id)
-	for _, ln := range q.lines {
-		if ln.tier == item.Tier {
-			at := slices.Index(ln.items, item)
-			ln.items = slices.Delete(ln.items, at, at+1)
+	for _, tq := range q.tiers {
+		if tq.tier == entry.Tier {
+			at := slices.Index(tq.entries, entry)
+			tq.entries = slices.Delete(tq.entries, at, at+1)
 		}
 	}
-	return item
+	return entry
 }
 
 func (q *queue) len() int { return len(q.byID) }
 
-// ahead sums the work that is served before a request of a tier and an index, in seconds of
-// the quickest target.
-func (q *queue) ahead(tier int, index float64) float64 {
+// workAhead returns the sum of the work that is served before a request of the given tier and
+// sortKey, in seconds of one slot of the fastest target.
+func (q *queue) workAhead(tier int, sortKey float64) float64 {
 	sum := 0.0
-	for _, ln := range q.lines {
-		for _, item := range ln.items {
-			if ln.tier > tier || ln.tier == tier && item.index > index {
+	for _, tq := range q.tiers {
+		for _, entry := range tq.entries {
+			if tq.tier > tier || tq.tier == tier && entry.sortKey > sortKey {
 				break
 			}
-			sum += item.work
+			sum += entry.work
 		}
 	}
 	return sum
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -14,21 +14,21 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// tick is the grain of the virtual time; a real daemon is called as often.
-const tick = 5 * time.Millisecond
+// tickInterval is the step of the simulated time. A real daemon calls Tick as often.
+const tickInterval = 5 * time.Millisecond
 
-// engine is a small fake of a target: places, a queue in order of arrival, and a time for
-// the first event and for each further one, all multiplied by its pace.
+// engine simulates a target with slots and a queue in order of arrival. The times to the first
+// event and to each further one are multiplied by its pace.
 type engine struct {
 	name  yuccaid.Target
 	slots int
 	pace  float64
-	// fails says what happens to what arrives, Served by default.
+	// fails returns the outcome of a run that is sent now; a nil function means Served.
 	fails func(now time.Time) yuccagrant.Outcome
 	queue []*job
 	runs  []*job
 	// batch is set for an engine that works in steps.
-	batch *batch
+	batch *batching
 }
 
 const (
@@ -38,48 +38,49 @@
 
 // job is one request of a caller.
 type job struct {
-	ask     yuccagrant.Request
+	req     yuccagrant.Request
 	arrived time.Time
 	events  int
-	// prompt is how long the prompt is, whatever is announced.
-	prompt yuccaid.Tokens
-	went   progress
-	kind   string
-
-	sent   time.Time
-	began  time.Time
-	first  time.Time
-	ends   time.Time
-	doomed yuccagrant.Outcome
-	// outcome for the caller.
-	refused bool
-	back    time.Duration
-	onTime  bool
-	done    bool
+	// prompt is the actual length of the prompt, whatever length is announced.
+	prompt   yuccaid.Tokens
+	progress progress
+	kind     string
+
+	sent    time.Time
+	starts  time.Time
+	first   time.Time
+	ends    time.Time
+	outcome yuccagrant.Outcome
+	// What became of the request for its caller.
+	refused    bool
+	retryAfter time.Duration
+	onTime     bool
+	done       bool
 }
 
 // class is a kind of request with its share of the traffic.
 type class struct {
-	kind   string
-	rank   int
-	aim    time.Duration
-	events float64
-	prompt float64
-	share  float64
-	// until is how long callers wait for the first event, four times the aim if it is zero.
-	until time.Duration
-	// lies changes what a request announces.
-	lies func(ask *yuccagrant.Request)
+	kind         string
+	rank         int
+	softDeadline time.Duration
+	events       float64
+	prompt       float64
+	share        float64
+	// deadline is how long callers wait for the first event. If it is zero they wait four times
+	// softDeadline.
+	deadline time.Duration
+	// misannounce changes what a request announces.
+	misannounce func(req *yuccagrant.Request)
 }
 
 var classes = []class{
-	{kind: "note", rank: 0, aim: 1200 * time.Millisecond, events: 60, prompt: 3700, share: 0.4},
-	{kind: "handover", rank: 1, aim: time.Second, events: 26, prompt: 2900, share: 0.2},
-	{kind: "letter", rank: 2, aim: 800 * time.Millisecond, events: 86, prompt: 1100, share: 0.4},
+	{kind: "note", rank: 0, softDeadline: 1200 * time.Millisecond, events: 60, prompt: 3700, share: 0.4},
+	{kind: "handover", rank: 1, softDeadline: time.Second, events: 26, prompt: 2900, share: 0.2},
+	{kind: "letter", rank: 2, softDeadline: 800 * time.Millisecond, events: 86, prompt: 1100, share: 0.4},
 }
 
-// world plays callers and engines against a leader, or against a simple policy.
-type world struct {
+// simulation runs callers and engines against a leader, or against a simple policy.
+type simulation struct {
 	now     time.Time
 	rng     *rand.Rand
 	lead    *yuccagrant.Leader
@@ -87,35 +88,36 @@
 	jobs    map[yuccagrant.ID]*job
 	all     []*job
 	number  uint64
-	// simple places by the fewest requests outstanding, without a queue, when there is no
-	// leader.
-	simple bool
-	// classes of the traffic, and the longest pause that its callers bear.
+	// leastOutstanding bypasses the leader: each request is sent at once to the engine with the
+	// fewest outstanding requests.
+	leastOutstanding bool
+	// classes are the kinds of requests, and maxGap the longest gap between events that callers
+	// accept.
 	classes []class
-	gap     time.Duration
+	maxGap  time.Duration
 }
 
 var owner = yuccaid.NewIncarnation("entry-1", [16]byte{1})
 
-func newWorld(seed uint64, engines ...*engine) *world {
-	wld := &world{
+func newSimulation(seed uint64, engines ...*engine) *simulation {
+	sim := &simulation{
 		now: time.Unix(1_700_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)),
 		engines: engines, jobs: make(map[yuccagrant.ID]*job), classes: classes,
 	}
-	wld.lead = yuccagrant.New(rand.New(rand.NewPCG(seed, 2)))
-	wld.configure()
-	return wld
+	sim.lead = yuccagrant.New(rand.New(rand.NewPCG(seed, 2)))
+	sim.configure()
+	return sim
 }
 
-func (wld *world) configure() {
+func (sim *simulation) configure() {
 	var targets []yuccagrant.Target
-	for _, eng := range wld.engines {
+	for _, eng := range sim.engines {
 		targets = append(targets, yuccagrant.Target{Name: eng.name, Slots: eng.slots})
 	}
-	wld.apply(wld.lead.Configure(wld.now, targets))
+	sim.apply(sim.lead.Configure(sim.now, targets))
 }
 
-// fleet returns engines with a number of places and a pace each.
+// fleet returns engines with the given number of slots and paces.
 func fleet(slots int, paces ...float64) []*engine {
 	var engines []*engine
 	for at, pace := range paces {
@@ -124,18 +126,19 @@
 	return engines
 }
 
-// play lets callers come at a rate that may change with the time since the start.
-func (wld *world) play(span time.Duration, rate func(since time.Duration) float64) {
-	start := wld.now
-	for due := 0.0; wld.now.Sub(start) < span; {
-		wld.step()
-		due += rate(wld.now.Sub(start)) * tick.Seconds()
+// run submits requests at a rate that depends on the time since the start, and then waits for
+// the last ones to finish.
+func (sim *simulation) run(span time.Duration, rate func(since time.Duration) float64) {
+	start := sim.now
+	for due := 0.0; sim.now.Sub(start) < span; {
+		sim.step()
+		due += rate(sim.now.Sub(start)) * tickInterval.Seconds()
 		for ; due >= 1; due-- {
-			wld.arrive()
+			sim.submitRequest()
 		}
 	}
-	for range int(20 * time.Second / tick) {
-		wld.step()
+	for range int(20 * time.Second / tickInterval) {
+		sim.step()
 	}
 }
 
@@ -143,204 +146,204 @@
 	return func(time.Duration) float64 { return rate }
 }
 
-func (wld *world) arrive() {
-	draw, cls := wld.rng.Float64(), wld.classes[len(wld.classes)-1]
-	for _, each := range wld.classes {
+func (sim *simulation) submitRequest() {
+	draw, cls := sim.rng.Float64(), sim.classes[len(sim.classes)-1]
+	for _, each := range sim.classes {
 		if draw -= each.share; draw < 0 {
 			cls = each
 			break
 		}
 	}
-	wld.number++
-	one := &job{arrived: wld.now, kind: cls.kind, events: 1 + int(cls.events*wld.spread()), prompt: yuccaid.Tokens(cls.prompt * wld.spread())}
-	one.ask = yuccagrant.Request{
-		ID: yuccagrant.ID{Owner: owner, Number: wld.number}, Rank: cls.rank, Class: classOf(cls.kind),
-		Prompt: one.prompt, Answer: yuccaid.Tokens(float64(6*one.events) * wld.error()),
-		SoftDeadline: wld.now.Add(cls.aim), Deadline: wld.now.Add(cmp.Or(cls.until, 4*cls.aim)), MaxGap: cmp.Or(wld.gap, 300*time.Millisecond),
+	sim.number++
+	jb := &job{arrived: sim.now, kind: cls.kind, events: 1 + int(cls.events*sim.lengthFactor()), prompt: yuccaid.Tokens(cls.prompt * sim.lengthFactor())}
+	jb.req = yuccagrant.Request{
+		ID: yuccagrant.ID{Owner: owner, Number: sim.number}, Rank: cls.rank, Class: classOf(cls.kind),
+		Prompt: jb.prompt, Answer: yuccaid.Tokens(float64(6*jb.events) * sim.announcementError()),
+		SoftDeadline: sim.now.Add(cls.softDeadline), Deadline: sim.now.Add(cmp.Or(cls.deadline, 4*cls.softDeadline)), MaxGap: cmp.Or(sim.maxGap, 300*time.Millisecond),
 	}
-	if cls.lies != nil {
-		cls.lies(&one.ask)
+	if cls.misannounce != nil {
+		cls.misannounce(&jb.req)
 	}
-	wld.jobs[one.ask.ID] = one
-	wld.all = append(wld.all, one)
-	if wld.simple {
-		wld.sendTo(one, slices.MinFunc(wld.engines, func(a, b *engine) int {
+	sim.jobs[jb.req.ID] = jb
+	sim.all = append(sim.all, jb)
+	if sim.leastOutstanding {
+		sim.sendTo(jb, slices.MinFunc(sim.engines, func(a, b *engine) int {
 			return cmp.Compare(len(a.runs)+len(a.queue), len(b.runs)+len(b.queue))
 		}))
 		return
 	}
-	wld.apply(wld.lead.Submit(wld.now, one.ask))
+	sim.apply(sim.lead.Submit(sim.now, jb.req))
 }
 
-// classOf numbers kinds of requests.
+// classOf returns the class of a kind of request.
 func classOf(kind string) yuccagrant.Class {
 	return yuccagrant.Class(xxhash.Sum64String(kind))
 }
 
-// error draws how far an announced length is off.
-func (wld *world) error() float64 {
+// announcementError draws the factor by which an announced length is wrong.
+func (sim *simulation) announcementError() float64 {
 	const sigma = 0.5
-	return math.Exp(sigma * wld.rng.NormFloat64())
+	return math.Exp(sigma * sim.rng.NormFloat64())
 }
 
-// spread draws lengths with a mean of one and a long tail.
-func (wld *world) spread() float64 {
+// lengthFactor draws a length relative to the mean, from a distribution with a long tail.
+func (sim *simulation) lengthFactor() float64 {
 	const sigma = 0.9
-	return min(math.Exp(sigma*wld.rng.NormFloat64()-sigma*sigma/2), 12)
+	return min(math.Exp(sigma*sim.rng.NormFloat64()-sigma*sigma/2), 12)
 }
 
-func (wld *world) apply(dec yuccagrant.Decisions) {
+func (sim *simulation) apply(dec yuccagrant.Decisions) {
 	for _, grant := range dec.Grants {
-		one := wld.jobs[grant.ID]
-		for _, eng := range wld.engines {
+		jb := sim.jobs[grant.ID]
+		for _, eng := range sim.engines {
 			if eng.name == grant.Target {
-				wld.sendTo(one, eng)
+				sim.sendTo(jb, eng)
 			}
 		}
 	}
 	for _, refusal := range dec.Refusals {
-		one := wld.jobs[refusal.ID]
-		one.refused, one.back = true, refusal.RetryAfter
+		jb := sim.jobs[refusal.ID]
+		jb.refused, jb.retryAfter = true, refusal.RetryAfter
 	}
 }
 
-func (wld *world) sendTo(one *job, eng *engine) {
-	one.sent = wld.now
+func (sim *simulation) sendTo(jb *job, eng *engine) {
+	jb.sent = sim.now
 	if eng.fails != nil {
-		one.doomed = eng.fails(wld.now)
+		jb.outcome = eng.fails(sim.now)
 	}
-	if one.doomed == yuccagrant.Unreachable || one.doomed == yuccagrant.Rejected {
-		wld.finish(eng, one, one.doomed)
+	if jb.outcome == yuccagrant.Unreachable || jb.outcome == yuccagrant.Rejected {
+		sim.finish(eng, jb, jb.outcome)
 		return
 	}
-	eng.queue = append(eng.queue, one)
+	eng.queue = append(eng.queue, jb)
 }
 
-func (wld *world) step() {
-	wld.now = wld.now.Add(tick)
-	for _, eng := range wld.engines {
-		wld.advance(eng)
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(tickInterval)
+	for _, eng := range sim.engines {
+		sim.advance(eng)
 	}
-	if !wld.simple {
-		wld.apply(wld.lead.Tick(wld.now))
+	if !sim.leastOutstanding {
+		sim.apply(sim.lead.Tick(sim.now))
 	}
 }
 
-func (wld *world) advance(eng *engine) {
+func (sim *simulation) advance(eng *engine) {
 	if eng.batch != nil {
-		wld.advanceBatch(eng)
+		sim.advanceBatch(eng)
 		return
 	}
-	var going []*job
-	for _, one := range eng.runs {
-		if one.doomed == yuccagrant.Lost && wld.now.Before(one.ask.Deadline) {
-			going = append(going, one)
+	var remaining []*job
+	for _, jb := range eng.runs {
+		if jb.outcome == yuccagrant.Lost && sim.now.Before(jb.req.Deadline) {
+			remaining = append(remaining, jb)
 			continue
 		}
-		if one.doomed == yuccagrant.Lost {
-			wld.finish(eng, one, yuccagrant.Lost)
+		if jb.outcome == yuccagrant.Lost {
+			sim.finish(eng, jb, yuccagrant.Lost)
 			continue
 		}
-		if one.first.IsZero() && !wld.now.Before(one.began) {
-			one.first = wld.now
-			one.onTime = !wld.now.After(one.ask.SoftDeadline)
-			if !wld.simple {
-				wld.apply(wld.lead.RunStarted(wld.now, one.ask.ID, wld.now.Sub(one.sent), yuccagrant.ReportedLoad{}))
+		if jb.first.IsZero() && !sim.now.Before(jb.starts) {
+			jb.first = sim.now
+			jb.onTime = !sim.now.After(jb.req.SoftDeadline)
+			if !sim.leastOutstanding {
+				sim.apply(sim.lead.RunStarted(sim.now, jb.req.ID, sim.now.Sub(jb.sent), yuccagrant.ReportedLoad{}))
 			}
 		}
-		if wld.now.Before(one.ends) {
-			going = append(going, one)
+		if sim.now.Before(jb.ends) {
+			remaining = append(remaining, jb)
 			continue
 		}
-		one.done = true
-		wld.finish(eng, one, yuccagrant.Served)
+		jb.done = true
+		sim.finish(eng, jb, yuccagrant.Served)
 	}
-	eng.runs = going
+	eng.runs = remaining
 	for len(eng.queue) > 0 && len(eng.runs) < eng.slots {
-		one := eng.queue[0]
+		jb := eng.queue[0]
 		eng.queue = eng.queue[1:]
-		prefill := time.Duration(float64(one.ask.Prompt) * 15 * float64(time.Microsecond))
-		one.began = wld.now.Add(time.Duration(eng.pace * float64(firstTime+prefill)))
-		one.ends = one.began.Add(time.Duration(eng.pace * float64(one.events-1) * float64(eventTime)))
-		eng.runs = append(eng.runs, one)
+		prefill := time.Duration(float64(jb.req.Prompt) * 15 * float64(time.Microsecond))
+		jb.starts = sim.now.Add(time.Duration(eng.pace * float64(firstTime+prefill)))
+		jb.ends = jb.starts.Add(time.Duration(eng.pace * float64(jb.events-1) * float64(eventTime)))
+		eng.runs = append(eng.runs, jb)
 	}
 }
 
-func (wld *world) finish(eng *engine, one *job, outcome yuccagrant.Outcome) {
-	if wld.simple {
+func (sim *simulation) finish(eng *engine, jb *job, outcome yuccagrant.Outcome) {
+	if sim.leastOutstanding {
 		return
 	}
-	end := yuccagrant.Finished{ID: one.ask.ID, Outcome: outcome}
-	if !one.first.IsZero() {
-		end.TimeToFirst, end.Events, end.Span = one.first.Sub(one.sent), one.events, wld.now.Sub(one.first)
-		end.LongestGap = time.Duration(eng.pace * float64(eventTime))
+	result := yuccagrant.Finished{ID: jb.req.ID, Outcome: outcome}
+	if !jb.first.IsZero() {
+		result.TimeToFirst, result.Events, result.Span = jb.first.Sub(jb.sent), jb.events, sim.now.Sub(jb.first)
+		result.LongestGap = time.Duration(eng.pace * float64(eventTime))
 	}
 	if eng.batch != nil {
-		end.LongestGap = one.went.pause
+		result.LongestGap = jb.progress.longestGap
 	}
-	wld.apply(wld.lead.RunFinished(wld.now, end))
+	sim.apply(sim.lead.RunFinished(sim.now, result))
 }
 
-// tally is what became of the callers of one kind.
+// tally counts what became of the requests of one kind.
 type tally struct {
-	asked, onTime, served, refused int
+	submitted, onTime, served, refused int
 }
 
-// good is the part that was answered on time.
-func (tl tally) good() float64 { return float64(tl.onTime) / float64(max(tl.asked, 1)) }
+// onTimeShare returns the share of requests that were answered on time.
+func (tl tally) onTimeShare() float64 { return float64(tl.onTime) / float64(max(tl.submitted, 1)) }
 
-// part is the part that was served at all.
-func (tl tally) part() float64 { return float64(tl.served) / float64(max(tl.asked, 1)) }
+// servedShare returns the share of requests that were served, late or not.
+func (tl tally) servedShare() float64 { return float64(tl.served) / float64(max(tl.submitted, 1)) }
 
 func (tl *tally) add(other tally) {
-	tl.asked += other.asked
+	tl.submitted += other.submitted
 	tl.onTime += other.onTime
 	tl.served += other.served
 	tl.refused += other.refused
 }
 
-func (tl *tally) count(one *job) {
-	tl.asked++
-	if one.done {
+func (tl *tally) count(jb *job) {
+	tl.submitted++
+	if jb.done {
 		tl.served++
 	}
-	if one.done && one.onTime {
+	if jb.done && jb.onTime {
 		tl.onTime++
 	}
-	if one.refused {
+	if jb.refused {
 		tl.refused++
 	}
 }
 
-func (wld *world) tally(kind string) tally {
+func (sim *simulation) tally(kind string) tally {
 	var tl tally
-	for _, one := range wld.of(kind) {
-		tl.count(one)
+	for _, jb := range sim.jobsOf(kind) {
+		tl.count(jb)
 	}
 	return tl
 }
 
-// longest tallies the tenth of a kind with most work.
-func (wld *world) longest(kind string) tally {
-	jobs := wld.of(kind)
+// largestTenth tallies the tenth of a kind's requests with the most work.
+func (sim *simulation) largestTenth(kind string) tally {
+	jobs := sim.jobsOf(kind)
 	slices.SortFunc(jobs, func(a, b *job) int { return cmp.Compare(b.size(), a.size()) })
 	var tl tally
-	for _, one := range jobs[:len(jobs)/10] {
-		tl.count(one)
+	for _, jb := range jobs[:len(jobs)/10] {
+		tl.count(jb)
 	}
 	return tl
 }
 
-// of returns the requests of a kind, or all.
-func (wld *world) of(kind string) []*job {
+// jobsOf returns the requests of a kind, or all if it is empty.
+func (sim *simulation) jobsOf(kind string) []*job {
 	var jobs []*job
-	for _, one := range wld.all {
-		if kind == "" || one.kind == kind {
-			jobs = append(jobs, one)
+	for _, jb := range sim.all {
+		if kind == "" || jb.kind == kind {
+			jobs = append(jobs, jb)
 		}
 	}
 	return jobs
 }
 
-// size weighs a request's prompt and answer by about what they cost an engine.
-func (one *job) size() int { return int(one.prompt) + 60*one.events }
+// size weighs a request's prompt and answer by approximately what they cost an engine.
+func (jb *job) size() int { return int(jb.prompt) + 60*jb.events }
