--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -44,11 +44,11 @@
 // effectiveRank returns the request's rank, which is less urgent if its account is over its
 // quota.
 func (req *Request) effectiveRank() int {
-	rank := min(max(req.Rank, 0), maxRank)
+	effectiveRank := min(max(req.Rank, 0), maxRank)
 	if req.OverQuota {
-		rank += overQuotaRanks
+		effectiveRank += overQuotaRanks
 	}
-	return rank
+	return effectiveRank
 }
 
 // Grant assigns a request to a target.
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -8,7 +8,7 @@
 // choice is a target for a request. suitable reports that the target is expected to serve the
 // request on time.
 type choice struct {
-	target        *targetState
+	targetState   *targetState
 	expectedFirst time.Duration
 	cost          time.Duration
 	suitable      bool
@@ -17,16 +17,17 @@
 // baseline is the part of the estimates of a request that is the same for all targets, as times
 // on the fastest target.
 type baseline struct {
-	// first is the time to the first event. In seconds, hold is how long a run occupies its
-	// slot, gap the time between two events, and prefill the time to read the prompt.
-	first              time.Duration
-	hold, gap, prefill float64
+	// expectedFirst is the time to the first event. In seconds, expectedHold is how long a run
+	// occupies its slot, gap the time between two events, and prefill the time to read the
+	// prompt.
+	expectedFirst              time.Duration
+	expectedHold, gap, prefill float64
 }
 
 func (lead *Leader) baseline(req *Request) baseline {
-	_, slope := lead.model.fitLine()
+	_, slope := lead.latencyModel.fitLine()
 	return baseline{
-		first: seconds(lead.expectedFirst(req)), hold: lead.model.expectedHold(), gap: lead.model.expectedGap(),
+		expectedFirst: seconds(lead.expectedFirst(req)), expectedHold: lead.latencyModel.expectedHold(), gap: lead.latencyModel.gap(),
 		prefill: slope * float64(req.Prompt),
 	}
 }
@@ -39,16 +40,16 @@
 type remoteBound struct {
 	// localCount is the number of targets in this region; they come first.
 	localCount int
-	// minRoundTrip is the shortest round trip to another region, and minPace the pace of the
+	// minRoundTrip is the shortest round trip to another region, and pace the pace of the
 	// fastest target.
 	minRoundTrip time.Duration
-	minPace      float64
+	pace         float64
 }
 
 func (bound *remoteBound) configure(targets []*targetState) {
-	*bound = remoteBound{localCount: len(targets), minPace: math.Inf(1)}
+	*bound = remoteBound{localCount: len(targets), pace: math.Inf(1)}
 	for at, tgt := range targets {
-		bound.minPace = min(bound.minPace, tgt.pace)
+		bound.pace = min(bound.pace, tgt.pace)
 		if !tgt.Remote {
 			continue
 		}
@@ -68,7 +69,7 @@
 func (lead *Leader) chooseTarget(now time.Time, req *Request) choice {
 	best := choice{cost: math.MaxInt64}
 	base := lead.baseline(req)
-	minRemote := time.Duration(lead.remoteBound.minPace*float64(base.first)) + lead.remoteBound.minRoundTrip + remoteCost
+	minRemote := time.Duration(lead.remoteBound.pace*float64(base.expectedFirst)) + lead.remoteBound.minRoundTrip + remoteCost
 	for at, tgt := range lead.targets {
 		if at >= lead.remoteBound.localCount && best.suitable && best.cost <= minRemote {
 			return best
@@ -85,12 +86,12 @@
 }
 
 func (lead *Leader) estimate(now time.Time, tgt *targetState, req *Request, base *baseline) choice {
-	work := time.Duration(tgt.pace * float64(base.first))
-	busy := tgt.busySlots(now)
+	work := time.Duration(tgt.pace * float64(base.expectedFirst))
+	busySlots := tgt.busySlots(now)
 	slots := float64(max(tgt.Slots, 1))
-	crowding := crowdingShare * float64(busy) / slots
-	wait := seconds(float64(max(busy-tgt.Slots+1, 0)) * base.hold * tgt.pace / slots)
-	candidate := choice{target: tgt, expectedFirst: wait + work + tgt.RoundTrip}
+	crowding := crowdingShare * float64(busySlots) / slots
+	wait := seconds(float64(max(busySlots-tgt.Slots+1, 0)) * base.expectedHold * tgt.pace / slots)
+	candidate := choice{targetState: tgt, expectedFirst: wait + work + tgt.RoundTrip}
 	candidate.cost = candidate.expectedFirst + time.Duration((crowding+tgt.bias)*float64(work)) +
 		time.Duration(tgt.lateFraction*float64(lateGapCost)) + time.Duration(tgt.failureRate*float64(failureCost))
 	if tgt.Remote {
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -33,7 +33,7 @@
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
 				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
 			}
-			if got, want := lead.chooseTarget(now, &req), lead.chooseWithoutBound(now, &req); got.target != want.target {
+			if got, want := lead.chooseTarget(now, &req), lead.chooseWithoutBound(now, &req); got.targetState != want.targetState {
 				rt.Fatalf("chose %+v instead of %+v", got, want)
 			}
 			lead.Submit(now, req)
--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -37,7 +37,7 @@
 func batchingEngines(paces ...float64) []*engine {
 	engines := fleet(8, paces...)
 	for _, eng := range engines {
-		eng.batch = fastBatching()
+		eng.batching = fastBatching()
 	}
 	return engines
 }
@@ -53,28 +53,28 @@
 
 // advanceBatch simulates an engine's steps up to the current time.
 func (sim *simulation) advanceBatch(eng *engine) {
-	if eng.batch.playedUntil.IsZero() {
-		eng.batch.playedUntil = sim.now
+	if eng.batching.playedUntil.IsZero() {
+		eng.batching.playedUntil = sim.now
 	}
 	sim.admitBatch(eng)
 	for len(eng.runs) > 0 {
-		next := eng.batch.playedUntil.Add(eng.stepDuration())
+		next := eng.batching.playedUntil.Add(eng.stepDuration())
 		if next.After(sim.now) {
 			return
 		}
-		eng.batch.playedUntil = next
+		eng.batching.playedUntil = next
 		sim.stepBatch(eng)
 		sim.admitBatch(eng)
 	}
-	eng.batch.playedUntil = sim.now
+	eng.batching.playedUntil = sim.now
 }
 
 // stepDuration returns how long the next step takes.
 func (eng *engine) stepDuration() time.Duration {
-	batch := eng.batch
+	batch := eng.batching
 	took := batch.step + time.Duration(len(eng.runs))*batch.perRun
-	if reading := eng.prefilling(); reading != nil {
-		took += time.Duration(min(reading.progress.unreadPrompt, batch.chunk)) * batch.prefillPerToken
+	if prefilling := eng.prefilling(); prefilling != nil {
+		took += time.Duration(min(prefilling.state.unreadPrompt, batch.chunk)) * batch.prefillPerToken
 	}
 	return time.Duration(eng.pace * float64(took))
 }
@@ -82,7 +82,7 @@
 // prefilling returns the run whose prompt is read next, or nil.
 func (eng *engine) prefilling() *job {
 	for _, jb := range eng.runs {
-		if jb.progress.unreadPrompt > 0 {
+		if jb.state.unreadPrompt > 0 {
 			return jb
 		}
 	}
@@ -90,16 +90,16 @@
 }
 
 func (sim *simulation) stepBatch(eng *engine) {
-	reading := eng.prefilling()
+	prefilling := eng.prefilling()
 	var remaining []*job
 	for _, jb := range eng.runs {
 		switch {
-		case jb == reading:
-			jb.progress.unreadPrompt -= min(jb.progress.unreadPrompt, eng.batch.chunk)
-		case jb.progress.unreadPrompt == 0:
+		case jb == prefilling:
+			jb.state.unreadPrompt -= min(jb.state.unreadPrompt, eng.batching.chunk)
+		case jb.state.unreadPrompt == 0:
 			sim.emitToken(eng, jb)
 		}
-		if jb.progress.events < jb.events {
+		if jb.state.events < jb.events {
 			remaining = append(remaining, jb)
 			continue
 		}
@@ -112,29 +112,29 @@
 
 // emitToken generates a token of a run, and an event when there are enough tokens for one.
 func (sim *simulation) emitToken(eng *engine, jb *job) {
-	state := &jb.progress
+	state := &jb.state
 	state.tokens++
-	if state.tokens%eng.batch.eventTokens != 0 {
+	if state.tokens%eng.batching.eventTokens != 0 {
 		return
 	}
 	state.events++
 	if state.events == 1 {
-		jb.first = eng.batch.playedUntil
+		jb.first = eng.batching.playedUntil
 		jb.onTime = !jb.first.After(jb.req.SoftDeadline)
 		sim.apply(sim.lead.RunStarted(sim.now, jb.req.ID, jb.first.Sub(jb.sent), yuccagrant.ReportedLoad{}))
 	} else {
-		state.longestGap = max(state.longestGap, eng.batch.playedUntil.Sub(state.lastEvent))
+		state.longestGap = max(state.longestGap, eng.batching.playedUntil.Sub(state.lastEvent))
 		jb.onTime = jb.onTime && state.longestGap <= jb.req.MaxGap
 	}
-	state.lastEvent = eng.batch.playedUntil
+	state.lastEvent = eng.batching.playedUntil
 }
 
 // preempt moves the newest runs back to the queue while the runs exceed the memory.
 func (eng *engine) preempt() {
-	for len(eng.runs) > 1 && eng.tokensHeld() > eng.batch.memory {
+	for len(eng.runs) > 1 && eng.tokensHeld() > eng.batching.memory {
 		newest := eng.runs[len(eng.runs)-1]
 		eng.runs = eng.runs[:len(eng.runs)-1]
-		newest.progress.unreadPrompt = newest.req.Prompt
+		newest.state.unreadPrompt = newest.req.Prompt
 		eng.queue = append([]*job{newest}, eng.queue...)
 	}
 }
@@ -142,7 +142,7 @@
 func (eng *engine) tokensHeld() yuccaid.Tokens {
 	var sum yuccaid.Tokens
 	for _, jb := range eng.runs {
-		sum += jb.req.Prompt + yuccaid.Tokens(jb.progress.tokens)
+		sum += jb.req.Prompt + yuccaid.Tokens(jb.state.tokens)
 	}
 	return sum
 }
@@ -150,13 +150,13 @@
 func (sim *simulation) admitBatch(eng *engine) {
 	for len(eng.queue) > 0 && len(eng.runs) < eng.slots {
 		jb := eng.queue[0]
-		if len(eng.runs) > 0 && eng.tokensHeld()+jb.req.Prompt > eng.batch.memory {
+		if len(eng.runs) > 0 && eng.tokensHeld()+jb.req.Prompt > eng.batching.memory {
 			return
 		}
 		eng.queue = eng.queue[1:]
 		if jb.starts.IsZero() {
-			jb.starts = eng.batch.playedUntil
-			jb.progress.unreadPrompt = jb.prompt
+			jb.starts = eng.batching.playedUntil
+			jb.state.unreadPrompt = jb.prompt
 		}
 		eng.runs = append(eng.runs, jb)
 	}
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -24,16 +24,16 @@
 	pacesChanged bool
 	runs         map[ID]*activeRun
 	queue        queue
-	model        latencyModel
-	lengths      lengthModel
-	sizes        sizeStats
+	latencyModel latencyModel
+	lengthModel  lengthModel
+	sizeStats    sizeStats
 	// emptySince is since when there has been no target; it is zero while there are targets.
 	emptySince time.Time
 }
 
 // New returns a leader without targets; they are set by Configure.
 func New(rng *rand.Rand) *Leader {
-	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengths: newLengthModel(), sizes: newSizeStats()}
+	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengthModel: newLengthModel(), sizeStats: newSizeStats()}
 }
 
 // Configure sets the targets. What was learned of a target is kept as long as its process is
@@ -42,12 +42,12 @@
 	old := lead.targetsByName
 	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(targets))
 	lead.targets = make([]*targetState, 0, len(targets))
-	pace := medianPace(old)
+	newPace := medianPace(old)
 	for _, target := range targets {
 		tgt := old[target.Name]
 		if tgt == nil || tgt.StartMillis != target.StartMillis {
 			tgt = newTargetState(target, biasShare*lead.rng.Float64())
-			tgt.pace = pace
+			tgt.pace = newPace
 		}
 		tgt.Target = target
 		tgt.totalSlots = target.Slots
@@ -81,14 +81,14 @@
 
 // SetLeaderCount sets the number of leaders, at least 1, that decide on the same targets
 // without knowing of one another's runs. Each uses its share of the slots.
-func (lead *Leader) SetLeaderCount(now time.Time, leaders int) Decisions {
+func (lead *Leader) SetLeaderCount(now time.Time, leaderCount int) Decisions {
 	var dec Decisions
-	if leaders == lead.leaderCount {
+	if leaderCount == lead.leaderCount {
 		return dec
 	}
-	lead.leaderCount = leaders
+	lead.leaderCount = leaderCount
 	for _, tgt := range lead.targets {
-		tgt.setLeaderCount(leaders)
+		tgt.setLeaderCount(leaderCount)
 	}
 	lead.grantSlots(now, &dec)
 	return dec
@@ -166,7 +166,7 @@
 		return dec
 	}
 	run.started = true
-	run.target.recordReport(now, load)
+	run.targetState.recordReport(now, load)
 	lead.learnFirst(run, took)
 	lead.grantSlots(now, &dec)
 	return dec
@@ -183,7 +183,7 @@
 		lead.learnFirst(run, result.TimeToFirst)
 	}
 	if !run.started {
-		run.target.recordReport(now, result.Load)
+		run.targetState.recordReport(now, result.Load)
 	}
 	lead.removeRun(run)
 	lead.recordOutcome(now, run, result)
@@ -304,7 +304,7 @@
 		}
 	}
 	lead.normalisePaces()
-	lead.lengths.updateMedian()
+	lead.lengthModel.updateMedian()
 	lead.grantSlots(now, &dec)
 	lead.refuseExpired(now, &dec)
 	return dec
--- a/core/yuccagrant/learn.go
+++ b/core/yuccagrant/learn.go
@@ -8,21 +8,21 @@
 // learnFirst includes the time to a first event in the pool's latency model and the target's
 // pace.
 func (lead *Leader) learnFirst(run *activeRun, took time.Duration) {
-	net := max(took-run.target.RoundTrip, time.Millisecond).Seconds()
-	expected := max(lead.model.first(run.request.Prompt), time.Millisecond).Seconds()
-	reliable := run.request.MaxGap == 0 || lead.lengths.learnFirst(run.request.Class, net/run.target.pace/expected)
+	net := max(took-run.targetState.RoundTrip, time.Millisecond).Seconds()
+	expected := max(lead.latencyModel.expectedFirst(run.request.Prompt), time.Millisecond).Seconds()
+	reliable := run.request.MaxGap == 0 || lead.lengthModel.learnFirst(run.request.Class, net/run.targetState.pace/expected)
 	if reliable {
-		lead.model.learnFirst(run.request.Prompt, net/run.target.pace)
+		lead.latencyModel.learnFirst(run.request.Prompt, net/run.targetState.pace)
 	}
-	if lead.model.firstSamples > 1 && run.request.MaxGap == 0 {
-		run.target.learnPace(net/expected, singlePaceWeight)
-		lead.notePaceChange(run.target)
+	if lead.latencyModel.firstSamples > 1 && run.request.MaxGap == 0 {
+		run.targetState.learnPace(net/expected, singlePaceWeight)
+		lead.notePaceChange(run.targetState)
 	}
 }
 
 // recordOutcome learns from the outcome of a run.
 func (lead *Leader) recordOutcome(now time.Time, run *activeRun, result Finished) {
-	tgt := run.target
+	tgt := run.targetState
 	switch result.Outcome {
 	case Served:
 		lead.learnServed(now, run, result)
@@ -42,18 +42,18 @@
 }
 
 func (lead *Leader) learnServed(now time.Time, run *activeRun, result Finished) {
-	tgt := run.target
+	tgt := run.targetState
 	tgt.consecutiveFailures = 0
 	tgt.learnFailure(false)
-	lead.model.learnHold(now.Sub(run.sent).Seconds() / tgt.pace)
+	lead.latencyModel.learnHold(now.Sub(run.sent).Seconds() / tgt.pace)
 	if run.request.MaxGap > 0 {
-		lead.lengths.learnAnswer(&run.request, result.Events)
+		lead.lengthModel.learnAnswer(&run.request, result.Events)
 	}
 	if result.Events > minPaceEvents && result.Span > 0 {
 		gap := result.Span.Seconds() / float64(result.Events-1)
-		expected := lead.model.expectedGap()
-		lead.model.learnGap(gap / tgt.pace)
-		if lead.model.gapSamples > 1 {
+		expected := lead.latencyModel.gap()
+		lead.latencyModel.learnGap(gap / tgt.pace)
+		if lead.latencyModel.gapSamples > 1 {
 			tgt.learnPace(gap/expected, streamPaceWeight)
 			lead.notePaceChange(tgt)
 		}
@@ -66,7 +66,7 @@
 // notePaceChange records that the pace of a target has changed.
 func (lead *Leader) notePaceChange(tgt *targetState) {
 	lead.pacesChanged = true
-	lead.remoteBound.minPace = min(lead.remoteBound.minPace, tgt.pace)
+	lead.remoteBound.pace = min(lead.remoteBound.pace, tgt.pace)
 }
 
 // normalisePaces scales the paces and the latency model so that the fastest known target has a
@@ -89,5 +89,5 @@
 		tgt.pace /= best
 	}
 	lead.remoteBound.configure(lead.targets)
-	lead.model.scale(best)
+	lead.latencyModel.scale(best)
 }
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -14,7 +14,7 @@
 	// firstRatioWeight is the weight of one answer in a class's ratio of actual to expected
 	// times to the first event.
 	firstRatioWeight = 0.15
-	// maxPromptError is the mean factor by which a class's first events may be later or earlier
+	// maxPromptError bounds the mean factor by which a class's first events may be later or earlier
 	// than expected before its announced prompt lengths are considered wrong.
 	maxPromptError = 3.0
 )
@@ -47,9 +47,9 @@
 	return lengthModel{classes: make(map[Class]*classLengths)}
 }
 
-// expectedEvents returns the expected number of events of an answer, or false if it can't be
+// events returns the expected number of events of an answer, or false if it can't be
 // estimated.
-func (lm *lengthModel) expectedEvents(req *Request) (float64, bool) {
+func (lm *lengthModel) events(req *Request) (float64, bool) {
 	cls := lm.classes[req.Class]
 	enough := cls != nil && cls.weight >= minLengthSamples
 	switch {
@@ -67,7 +67,7 @@
 // its announced prompts. It is 1 while the announcements are reliable.
 func (lm *lengthModel) firstRatio(class Class) float64 {
 	cls := lm.classes[class]
-	if cls == nil || cls.promptsReliable() {
+	if cls == nil || cls.reliable() {
 		return 1
 	}
 	return cls.firstRatio
@@ -92,7 +92,7 @@
 	cls := lm.forClass(class)
 	cls.firstSamples++
 	cls.firstRatio += max(firstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.firstRatio)
-	return cls.promptsReliable()
+	return cls.reliable()
 }
 
 // updateMedian computes medianRatio if it is stale.
@@ -128,6 +128,6 @@
 	return cls
 }
 
-func (cls *classLengths) promptsReliable() bool {
+func (cls *classLengths) reliable() bool {
 	return cls.firstSamples < minLengthSamples || cls.firstRatio > 1/maxPromptError && cls.firstRatio < maxPromptError
 }
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -28,8 +28,8 @@
 			beside.updateMedian()
 		}
 		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
-		want, _ := alone.expectedEvents(&req)
-		if got, _ := beside.expectedEvents(&req); got != want && !(req.Answer > 0 && alone.classes[1].announcedTokens == 0) {
+		want, _ := alone.events(&req)
+		if got, _ := beside.events(&req); got != want && !(req.Answer > 0 && alone.classes[1].announcedTokens == 0) {
 			rt.Fatalf("expected %v events, and %v beside a class with wrong announcements", want, got)
 		}
 		if got := beside.firstRatio(1); got != alone.firstRatio(1) {
--- a/core/yuccagrant/model.go
+++ b/core/yuccagrant/model.go
@@ -22,8 +22,8 @@
 	holdSamples int
 }
 
-// first returns the expected time to the first event.
-func (mod *latencyModel) first(prompt yuccaid.Tokens) time.Duration {
+// expectedFirst returns the expected time to the first event.
+func (mod *latencyModel) expectedFirst(prompt yuccaid.Tokens) time.Duration {
 	base, slope := mod.fitLine()
 	return seconds(base + slope*float64(prompt))
 }
@@ -58,8 +58,8 @@
 	mod.firstSamples++
 }
 
-// expectedGap returns the expected time between two events, in seconds.
-func (mod *latencyModel) expectedGap() float64 {
+// gap returns the expected time between two events, in seconds.
+func (mod *latencyModel) gap() float64 {
 	if mod.gapSamples == 0 {
 		return defaultEventGap.Seconds()
 	}
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -39,7 +39,7 @@
 // come.
 type activeRun struct {
 	request       Request
-	target        *targetState
+	targetState   *targetState
 	sent          time.Time
 	started       bool
 	expectedFirst time.Duration
@@ -50,8 +50,8 @@
 }
 
 // setLeaderCount sets Slots to this leader's share of the slots, rounded up.
-func (tgt *targetState) setLeaderCount(leaders int) {
-	tgt.Slots = (tgt.totalSlots + leaders - 1) / leaders
+func (tgt *targetState) setLeaderCount(leaderCount int) {
+	tgt.Slots = (tgt.totalSlots + leaderCount - 1) / leaderCount
 }
 
 // load returns what is reported to other leaders about the target.
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -13,11 +13,11 @@
 // refused at once and told when to retry loses nothing. But while requests of lower ranks run,
 // their slots will become free, and a request of a higher rank is not refused before that.
 func (lead *Leader) cannotMeetDeadline(now time.Time, entry *queueEntry) bool {
-	if lead.model.holdSamples < minHoldSamples {
+	if lead.latencyModel.holdSamples < minHoldSamples {
 		// Too few runs have finished to estimate waiting times.
 		return !now.Before(entry.Deadline)
 	}
-	start := lead.workDuration(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedFirst(&entry.Request))
+	start := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedFirst(&entry.Request))
 	if start <= entry.SoftDeadline.Sub(now)+lateStartSlack {
 		return false
 	}
@@ -28,9 +28,9 @@
 }
 
 // lessUrgentRunning reports whether a less urgent request is running.
-func (lead *Leader) lessUrgentRunning(req *Request) bool {
+func (lead *Leader) lessUrgentRunning(request *Request) bool {
 	for _, run := range lead.runs {
-		if cmp.Or(cmp.Compare(run.request.Tier, req.Tier), cmp.Compare(run.request.effectiveRank(), req.effectiveRank())) > 0 {
+		if cmp.Or(cmp.Compare(run.request.Tier, request.Tier), cmp.Compare(run.request.effectiveRank(), request.effectiveRank())) > 0 {
 			return true
 		}
 	}
@@ -73,11 +73,11 @@
 }
 
 func (lead *Leader) refuse(now time.Time, entry *queueEntry, reason Reason, dec *Decisions) {
-	lead.sizes.learn(entry.effectiveRank(), entry.work, false)
-	wait := lead.workDuration(now, lead.queue.workAhead(entry.Tier, entry.sortKey))
+	lead.sizeStats.learn(entry.effectiveRank(), entry.expectedWork, false)
+	estimatedWait := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey))
 	dec.Refusals = append(dec.Refusals, Refusal{
 		ID: entry.ID, Reason: reason, RetryAfter: lead.retryAfter(now, entry.Tier),
-		QueueLength: lead.queue.len(), FreeSlots: lead.freeSlots(now), EstimatedWait: wait,
+		QueueLength: lead.queue.len(), FreeSlots: lead.freeSlots(now), EstimatedWait: estimatedWait,
 	})
 }
 
@@ -85,7 +85,7 @@
 // waiting in its tier and in more urgent ones have been served. It is spread at random, because
 // callers that are refused together would otherwise retry as one burst.
 func (lead *Leader) retryAfter(now time.Time, tier int) time.Duration {
-	wait := lead.workDuration(now, lead.queue.workAhead(tier, math.Inf(1))+lead.model.expectedHold())
-	wait = min(max(wait, minRetryAfter), maxRetryAfter)
-	return wait + time.Duration(lead.rng.Float64()*retryJitter*float64(wait))
+	estimatedWait := lead.estimatedWait(now, lead.queue.workAhead(tier, math.Inf(1))+lead.latencyModel.expectedHold())
+	estimatedWait = min(max(estimatedWait, minRetryAfter), maxRetryAfter)
+	return estimatedWait + time.Duration(lead.rng.Float64()*retryJitter*float64(estimatedWait))
 }
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -13,13 +13,13 @@
 // request that has waited for long is no longer overtaken by less urgent ones.
 func (lead *Leader) grantSlots(now time.Time, dec *Decisions) {
 	for _, tier := range lead.queue.tiers {
-		rank, found := tier.starvedRank(now)
+		effectiveRank, found := tier.starved(now)
 		if !found {
 			lead.grantTier(now, tier, anyRank, dec)
 			continue
 		}
-		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() <= rank }, dec)
-		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() > rank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() <= effectiveRank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() > effectiveRank }, dec)
 	}
 }
 
@@ -47,17 +47,17 @@
 // likely to become free in time.
 func (lead *Leader) tryGrant(now time.Time, entry *queueEntry, dec *Decisions) bool {
 	best := lead.chooseTarget(now, &entry.Request)
-	if best.target == nil {
+	if best.targetState == nil {
 		return false
 	}
 	if !best.suitable && entry.onTime(now) && lead.worthWaiting(now, &entry.Request) {
 		return false
 	}
 	lead.queue.remove(entry.ID)
-	lead.sizes.learn(entry.effectiveRank(), entry.work, true)
-	busy := best.target.busySlots(now)
-	lead.addRun(now, best.target, entry.Request)
-	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.target.Name, ExpectedFirst: best.expectedFirst, Busy: busy})
+	lead.sizeStats.learn(entry.effectiveRank(), entry.expectedWork, true)
+	busySlots := best.targetState.busySlots(now)
+	lead.addRun(now, best.targetState, entry.Request)
+	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.targetState.Name, ExpectedFirst: best.expectedFirst, Busy: busySlots})
 	return true
 }
 
@@ -80,46 +80,46 @@
 
 // nextFreeSlot returns the mean time until a slot becomes free.
 func (lead *Leader) nextFreeSlot(now time.Time) time.Duration {
-	return lead.workDuration(now, lead.model.expectedHold())
+	return lead.estimatedWait(now, lead.latencyModel.expectedHold())
 }
 
-// workDuration returns how long the targets take for the given work, which is in seconds of one
+// estimatedWait returns how long the targets take for the given work, which is in seconds of one
 // slot of the fastest target.
-func (lead *Leader) workDuration(now time.Time, work float64) time.Duration {
+func (lead *Leader) estimatedWait(now time.Time, work float64) time.Duration {
 	return seconds(work / max(lead.slotCapacity(now), 0.5))
 }
 
 // newEntry returns a queue entry for a request.
 func (lead *Leader) newEntry(now time.Time, req Request) *queueEntry {
-	work := lead.expectedWork(&req)
+	expectedWork := lead.expectedWork(&req)
 	weight := math.Pow(rankFactor, float64(req.effectiveRank()))
-	return &queueEntry{Request: req, submitted: now, work: work, sortKey: weight * lead.sizes.orderingWork(req.effectiveRank(), work)}
+	return &queueEntry{Request: req, submitted: now, expectedWork: expectedWork, sortKey: weight * lead.sizeStats.orderingWork(req.effectiveRank(), expectedWork)}
 }
 
 // expectedWork returns how long a run is expected to occupy a slot of the fastest target, in
 // seconds.
 func (lead *Leader) expectedWork(req *Request) float64 {
-	events, known := lead.lengths.expectedEvents(req)
+	events, known := lead.lengthModel.events(req)
 	if req.MaxGap <= 0 || !known {
-		return lead.model.expectedHold()
+		return lead.latencyModel.expectedHold()
 	}
-	return lead.expectedFirst(req) + lead.model.expectedGap()*max(events-1, 0)
+	return lead.expectedFirst(req) + lead.latencyModel.gap()*max(events-1, 0)
 }
 
 // expectedFirst returns the expected time to the first event on the fastest target, in seconds.
 func (lead *Leader) expectedFirst(req *Request) float64 {
-	return lead.model.first(req.Prompt).Seconds() * lead.lengths.firstRatio(req.Class)
+	return lead.latencyModel.expectedFirst(req.Prompt).Seconds() * lead.lengthModel.firstRatio(req.Class)
 }
 
-func (lead *Leader) addRun(now time.Time, tgt *targetState, req Request) *activeRun {
-	base := lead.baseline(&req)
-	run := &activeRun{request: req, target: tgt, sent: now, expectedFirst: lead.estimate(now, tgt, &req, &base).expectedFirst}
-	lead.runs[req.ID] = run
-	tgt.runs[req.ID] = run
+func (lead *Leader) addRun(now time.Time, tgt *targetState, request Request) *activeRun {
+	base := lead.baseline(&request)
+	run := &activeRun{request: request, targetState: tgt, sent: now, expectedFirst: lead.estimate(now, tgt, &request, &base).expectedFirst}
+	lead.runs[request.ID] = run
+	tgt.runs[request.ID] = run
 	return run
 }
 
 func (lead *Leader) removeRun(run *activeRun) {
 	delete(lead.runs, run.request.ID)
-	delete(run.target.runs, run.request.ID)
+	delete(run.targetState.runs, run.request.ID)
 }
--- a/core/yuccagrant/waiting.go
+++ b/core/yuccagrant/waiting.go
@@ -10,10 +10,11 @@
 type queueEntry struct {
 	Request
 	submitted time.Time
-	// work is how long a run is expected to occupy a slot of the fastest target, in seconds.
-	// sortKey is the work weighted by rank; within a tier the entry with the lowest goes first.
-	work    float64
-	sortKey float64
+	// expectedWork is how long a run is expected to occupy a slot of the fastest target, in
+	// seconds. sortKey is that work weighted by rank; within a tier the entry with the lowest
+	// goes first.
+	expectedWork float64
+	sortKey      float64
 }
 
 // onTime reports whether the first event can still be on time.
@@ -31,15 +32,15 @@
 	entries []*queueEntry
 }
 
-// starvedRank returns the rank of the most urgent request that is starved, and whether there is
-// one.
-func (tq *tierQueue) starvedRank(now time.Time) (rank int, found bool) {
+// starved returns the effective rank of the most urgent request that is starved, and whether
+// there is one.
+func (tq *tierQueue) starved(now time.Time) (effectiveRank int, found bool) {
 	for _, entry := range tq.entries {
-		if (!found || entry.effectiveRank() < rank) && entry.starved(now) {
-			rank, found = entry.effectiveRank(), true
+		if (!found || entry.effectiveRank() < effectiveRank) && entry.starved(now) {
+			effectiveRank, found = entry.effectiveRank(), true
 		}
 	}
-	return rank, found
+	return effectiveRank, found
 }
 
 // queue holds the waiting requests, the most urgent tier first.
@@ -94,7 +95,7 @@
 			if tq.tier > tier || tq.tier == tier && entry.sortKey > sortKey {
 				break
 			}
-			sum += entry.work
+			sum += entry.expectedWork
 		}
 	}
 	return sum
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -27,8 +27,8 @@
 	fails func(now time.Time) yuccagrant.Outcome
 	queue []*job
 	runs  []*job
-	// batch is set for an engine that works in steps.
-	batch *batching
+	// batching is set for an engine that works in steps.
+	batching *batching
 }
 
 const (
@@ -42,9 +42,9 @@
 	arrived time.Time
 	events  int
 	// prompt is the actual length of the prompt, whatever length is announced.
-	prompt   yuccaid.Tokens
-	progress progress
-	kind     string
+	prompt yuccaid.Tokens
+	state  progress
+	kind   string
 
 	sent    time.Time
 	starts  time.Time
@@ -230,7 +230,7 @@
 }
 
 func (sim *simulation) advance(eng *engine) {
-	if eng.batch != nil {
+	if eng.batching != nil {
 		sim.advanceBatch(eng)
 		return
 	}
@@ -278,8 +278,8 @@
 		result.TimeToFirst, result.Events, result.Span = jb.first.Sub(jb.sent), jb.events, sim.now.Sub(jb.first)
 		result.LongestGap = time.Duration(eng.pace * float64(eventTime))
 	}
-	if eng.batch != nil {
-		result.LongestGap = jb.progress.longestGap
+	if eng.batching != nil {
+		result.LongestGap = jb.state.longestGap
 	}
 	sim.apply(sim.lead.RunFinished(sim.now, result))
 }
