--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -38,12 +38,12 @@
 
 // Configure sets the targets. What was learned of a target is kept as long as its process is
 // the same. Runs on targets that are no longer listed continue.
-func (lead *Leader) Configure(now time.Time, targets []Target) Decisions {
+func (lead *Leader) Configure(now time.Time, configured []Target) Decisions {
 	old := lead.targetsByName
-	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(targets))
-	lead.targets = make([]*targetState, 0, len(targets))
+	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(configured))
+	lead.targets = make([]*targetState, 0, len(configured))
 	newPace := medianPace(old)
-	for _, target := range targets {
+	for _, target := range configured {
 		tgt := old[target.Name]
 		if tgt == nil || tgt.StartMillis != target.StartMillis {
 			tgt = newTargetState(target, biasShare*lead.rng.Float64())
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -37,10 +37,10 @@
 	// length, announcedEvents sums the events and announcedTokens the announced tokens.
 	weight, events                   float64
 	announcedEvents, announcedTokens float64
-	// firstRatio is the mean ratio of actual to expected times to the first event, over
+	// meanFirstRatio is the mean ratio of actual to expected times to the first event, over
 	// firstSamples answers.
-	firstRatio   float64
-	firstSamples int
+	meanFirstRatio float64
+	firstSamples   int
 }
 
 func newLengthModel() lengthModel {
@@ -70,7 +70,7 @@
 	if cls == nil || cls.reliable() {
 		return 1
 	}
-	return cls.firstRatio
+	return cls.meanFirstRatio
 }
 
 // learnAnswer includes the length of a complete answer.
@@ -91,7 +91,7 @@
 func (lm *lengthModel) learnFirst(class Class, ratio float64) bool {
 	cls := lm.forClass(class)
 	cls.firstSamples++
-	cls.firstRatio += max(firstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.firstRatio)
+	cls.meanFirstRatio += max(firstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.meanFirstRatio)
 	return cls.reliable()
 }
 
@@ -123,11 +123,11 @@
 			break
 		}
 	}
-	cls := &classLengths{firstRatio: 1}
+	cls := &classLengths{meanFirstRatio: 1}
 	lm.classes[class] = cls
 	return cls
 }
 
 func (cls *classLengths) reliable() bool {
-	return cls.firstSamples < minLengthSamples || cls.firstRatio > 1/maxPromptError && cls.firstRatio < maxPromptError
+	return cls.firstSamples < minLengthSamples || cls.meanFirstRatio > 1/maxPromptError && cls.meanFirstRatio < maxPromptError
 }
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -36,13 +36,13 @@
 }
 
 // activeRun is a request that was sent to a target. started reports that its first event has
-// come.
+// come, and expected is the time from sending after which it was expected.
 type activeRun struct {
-	request       Request
-	targetState   *targetState
-	sent          time.Time
-	started       bool
-	expectedFirst time.Duration
+	request     Request
+	targetState *targetState
+	sent        time.Time
+	started     bool
+	expected    time.Duration
 }
 
 func newTargetState(target Target, bias float64) *targetState {
@@ -106,7 +106,7 @@
 
 func (tgt *targetState) hasOverdueRun(now time.Time) bool {
 	for _, run := range tgt.runs {
-		if !run.started && now.Sub(run.sent) > time.Duration(overdueRatio*float64(run.expectedFirst))+overdueSlack {
+		if !run.started && now.Sub(run.sent) > time.Duration(overdueRatio*float64(run.expected))+overdueSlack {
 			return true
 		}
 	}
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -113,7 +113,7 @@
 
 func (lead *Leader) addRun(now time.Time, tgt *targetState, request Request) *activeRun {
 	base := lead.baseline(&request)
-	run := &activeRun{request: request, targetState: tgt, sent: now, expectedFirst: lead.estimate(now, tgt, &request, &base).expectedFirst}
+	run := &activeRun{request: request, targetState: tgt, sent: now, expected: lead.estimate(now, tgt, &request, &base).expectedFirst}
 	lead.runs[request.ID] = run
 	tgt.runs[request.ID] = run
 	return run
