--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -13,36 +13,40 @@
 	Number uint64
 }
 
-// Class identifies the requests of one account on one route, as a hash of both. Their actual
-// lengths are assumed to deviate similarly from the announced ones.
+// Class identifies the requests of one account on one route, as a hash of both. The actual
+// lengths of their prompts and answers are assumed to deviate from the announced lengths by
+// similar factors.
 type Class uint32
 
-// Request is a request for a target.
+// Request describes a caller's request that is to be sent to a target of the pool.
 type Request struct {
 	ID    ID
 	Class Class
-	// Tier orders requests strictly, and Rank within a tier; 0 is the most urgent in both.
+	// Tier and Rank are the urgency of the request; 0 is the most urgent in both. Requests of a
+	// more urgent tier always go first. Within a tier the order depends on the rank and on the
+	// expected work.
 	Tier int
 	Rank int
-	// OverQuota reports that the request's account is over its quota, so that it is less
-	// urgent.
+	// OverQuota reports that the request's account is over its quota. The request is then
+	// treated as less urgent than its rank says.
 	OverQuota bool
-	// Prompt and Answer are the numbers of tokens that the request announces, zero if it
-	// announces none.
+	// Prompt and Answer are the lengths in tokens that the request announces for its prompt and
+	// its answer, zero if it announces none.
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// SoftDeadline is when the first event is due, and Deadline is when the caller leaves.
+	// SoftDeadline is until when the first event is on time, and Deadline is when the caller
+	// stops waiting for it.
 	SoftDeadline time.Time
 	Deadline     time.Time
-	// MaxGap is the longest time between two events that counts as on time. It is zero for
-	// requests to a plain service, which answers with a single event.
+	// MaxGap is the longest time between two events of an answer that is on time. It is zero
+	// for requests that are answered with a single event.
 	MaxGap time.Duration
 	// FailedTargets lists the targets on which this request has failed before.
 	FailedTargets []yuccaid.Target
 }
 
-// effectiveRank returns the request's rank, which is less urgent if its account is over its
-// quota.
+// effectiveRank returns the rank that the request is scheduled by: its own, made less urgent by
+// overQuotaRanks if its account is over its quota.
 func (req *Request) effectiveRank() int {
 	effectiveRank := min(max(req.Rank, 0), maxRank)
 	if req.OverQuota {
@@ -56,7 +60,7 @@
 	ID     ID
 	Target yuccaid.Target
 	// ExpectedFirst is the expected time from sending to the first event, and Busy the number
-	// of slots that were occupied on the target before; both are logged.
+	// of slots that were occupied on the target before the grant; both are logged.
 	ExpectedFirst time.Duration
 	Busy          int
 }
@@ -68,9 +72,9 @@
 const (
 	// ReasonNoTarget means that the pool has no target.
 	ReasonNoTarget Reason = "noTarget"
-	// ReasonLate means that the answer would start too late to be of use.
+	// ReasonLate means that the first event would come too late to be of use.
 	ReasonLate Reason = "late"
-	// ReasonQueueFull means that too many requests are waiting.
+	// ReasonQueueFull means that the pool's queue already holds maxQueued requests.
 	ReasonQueueFull Reason = "full"
 )
 
@@ -81,7 +85,8 @@
 	Reason     Reason
 	RetryAfter time.Duration
 	// QueueLength is the number of requests that were waiting, FreeSlots the number of free
-	// slots, and EstimatedWait how long the request would have waited; all are logged.
+	// slots in the pool, and EstimatedWait how long the request would have waited for a slot;
+	// all are logged.
 	QueueLength   int
 	FreeSlots     int
 	EstimatedWait time.Duration
@@ -100,19 +105,19 @@
 const (
 	// Served means that the target answered without an error.
 	Served Outcome = iota
-	// Failed means that the target answered with an error of its own.
+	// Failed means that the target answered the request with an error.
 	Failed
 	// Rejected means that the target was full and did not run the request.
 	Rejected
-	// Misdirected means that another target answered at the address.
+	// Misdirected means that a different target answered at the target's address.
 	Misdirected
-	// Unreachable means that no connection could be opened.
+	// Unreachable means that no connection to the target could be opened.
 	Unreachable
 	// Lost means that the request was sent and no answer came.
 	Lost
-	// Broken means that the answer was cut off.
+	// Broken means that the answer ended before it was complete.
 	Broken
-	// Dropped means that the caller left, or that the grant was not used.
+	// Dropped means that the caller stopped waiting, or that the grant was not used.
 	Dropped
 )
 
@@ -126,7 +131,7 @@
 	return "unknown"
 }
 
-// Finished is how a run went. Reporting it to the leader frees the run's slot.
+// Finished is the result of a run. Reporting it to the leader frees the run's slot.
 type Finished struct {
 	ID      ID
 	Outcome Outcome
@@ -137,12 +142,12 @@
 	Events     int
 	Span       time.Duration
 	LongestGap time.Duration
-	// Load is the load that the target reported, if it did.
+	// Load is the load that the target reported with the answer, if any.
 	Load ReportedLoad
 }
 
-// ReportedLoad is the number of requests that a target reports as running and waiting there.
-// Known is false if it reported none.
+// ReportedLoad holds the numbers of requests that a target reports as running and as waiting in
+// its own queue. Known is false if the target reported no load.
 type ReportedLoad struct {
 	Known   bool
 	Running int
--- a/core/yuccagrant/bench_test.go
+++ b/core/yuccagrant/bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkFleet measures a request from submission to finish, and a Tick, for a leader with
-// many targets, a third of which are in its own data centre.
+// many targets, a third of which are in its own region.
 func BenchmarkFleet(b *testing.B) {
 	for _, targets := range []int{300, 3000} {
 		lead := yuccagrant.New(rand.New(rand.NewPCG(1, 2)))
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// choice is a target for a request. suitable reports that the target is expected to serve the
-// request on time.
+// choice is a target considered for a request, with the estimates for it. suitable reports that
+// the target is expected to serve the request on time. targetState is nil if no target was found.
 type choice struct {
-	targetState   *targetState
-	expectedFirst time.Duration
-	cost          time.Duration
-	suitable      bool
+	targetState         *targetState
+	expectedTimeToFirst time.Duration
+	cost                time.Duration
+	suitable            bool
 }
 
-// baseline is the part of the estimates of a request that is the same for all targets, as times
-// on the fastest target.
+// baseline holds the estimates for a request that do not depend on the target, as times on an
+// idle target of pace 1.
 type baseline struct {
-	// expectedFirst is the time to the first event. In seconds, expectedHold is how long a run
-	// occupies its slot, gap the time between two events, and prefill the time to read the
-	// prompt.
-	expectedFirst              time.Duration
+	// expectedTimeToFirst is the time to the first event. The other fields are in seconds:
+	// expectedHold is how long a run occupies its slot, gap the time between two events, and
+	// prefill the time to read the prompt.
+	expectedTimeToFirst        time.Duration
 	expectedHold, gap, prefill float64
 }
 
 func (lead *Leader) baseline(req *Request) baseline {
 	_, slope := lead.latencyModel.fitLine()
 	return baseline{
-		expectedFirst: seconds(lead.expectedFirst(req)), expectedHold: lead.latencyModel.expectedHold(), gap: lead.latencyModel.gap(),
+		expectedTimeToFirst: seconds(lead.expectedTimeToFirst(req)), expectedHold: lead.latencyModel.expectedHold(), gap: lead.latencyModel.gap(),
 		prefill: slope * float64(req.Prompt),
 	}
 }
@@ -38,18 +38,18 @@
 // request, and almost always choose one of its own region. The bound is derived from the cost
 // function, so the choice is the same with and without it.
 type remoteBound struct {
-	// localCount is the number of targets in this region; they come first.
+	// localCount is the number of targets in this region, which come first in Leader.targets.
 	localCount int
-	// minRoundTrip is the shortest round trip to another region, and pace the pace of the
-	// fastest target.
+	// minRoundTrip is the shortest round trip to a target in another region, and minPace the
+	// pace of the fastest target in any region.
 	minRoundTrip time.Duration
-	pace         float64
+	minPace      float64
 }
 
 func (bound *remoteBound) configure(targets []*targetState) {
-	*bound = remoteBound{localCount: len(targets), pace: math.Inf(1)}
+	*bound = remoteBound{localCount: len(targets), minPace: math.Inf(1)}
 	for at, tgt := range targets {
-		bound.pace = min(bound.pace, tgt.pace)
+		bound.minPace = min(bound.minPace, tgt.pace)
 		if !tgt.Remote {
 			continue
 		}
@@ -60,18 +60,19 @@
 	}
 }
 
-// chooseTarget returns the target with the lowest cost among those that may be sent a request.
-// Suitable targets come before others. The choice has no target if none may be sent a request.
+// chooseTarget returns the target with the lowest cost among those that may be sent the request.
+// A suitable target is preferred to any that is not suitable. The choice has no target if none
+// may be sent the request.
 //
-// The cost allows for targets of different pace in several data centres. It is the time to the
-// first event plus penalties for a busy target, for long gaps and failures in its answers, and
-// for billed traffic to another region.
+// The cost makes targets of different pace in several data centres comparable. It is the
+// expected time to the first event plus penalties for a busy target, for long gaps and failures
+// in its answers, and for billed traffic to another region.
 func (lead *Leader) chooseTarget(now time.Time, req *Request) choice {
 	best := choice{cost: math.MaxInt64}
 	base := lead.baseline(req)
-	minRemote := time.Duration(lead.remoteBound.pace*float64(base.expectedFirst)) + lead.remoteBound.minRoundTrip + remoteCost
+	minRemoteCost := time.Duration(lead.remoteBound.minPace*float64(base.expectedTimeToFirst)) + lead.remoteBound.minRoundTrip + remoteCost
 	for at, tgt := range lead.targets {
-		if at >= lead.remoteBound.localCount && best.suitable && best.cost <= minRemote {
+		if at >= lead.remoteBound.localCount && best.suitable && best.cost <= minRemoteCost {
 			return best
 		}
 		if tgt.grantableSlots(now) == 0 || tgt.backingOff(now) || tgt.failedBefore(req) {
@@ -85,27 +86,29 @@
 	return best
 }
 
+// estimate returns the estimates for a request on one target. If all slots of the target are
+// occupied, the wait for one of them is part of the time to the first event.
 func (lead *Leader) estimate(now time.Time, tgt *targetState, req *Request, base *baseline) choice {
-	work := time.Duration(tgt.pace * float64(base.expectedFirst))
+	firstWithoutWait := time.Duration(tgt.pace * float64(base.expectedTimeToFirst))
 	busySlots := tgt.busySlots(now)
 	slots := float64(max(tgt.Slots, 1))
 	crowding := crowdingShare * float64(busySlots) / slots
 	wait := seconds(float64(max(busySlots-tgt.Slots+1, 0)) * base.expectedHold * tgt.pace / slots)
-	candidate := choice{targetState: tgt, expectedFirst: wait + work + tgt.RoundTrip}
-	candidate.cost = candidate.expectedFirst + time.Duration((crowding+tgt.bias)*float64(work)) +
+	candidate := choice{targetState: tgt, expectedTimeToFirst: wait + firstWithoutWait + tgt.RoundTrip}
+	candidate.cost = candidate.expectedTimeToFirst + time.Duration((crowding+tgt.bias)*float64(firstWithoutWait)) +
 		time.Duration(tgt.lateFraction*float64(lateGapCost)) + time.Duration(tgt.failureRate*float64(failureCost))
 	if tgt.Remote {
 		candidate.cost += remoteCost
 	}
-	left := req.SoftDeadline.Sub(now)
-	candidate.suitable = candidate.expectedFirst <= time.Duration(softDeadlineShare*float64(left)) && !exceedsMaxGap(tgt, req, base)
+	remaining := req.SoftDeadline.Sub(now)
+	candidate.suitable = candidate.expectedTimeToFirst <= time.Duration(softDeadlineShare*float64(remaining)) && !exceedsMaxGap(tgt, req, base)
 	return candidate
 }
 
-// exceedsMaxGap reports whether the events of a target follow one another too slowly even
-// without other load, or whether reading the prompt would delay the other answers on the target
-// too much. An engine reads a long prompt in chunks between the tokens of its other answers; on
-// a slow target each chunk takes several times as long as a gap may last.
+// exceedsMaxGap reports whether the mean gap between the events of a target is more than half of
+// the request's MaxGap, or whether reading the prompt would delay the other answers on the
+// target too much. An engine reads a long prompt in chunks between the tokens of its other
+// answers; on a slow target each chunk takes several times as long as a gap may last.
 func exceedsMaxGap(tgt *targetState, req *Request, base *baseline) bool {
 	if req.MaxGap <= 0 {
 		return false
@@ -125,18 +128,20 @@
 	return sum
 }
 
-// slotCapacity returns how many slots of the fastest target the targets that are not backing
-// off are worth: a slot counts for 1/pace. This leader gets the share of them that matches its
-// share of the runs; the rest is for the leaders of other data centres.
+// slotCapacity returns the capacity of the targets that are not backing off, as a number of
+// slots of the fastest target: a slot of another target counts for 1/pace. Only the share that
+// corresponds to this leader's share of the runs is returned, because the leaders of other data
+// centres use the rest. Both numbers of runs start at 1, so that the share is defined while
+// there are no runs.
 func (lead *Leader) slotCapacity(now time.Time) float64 {
-	sum, own, all := 0.0, 1, 1
+	sum, ownRuns, allRuns := 0.0, 1, 1
 	for _, tgt := range lead.targets {
 		if tgt.backingOff(now) {
 			continue
 		}
 		sum += float64(tgt.Slots) / tgt.pace
-		own += len(tgt.runs)
-		all += len(tgt.runs) + tgt.remoteRuns
+		ownRuns += len(tgt.runs)
+		allRuns += len(tgt.runs) + tgt.otherCentreRuns
 	}
-	return sum * float64(own) / float64(all)
+	return sum * float64(ownRuns) / float64(allRuns)
 }
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -12,9 +12,10 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// A leader skips the targets of other regions once a target of its own region costs less than
-// any of them can. If that bound were too high, requests would wait in a full region while
-// engines in other regions are idle.
+// A leader does not look at the targets of other regions once a suitable target of its own region
+// costs at most as much as remoteBound says a target of another region costs at least. If this
+// bound were too high, requests would wait in a full region while targets in other regions are
+// idle.
 func TestTheBoundNeverChangesTheChoice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
@@ -22,8 +23,8 @@
 		var targets []Target
 		for i := range rapid.IntRange(1, 8).Draw(rt, "targets") {
 			target := Target{Name: yuccaid.Target(fmt.Sprint("engine-", i)), Slots: rapid.IntRange(1, 6).Draw(rt, "slots")}
-			if rapid.Bool().Draw(rt, "away") {
-				target.Remote, target.RoundTrip = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "way"))*time.Millisecond
+			if rapid.Bool().Draw(rt, "remote") {
+				target.Remote, target.RoundTrip = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "round trip"))*time.Millisecond
 			}
 			targets = append(targets, target)
 		}
@@ -31,23 +32,23 @@
 		for number := range uint64(rapid.IntRange(0, 60).Draw(rt, "requests")) {
 			req := Request{
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
-				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
+				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "soft deadline")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
 			}
 			if got, want := lead.chooseTarget(now, &req), lead.chooseWithoutBound(now, &req); got.targetState != want.targetState {
 				rt.Fatalf("chose %+v instead of %+v", got, want)
 			}
 			lead.Submit(now, req)
-			if rapid.Bool().Draw(rt, "ends") {
+			if rapid.Bool().Draw(rt, "finishes") {
 				took := time.Duration(rapid.IntRange(1, 2000).Draw(rt, "took")) * time.Millisecond
 				lead.RunFinished(now, Finished{ID: req.ID, Outcome: Served, TimeToFirst: took})
 			}
-			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "pause")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "time to next request")) * time.Millisecond)
 			lead.Tick(now)
 		}
 	})
 }
 
-// chooseWithoutBound is chooseTarget without the bound.
+// chooseWithoutBound is chooseTarget without remoteBound: all targets are considered.
 func (lead *Leader) chooseWithoutBound(now time.Time, req *Request) choice {
 	lead.remoteBound.localCount = math.MaxInt
 	defer lead.remoteBound.configure(lead.targets)
--- a/core/yuccagrant/empty_test.go
+++ b/core/yuccagrant/empty_test.go
@@ -12,38 +12,39 @@
 
 var _ = Describe("a pool without targets", func() {
 	start := time.Unix(1_700_000_000, 0)
-	ask := func(number uint64, now time.Time) yuccagrant.Request {
+	newRequest := func(number uint64, now time.Time) yuccagrant.Request {
 		return yuccagrant.Request{ID: yuccagrant.ID{Owner: owner, Number: number}, SoftDeadline: now.Add(time.Second), Deadline: now.Add(4 * time.Second)}
 	}
-	empty := func() *yuccagrant.Leader {
+	leaderWithoutTargets := func() *yuccagrant.Leader {
 		lead := yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
 		Expect(lead.Configure(start, nil)).To(BeZero())
 		return lead
 	}
 
-	// A daemon has restarted and has its configuration, and a request arrives before the daemon
-	// has read its targets. If the request were refused, its caller would retry half a second
-	// later for no reason.
+	// A daemon has restarted and knows its pools, and a request arrives before the daemon has
+	// read the list of targets. If the request were refused, its caller would have to retry half
+	// a second later although a target appears within 50 ms.
 	It("serves a request that came just before its first target", func() {
-		lead := empty()
-		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
+		lead := leaderWithoutTargets()
+		Expect(lead.Submit(start, newRequest(1, start))).To(BeZero())
 		dec := lead.Configure(start.Add(50*time.Millisecond), []yuccagrant.Target{{Name: "a", Slots: 1}})
 		Expect(dec.Grants).To(HaveLen(1))
 		Expect(dec.Grants[0].Target).To(BeEquivalentTo("a"))
 	})
 
-	// All registrations expired in an outage and no target renews its own. Requests are refused
-	// when they can no longer be served on time, and at once when no target is expected any
-	// more.
+	// All registrations of targets have expired in an outage and none is renewed. If requests
+	// stayed queued until their deadlines, callers would wait for nothing. They are refused at
+	// their soft deadlines, and at once when the pool has been without targets for
+	// noTargetGrace.
 	It("refuses requests past their soft deadline, and all requests once no target is expected", func() {
-		lead := empty()
-		Expect(lead.Submit(start, ask(1, start))).To(BeZero())
+		lead := leaderWithoutTargets()
+		Expect(lead.Submit(start, newRequest(1, start))).To(BeZero())
 		Expect(lead.Tick(start.Add(900 * time.Millisecond)).Refusals).To(BeEmpty())
-		Expect(lead.Submit(start.Add(1500*time.Millisecond), ask(2, start.Add(1500*time.Millisecond)))).To(BeZero())
+		Expect(lead.Submit(start.Add(1500*time.Millisecond), newRequest(2, start.Add(1500*time.Millisecond)))).To(BeZero())
 		dec := lead.Tick(start.Add(1600 * time.Millisecond))
 		Expect(dec.Refusals).To(HaveLen(1))
 		Expect(dec.Refusals[0].Reason).To(Equal(yuccagrant.ReasonNoTarget))
 		Expect(lead.Tick(start.Add(2100 * time.Millisecond)).Refusals).To(HaveLen(1))
-		Expect(lead.Submit(start.Add(2200*time.Millisecond), ask(3, start.Add(2200*time.Millisecond))).Refusals).To(HaveLen(1))
+		Expect(lead.Submit(start.Add(2200*time.Millisecond), newRequest(3, start.Add(2200*time.Millisecond))).Refusals).To(HaveLen(1))
 	})
 })
--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -11,6 +11,8 @@
 // reads prompts in chunks between the steps, so all its answers slow down while it reads a long
 // prompt.
 type batching struct {
+	// A step takes the time step, perRun more for each run of the engine, and prefillPerToken
+	// more for each prompt token that is read in the step, of which there are at most chunk.
 	step            time.Duration
 	perRun          time.Duration
 	prefillPerToken time.Duration
@@ -18,11 +20,11 @@
 	// eventTokens is the number of tokens in an event.
 	eventTokens int
 	// memory is the number of tokens that the runs may occupy. If it is exceeded, the newest
-	// run is preempted and starts again later.
+	// run is preempted; it reads its prompt again later.
 	memory yuccaid.Tokens
 
-	// playedUntil is the time until which steps have been simulated.
-	playedUntil time.Time
+	// simulatedUntil is the end of the last step that was simulated.
+	simulatedUntil time.Time
 }
 
 // fastBatching returns the parameters of an engine of pace 1.
@@ -35,14 +37,14 @@
 
 // batchingEngines returns batching engines with eight slots each and the given paces.
 func batchingEngines(paces ...float64) []*engine {
-	engines := fleet(8, paces...)
+	engines := newEngines(8, paces...)
 	for _, eng := range engines {
 		eng.batching = fastBatching()
 	}
 	return engines
 }
 
-// progress is the state of a run on a batching engine.
+// progress is how far a run on a batching engine has come.
 type progress struct {
 	unreadPrompt yuccaid.Tokens
 	tokens       int
@@ -51,22 +53,22 @@
 	longestGap   time.Duration
 }
 
-// advanceBatch simulates an engine's steps up to the current time.
+// advanceBatch simulates the steps of a batching engine that end by the current time.
 func (sim *simulation) advanceBatch(eng *engine) {
-	if eng.batching.playedUntil.IsZero() {
-		eng.batching.playedUntil = sim.now
+	if eng.batching.simulatedUntil.IsZero() {
+		eng.batching.simulatedUntil = sim.now
 	}
 	sim.admitBatch(eng)
 	for len(eng.runs) > 0 {
-		next := eng.batching.playedUntil.Add(eng.stepDuration())
+		next := eng.batching.simulatedUntil.Add(eng.stepDuration())
 		if next.After(sim.now) {
 			return
 		}
-		eng.batching.playedUntil = next
+		eng.batching.simulatedUntil = next
 		sim.stepBatch(eng)
 		sim.admitBatch(eng)
 	}
-	eng.batching.playedUntil = sim.now
+	eng.batching.simulatedUntil = sim.now
 }
 
 // stepDuration returns how long the next step takes.
@@ -89,6 +91,8 @@
 	return nil
 }
 
+// stepBatch simulates one step: one run reads a chunk of its prompt, and each run whose prompt has
+// been read generates a token.
 func (sim *simulation) stepBatch(eng *engine) {
 	prefilling := eng.prefilling()
 	var remaining []*job
@@ -119,17 +123,17 @@
 	}
 	state.events++
 	if state.events == 1 {
-		jb.first = eng.batching.playedUntil
+		jb.first = eng.batching.simulatedUntil
 		jb.onTime = !jb.first.After(jb.req.SoftDeadline)
 		sim.apply(sim.lead.RunStarted(sim.now, jb.req.ID, jb.first.Sub(jb.sent), yuccagrant.ReportedLoad{}))
 	} else {
-		state.longestGap = max(state.longestGap, eng.batching.playedUntil.Sub(state.lastEvent))
+		state.longestGap = max(state.longestGap, eng.batching.simulatedUntil.Sub(state.lastEvent))
 		jb.onTime = jb.onTime && state.longestGap <= jb.req.MaxGap
 	}
-	state.lastEvent = eng.batching.playedUntil
+	state.lastEvent = eng.batching.simulatedUntil
 }
 
-// preempt moves the newest runs back to the queue while the runs exceed the memory.
+// preempt moves the newest runs back to the queue while the tokens of all runs exceed the memory.
 func (eng *engine) preempt() {
 	for len(eng.runs) > 1 && eng.tokensHeld() > eng.batching.memory {
 		newest := eng.runs[len(eng.runs)-1]
@@ -139,6 +143,7 @@
 	}
 }
 
+// tokensHeld returns the number of tokens that the runs occupy in the engine's memory.
 func (eng *engine) tokensHeld() yuccaid.Tokens {
 	var sum yuccaid.Tokens
 	for _, jb := range eng.runs {
@@ -147,6 +152,7 @@
 	return sum
 }
 
+// admitBatch moves requests from the engine's queue to its runs while slots and memory suffice.
 func (sim *simulation) admitBatch(eng *engine) {
 	for len(eng.queue) > 0 && len(eng.runs) < eng.slots {
 		jb := eng.queue[0]
@@ -155,7 +161,7 @@
 		}
 		eng.queue = eng.queue[1:]
 		if jb.starts.IsZero() {
-			jb.starts = eng.batching.playedUntil
+			jb.starts = eng.batching.simulatedUntil
 			jb.state.unreadPrompt = jb.prompt
 		}
 		eng.runs = append(eng.runs, jb)
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -13,10 +13,10 @@
 // Leader schedules the requests of one pool. It isn't safe for concurrent use.
 type Leader struct {
 	rng *rand.Rand
-	// targets are sorted so that those of this region come before the others.
+	// targets lists the targets of this region before those of other regions.
 	targets       []*targetState
 	targetsByName map[yuccaid.Target]*targetState
-	// leaderCount is the number of leaders that each use their share of the slots.
+	// leaderCount is the number of leaders among which the slots of each target are divided.
 	leaderCount int
 	// remoteBound is a lower bound on the cost of targets in other regions.
 	remoteBound remoteBound
@@ -27,8 +27,9 @@
 	latencyModel latencyModel
 	lengthModel  lengthModel
 	sizeStats    sizeStats
-	// emptySince is since when there has been no target; it is zero while there are targets.
-	emptySince time.Time
+	// withoutTargetsSince is the time since which there has been no target. It is zero while
+	// there are targets.
+	withoutTargetsSince time.Time
 }
 
 // New returns a leader without targets; they are set by Configure.
@@ -36,8 +37,8 @@
 	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengthModel: newLengthModel(), sizeStats: newSizeStats()}
 }
 
-// Configure sets the targets. What was learned of a target is kept as long as its process is
-// the same. Runs on targets that are no longer listed continue.
+// Configure sets the targets. What was learned of a target is kept until its process is
+// restarted. Runs on targets that are no longer listed continue.
 func (lead *Leader) Configure(now time.Time, configured []Target) Decisions {
 	old := lead.targetsByName
 	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(configured))
@@ -60,15 +61,16 @@
 	lead.pacesChanged = true
 	switch {
 	case len(lead.targets) > 0:
-		lead.emptySince = time.Time{}
-	case lead.emptySince.IsZero():
-		lead.emptySince = now
+		lead.withoutTargetsSince = time.Time{}
+	case lead.withoutTargetsSince.IsZero():
+		lead.withoutTargetsSince = now
 	}
 	var dec Decisions
 	lead.grantSlots(now, &dec)
 	return dec
 }
 
+// compareRemote orders targets of this region before targets of other regions.
 func compareRemote(a, b *targetState) int {
 	switch {
 	case a.Remote == b.Remote:
@@ -94,8 +96,8 @@
 	return dec
 }
 
-// medianPace returns the pace assumed for a target that has not been seen: the median of the
-// known ones.
+// medianPace returns the pace assumed for a target that has not answered yet: the median of the
+// paces learned so far, or 1.
 func medianPace(targets map[yuccaid.Target]*targetState) float64 {
 	var known []float64
 	for _, tgt := range targets {
@@ -110,7 +112,8 @@
 	return known[len(known)/2]
 }
 
-// Submit hands in a request, which is granted, refused or queued.
+// Submit adds a request, which is granted, refused or queued. It does nothing if the request is
+// already waiting or running.
 func (lead *Leader) Submit(now time.Time, req Request) Decisions {
 	var dec Decisions
 	if _, found := lead.runs[req.ID]; found {
@@ -137,17 +140,18 @@
 	return dec
 }
 
-// withoutTargets reports whether there is no target and none is expected soon.
+// withoutTargets reports whether there has been no target for noTargetGrace, so that none is
+// expected soon.
 //
-// A daemon that has just started learns of its targets shortly after its first requests, and
-// after an outage of the platform all registrations may be missing until the targets renew
-// them. Requests that arrive in that time are queued, because a late answer is better than a
-// refusal.
+// A daemon that has just started may receive requests shortly before it learns of its targets.
+// After an outage of the platform, with which targets register, all registrations may be missing
+// until the targets renew them. Requests that arrive in that time are queued, because a late
+// answer is better than a refusal.
 func (lead *Leader) withoutTargets(now time.Time) bool {
-	return len(lead.targets) == 0 && now.Sub(lead.emptySince) >= noTargetGrace
+	return len(lead.targets) == 0 && now.Sub(lead.withoutTargetsSince) >= noTargetGrace
 }
 
-// Withdraw removes a waiting request whose caller has left.
+// Withdraw removes a waiting request whose caller has stopped waiting.
 func (lead *Leader) Withdraw(now time.Time, id ID) Decisions {
 	var dec Decisions
 	if lead.queue.remove(id) == nil {
@@ -167,7 +171,7 @@
 	}
 	run.started = true
 	run.targetState.recordReport(now, load)
-	lead.learnFirst(run, took)
+	lead.learnTimeToFirst(run, took)
 	lead.grantSlots(now, &dec)
 	return dec
 }
@@ -180,7 +184,7 @@
 		return dec
 	}
 	if result.TimeToFirst > 0 && !run.started {
-		lead.learnFirst(run, result.TimeToFirst)
+		lead.learnTimeToFirst(run, result.TimeToFirst)
 	}
 	if !run.started {
 		run.targetState.recordReport(now, result.Load)
@@ -191,7 +195,8 @@
 	return dec
 }
 
-// AddRunning counts a run that was granted by another leader.
+// AddRunning adds a run that was granted by another leader, and removes the request from the
+// queue if it was waiting here.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
 	if _, found := lead.runs[running.Request.ID]; found {
 		return
@@ -207,7 +212,7 @@
 }
 
 // DropOwner removes the waiting and running requests of a daemon that is no longer a peer.
-// Targets abort a request when its connection closes, so their slots become free.
+// Targets abort a request when its connection closes, so the slots of its runs become free.
 func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	for id, entry := range lead.queue.byID {
@@ -240,12 +245,13 @@
 }
 
 // SetRemoteLoads sets how many runs the leaders of other data centres have on the given
-// targets, and adopts the paces that they have learned where this leader has too few samples.
+// targets. It adopts the paces that those leaders have learned for targets of which this leader
+// has too few samples.
 func (lead *Leader) SetRemoteLoads(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
 	var dec Decisions
 	for target, load := range loads {
 		if tgt, found := lead.targetsByName[target]; found {
-			tgt.remoteRuns = load.Runs
+			tgt.otherCentreRuns = load.Runs
 			if tgt.adoptPace(load.Pace) {
 				lead.notePaceChange(tgt)
 			}
@@ -258,18 +264,18 @@
 // ClearRemoteLoads clears the numbers of runs that were set by SetRemoteLoads.
 func (lead *Leader) ClearRemoteLoads() {
 	for _, tgt := range lead.targets {
-		tgt.remoteRuns = 0
+		tgt.otherCentreRuns = 0
 	}
 }
 
-// TargetLoad is the number of runs that a leader has on one target, and the pace that it has
-// learned, zero if it knows none.
+// TargetLoad is the number of runs that a leader has on one target, and the pace that the leader
+// has learned for the target, zero if it is unknown.
 type TargetLoad struct {
 	Runs int
 	Pace float64
 }
 
-// Loads iterates over the targets with runs or a known pace.
+// Loads iterates over the targets that have runs of this leader or a known pace.
 func (lead *Leader) Loads() iter.Seq2[yuccaid.Target, TargetLoad] {
 	return func(yield func(yuccaid.Target, TargetLoad) bool) {
 		for _, tgt := range lead.targets {
@@ -294,8 +300,9 @@
 	return found
 }
 
-// Tick makes the decisions that depend only on the current time. Call it every few tens of
-// milliseconds while requests are waiting.
+// Tick makes the decisions that depend on the time that has passed: it forgets runs older than
+// maxRunAge, grants slots of targets whose backoff has passed, and refuses requests that can no
+// longer be served in time. Call it every few tens of milliseconds while requests are waiting.
 func (lead *Leader) Tick(now time.Time) Decisions {
 	var dec Decisions
 	for _, run := range lead.runs {
--- a/core/yuccagrant/learn.go
+++ b/core/yuccagrant/learn.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// learnFirst includes the time to a first event in the pool's latency model and the target's
-// pace.
-func (lead *Leader) learnFirst(run *activeRun, took time.Duration) {
-	net := max(took-run.targetState.RoundTrip, time.Millisecond).Seconds()
-	expected := max(lead.latencyModel.expectedFirst(run.request.Prompt), time.Millisecond).Seconds()
-	reliable := run.request.MaxGap == 0 || lead.lengthModel.learnFirst(run.request.Class, net/run.targetState.pace/expected)
-	if reliable {
-		lead.latencyModel.learnFirst(run.request.Prompt, net/run.targetState.pace)
+// learnTimeToFirst includes the time to a run's first event in the pool's latency model, and in
+// the target's pace if the answer has a single event. A time is left out of the latency model if
+// the class of the request announces wrong prompt lengths. The pace is first learned from the
+// second sample, because the first only defines the latency model.
+func (lead *Leader) learnTimeToFirst(run *activeRun, took time.Duration) {
+	targetTime := max(took-run.targetState.RoundTrip, time.Millisecond).Seconds()
+	expected := max(lead.latencyModel.expectedTimeToFirst(run.request.Prompt), time.Millisecond).Seconds()
+	promptReliable := run.request.MaxGap == 0 || lead.lengthModel.learnTimeToFirst(run.request.Class, targetTime/run.targetState.pace/expected)
+	if promptReliable {
+		lead.latencyModel.learnTimeToFirst(run.request.Prompt, targetTime/run.targetState.pace)
 	}
 	if lead.latencyModel.firstSamples > 1 && run.request.MaxGap == 0 {
-		run.targetState.learnPace(net/expected, singlePaceWeight)
+		run.targetState.learnPace(targetTime/expected, singlePaceWeight)
 		lead.notePaceChange(run.targetState)
 	}
 }
@@ -27,9 +29,12 @@
 	case Served:
 		lead.learnServed(now, run, result)
 	case Failed:
+		// The target answered, so earlier failures to reach it no longer count.
 		tgt.consecutiveFailures = 0
 		tgt.learnFailure(true)
 	case Rejected:
+		// A target that is full gets no requests for half of minBackoff, however often it
+		// rejects them.
 		tgt.learnFailure(true)
 		tgt.backoffUntil = now.Add(minBackoff / 2)
 	case Broken:
@@ -38,9 +43,12 @@
 		tgt.learnFailure(true)
 		tgt.backOff(now)
 	case Dropped:
+		// This outcome says nothing about the target.
 	}
 }
 
+// learnServed learns from a run that was served: how long it occupied its slot, the length of
+// its answer, and the gaps between its events.
 func (lead *Leader) learnServed(now time.Time, run *activeRun, result Finished) {
 	tgt := run.targetState
 	tgt.consecutiveFailures = 0
@@ -63,31 +71,33 @@
 	}
 }
 
-// notePaceChange records that the pace of a target has changed.
+// notePaceChange records that the pace of a target has changed, so that the paces are normalised
+// at the next Tick, and lowers the bound on the cost of targets in other regions if needed.
 func (lead *Leader) notePaceChange(tgt *targetState) {
 	lead.pacesChanged = true
-	lead.remoteBound.pace = min(lead.remoteBound.pace, tgt.pace)
+	lead.remoteBound.minPace = min(lead.remoteBound.minPace, tgt.pace)
 }
 
 // normalisePaces scales the paces and the latency model so that the fastest known target has a
-// pace of 1. Answers determine only the product of both, so without it both could drift.
+// pace of 1. Answers determine only the product of pace and modelled latency, so both could
+// drift in opposite directions otherwise. Deviations of less than 2% are left alone.
 func (lead *Leader) normalisePaces() {
 	if !lead.pacesChanged {
 		return
 	}
 	lead.pacesChanged = false
-	best := math.Inf(1)
+	lowestPace := math.Inf(1)
 	for _, tgt := range lead.targets {
 		if tgt.paceSamples >= minPaceSamples {
-			best = min(best, tgt.pace)
+			lowestPace = min(lowestPace, tgt.pace)
 		}
 	}
-	if math.IsInf(best, 1) || math.Abs(best-1) < 0.02 {
+	if math.IsInf(lowestPace, 1) || math.Abs(lowestPace-1) < 0.02 {
 		return
 	}
 	for _, tgt := range lead.targets {
-		tgt.pace /= best
+		tgt.pace /= lowestPace
 	}
 	lead.remoteBound.configure(lead.targets)
-	lead.latencyModel.scale(best)
+	lead.latencyModel.scale(lowestPace)
 }
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -3,53 +3,55 @@
 import "slices"
 
 const (
-	// maxClasses bounds the number of classes for which lengths are stored.
+	// maxClasses bounds the number of classes for which lengths are stored, because callers can
+	// make up any number of them.
 	maxClasses = 4096
-	// lengthDecay is the factor by which earlier answers of a class are weighted down with each
-	// new one.
+	// lengthDecay is the factor by which the weight of all earlier answers of a class is reduced
+	// with each new answer.
 	lengthDecay = 0.95
-	// minLengthSamples is the number of answers from which a class's own lengths are used
-	// instead of the median of all classes.
+	// minLengthSamples is the number of answers that a class must have for its own lengths to be
+	// used instead of the median over all classes.
 	minLengthSamples = 4
-	// firstRatioWeight is the weight of one answer in a class's ratio of actual to expected
-	// times to the first event.
-	firstRatioWeight = 0.15
-	// maxPromptError bounds the mean factor by which a class's first events may be later or earlier
-	// than expected before its announced prompt lengths are considered wrong.
+	// timeToFirstRatioWeight is the weight of one answer in a class's mean ratio of actual to
+	// expected times to the first event.
+	timeToFirstRatioWeight = 0.15
+	// maxPromptError is the factor by which the mean time to a class's first events may be longer
+	// or shorter than expected before its announced prompt lengths are considered wrong.
 	maxPromptError = 3.0
 )
 
 // lengthModel stores, by class, how long answers are and how far prompts deviate from their
 // announced length. Classes are kept apart so that wrong announcements of one class do not
-// affect what is expected of another class that has been seen.
+// affect what is expected of another class that has enough answers of its own.
 type lengthModel struct {
 	classes map[Class]*classLengths
 	// medianRatio is the median over all classes of the number of events for each announced
-	// token. It is used for classes with too few answers. medianStale reports that it must be
-	// computed again.
+	// token. It is used for classes with too few answers. medianStale reports that medianRatio
+	// must be computed again.
 	medianRatio float64
 	medianStale bool
 }
 
 // classLengths are the decaying sums over the answers of one class.
 type classLengths struct {
-	// weight counts answers, and events sums their events. Over the answers with an announced
-	// length, announcedEvents sums the events and announcedTokens the announced tokens.
+	// weight is the decaying number of answers, and events the sum of their events. Of the
+	// answers with an announced length only, announcedEvents is the sum of the events and
+	// announcedTokens the sum of the announced tokens.
 	weight, events                   float64
 	announcedEvents, announcedTokens float64
-	// meanFirstRatio is the mean ratio of actual to expected times to the first event, over
+	// meanTimeToFirstRatio is the mean ratio of actual to expected times to the first event, over
 	// firstSamples answers.
-	meanFirstRatio float64
-	firstSamples   int
+	meanTimeToFirstRatio float64
+	firstSamples         int
 }
 
 func newLengthModel() lengthModel {
 	return lengthModel{classes: make(map[Class]*classLengths)}
 }
 
-// events returns the expected number of events of an answer, or false if it can't be
-// estimated.
-func (lm *lengthModel) events(req *Request) (float64, bool) {
+// expectedEvents returns the expected number of events of a request's answer, or false if it
+// can't be estimated.
+func (lm *lengthModel) expectedEvents(req *Request) (float64, bool) {
 	cls := lm.classes[req.Class]
 	enough := cls != nil && cls.weight >= minLengthSamples
 	switch {
@@ -63,17 +65,17 @@
 	return 0, false
 }
 
-// firstRatio returns the factor by which a class's first events come later than expected from
-// its announced prompts. It is 1 while the announcements are reliable.
-func (lm *lengthModel) firstRatio(class Class) float64 {
+// timeToFirstRatio returns the factor by which the time to a class's first events differs from
+// the time expected for its announced prompt lengths. It is 1 while these are reliable.
+func (lm *lengthModel) timeToFirstRatio(class Class) float64 {
 	cls := lm.classes[class]
-	if cls == nil || cls.reliable() {
+	if cls == nil || cls.promptsReliable() {
 		return 1
 	}
-	return cls.meanFirstRatio
+	return cls.meanTimeToFirstRatio
 }
 
-// learnAnswer includes the length of a complete answer.
+// learnAnswer includes the number of events of a complete answer.
 func (lm *lengthModel) learnAnswer(req *Request, events int) {
 	cls := lm.forClass(req.Class)
 	cls.weight = cls.weight*lengthDecay + 1
@@ -85,14 +87,14 @@
 	}
 }
 
-// learnFirst includes the ratio of the actual to the expected time to a first event, and
-// reports whether the class announces its prompts reliably enough for the latency model to
-// learn from them.
-func (lm *lengthModel) learnFirst(class Class, ratio float64) bool {
+// learnTimeToFirst includes the ratio of the actual to the expected time to a first event, and
+// reports whether the class announces its prompt lengths reliably enough for the latency model
+// to learn from them.
+func (lm *lengthModel) learnTimeToFirst(class Class, ratio float64) bool {
 	cls := lm.forClass(class)
 	cls.firstSamples++
-	cls.meanFirstRatio += max(firstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.meanFirstRatio)
-	return cls.reliable()
+	cls.meanTimeToFirstRatio += max(timeToFirstRatioWeight, 1/float64(cls.firstSamples)) * (min(ratio, maxPace) - cls.meanTimeToFirstRatio)
+	return cls.promptsReliable()
 }
 
 // updateMedian computes medianRatio if it is stale.
@@ -123,11 +125,13 @@
 			break
 		}
 	}
-	cls := &classLengths{meanFirstRatio: 1}
+	cls := &classLengths{meanTimeToFirstRatio: 1}
 	lm.classes[class] = cls
 	return cls
 }
 
-func (cls *classLengths) reliable() bool {
-	return cls.firstSamples < minLengthSamples || cls.meanFirstRatio > 1/maxPromptError && cls.meanFirstRatio < maxPromptError
+// promptsReliable reports whether the announced prompt lengths of the class are correct to within
+// maxPromptError, judging by its times to the first event. It is true for too few answers.
+func (cls *classLengths) promptsReliable() bool {
+	return cls.firstSamples < minLengthSamples || cls.meanTimeToFirstRatio > 1/maxPromptError && cls.meanTimeToFirstRatio < maxPromptError
 }
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -9,42 +9,45 @@
 )
 
 // One account announces wrong lengths. If that affected what is expected of other accounts,
-// their short requests would be treated as long ones and refused.
+// their short requests would be treated as long ones and refused. The model undisturbed sees only
+// class 1; the model disturbed also sees class 2, which announces wrong lengths.
 func TestOneClassNeverMovesWhatIsExpectedOfAnother(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		alone, beside := newLengthModel(), newLengthModel()
+		undisturbed, disturbed := newLengthModel(), newLengthModel()
 		for range rapid.IntRange(minLengthSamples+1, 40).Draw(rt, "honest answers") {
 			req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced"))}
 			events := rapid.IntRange(1, 400).Draw(rt, "events")
-			ratio := rapid.Float64Range(0.5, 2).Draw(rt, "first")
-			for _, model := range []*lengthModel{&alone, &beside} {
+			ratio := rapid.Float64Range(0.5, 2).Draw(rt, "time to first ratio")
+			for _, model := range []*lengthModel{&undisturbed, &disturbed} {
 				model.learnAnswer(&req, events)
-				model.learnFirst(1, ratio)
+				model.learnTimeToFirst(1, ratio)
 			}
-			wrong := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "lie"))}
-			beside.learnAnswer(&wrong, rapid.IntRange(1, 10_000).Draw(rt, "its events"))
-			beside.learnFirst(2, rapid.Float64Range(0, 1000).Draw(rt, "its first"))
-			alone.updateMedian()
-			beside.updateMedian()
+			wrong := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "wrongly announced"))}
+			disturbed.learnAnswer(&wrong, rapid.IntRange(1, 10_000).Draw(rt, "events of the other class"))
+			disturbed.learnTimeToFirst(2, rapid.Float64Range(0, 1000).Draw(rt, "time to first ratio of the other class"))
+			undisturbed.updateMedian()
+			disturbed.updateMedian()
 		}
-		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
-		want, _ := alone.events(&req)
-		if got, _ := beside.events(&req); got != want && !(req.Answer > 0 && alone.classes[1].announcedTokens == 0) {
+		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced by the request"))}
+		want, _ := undisturbed.expectedEvents(&req)
+		// A class that has never announced an answer length uses the median over all classes for
+		// an announced one, which class 2 affects.
+		if got, _ := disturbed.expectedEvents(&req); got != want && !(req.Answer > 0 && undisturbed.classes[1].announcedTokens == 0) {
 			rt.Fatalf("expected %v events, and %v beside a class with wrong announcements", want, got)
 		}
-		if got := beside.firstRatio(1); got != alone.firstRatio(1) {
-			rt.Fatalf("expected a first event after %v times the estimate, got %v", alone.firstRatio(1), got)
+		if got := disturbed.timeToFirstRatio(1); got != undisturbed.timeToFirstRatio(1) {
+			rt.Fatalf("expected a first event after %v times the estimate, got %v", undisturbed.timeToFirstRatio(1), got)
 		}
 	})
 }
 
-// A caller makes up an unlimited number of routes or keys. What is stored for them must not
-// exhaust memory.
+// A caller makes up an unlimited number of routes or keys, each of which is a new class. The
+// lengths stored for them must not exhaust memory.
 func TestClassesAreBounded(t *testing.T) {
 	model := newLengthModel()
 	for class := range Class(3 * maxClasses) {
 		model.learnAnswer(&Request{Class: class, Answer: 10}, 5)
-		model.learnFirst(class, 1)
+		model.learnTimeToFirst(class, 1)
 	}
 	if len(model.classes) > maxClasses {
 		t.Fatalf("%d classes are stored", len(model.classes))
--- a/core/yuccagrant/load_test.go
+++ b/core/yuccagrant/load_test.go
@@ -9,12 +9,13 @@
 	"yuccacleat/core/yuccagrant"
 )
 
-// mixed returns a fleet with two fast engines for each slow one.
-func mixed() []*engine { return fleet(6, 1, 1, 3, 1, 1, 3) }
+// mixedEngines returns two fast engines for each slow one, with six slots each.
+func mixedEngines() []*engine { return newEngines(6, 1, 1, 3, 1, 1, 3) }
 
 var _ = Describe("callers under load", func() {
-	// A burst of requests arrives, twice as many as the fleet can serve. Without ordering,
-	// letters would fill the engines and notes would be late.
+	// For five seconds twice as many requests arrive as the engines can serve. If requests were
+	// served in order of arrival, letters, which are the least urgent, would fill the engines
+	// and notes, the most urgent requests, would be late.
 	It("get their urgent answers on time in a burst, and letters give way", func() {
 		burst := func(since time.Duration) float64 {
 			if since > 10*time.Second && since < 15*time.Second {
@@ -22,9 +23,9 @@
 			}
 			return 20
 		}
-		scheduled := newSimulation(1, mixed()...)
+		scheduled := newSimulation(1, mixedEngines()...)
 		scheduled.run(30*time.Second, burst)
-		unscheduled := newSimulation(1, mixed()...)
+		unscheduled := newSimulation(1, mixedEngines()...)
 		unscheduled.leastOutstanding = true
 		unscheduled.run(30*time.Second, burst)
 		Expect(scheduled.tally("note").onTimeShare()).To(BeNumerically(">=", 0.97))
@@ -32,9 +33,10 @@
 		Expect(scheduled.tally("").onTime).To(BeNumerically(">", unscheduled.tally("").onTime))
 	})
 
-	// For a minute half as many requests again arrive as the fleet can serve.
+	// For a minute 1.5 times as many requests arrive as the engines can serve. If they were
+	// refused regardless of rank, notes would be refused while letters are served.
 	It("are refused from the lowest rank upwards when the fleet is full for long", func() {
-		sim := newSimulation(2, mixed()...)
+		sim := newSimulation(2, mixedEngines()...)
 		sim.run(60*time.Second, steady(60))
 		note, handover, letter := sim.tally("note"), sim.tally("handover"), sim.tally("letter")
 		Expect(note.onTimeShare()).To(BeNumerically(">=", 0.95))
@@ -43,10 +45,11 @@
 		Expect(note.refused).To(BeNumerically("<=", note.submitted/50))
 	})
 
-	// Refused callers who retry at the time they were given must not find the same queue again.
+	// If the time after which refused callers retry did not grow with the queue, they would
+	// retry while the queue is still full and be refused again.
 	It("are told to retry later the more requests are waiting", func() {
 		meanRetryAfter := func(rate float64) time.Duration {
-			sim := newSimulation(3, mixed()...)
+			sim := newSimulation(3, mixedEngines()...)
 			sim.run(20*time.Second, steady(rate))
 			var sum time.Duration
 			count := 0
@@ -62,9 +65,10 @@
 		Expect(meanRetryAfter(140)).To(BeNumerically(">", meanRetryAfter(60)))
 	})
 
-	// A long wait that ends in a refusal is worse than an immediate refusal.
+	// Under lasting overload a request could wait long and then be refused, which is worse for
+	// its caller than an immediate refusal, or be answered too late.
 	It("don't wait long for a refusal", func() {
-		sim := newSimulation(4, mixed()...)
+		sim := newSimulation(4, mixedEngines()...)
 		sim.run(30*time.Second, steady(90))
 		for _, jb := range sim.all {
 			if jb.refused {
@@ -80,9 +84,10 @@
 		Expect(late).To(BeNumerically("<=", len(sim.all)/400))
 	})
 
-	// One engine becomes eight times slower without reporting it.
+	// One engine becomes eight times slower without reporting it. If the leader did not notice,
+	// that engine would go on getting as many requests as the others, which would be late.
 	It("hardly notice an engine that has turned slow", func() {
-		engines := fleet(6, 1, 1, 1, 1)
+		engines := newEngines(6, 1, 1, 1, 1)
 		sim := newSimulation(5, engines...)
 		sim.run(5*time.Second, steady(25))
 		engines[0].pace = 8
@@ -97,9 +102,10 @@
 		Expect(late).To(BeNumerically("<=", (len(sim.all)-before)/70))
 	})
 
-	// Half of the requests take much longer than the others.
+	// Half of the requests take much longer than the other half. The long ones could occupy all
+	// slots and make the short ones late.
 	It("with short requests aren't held up by long ones", func() {
-		sim := newSimulation(6, fleet(6, 1, 1, 1, 1)...)
+		sim := newSimulation(6, newEngines(6, 1, 1, 1, 1)...)
 		sim.classes = []class{
 			{kind: "short", rank: 1, softDeadline: 500 * time.Millisecond, events: 8, prompt: 300, share: 0.5},
 			{kind: "long", rank: 1, softDeadline: 3 * time.Second, events: 200, prompt: 9000, share: 0.5},
@@ -109,9 +115,12 @@
 		Expect(sim.tally("long").onTimeShare()).To(BeNumerically(">=", 0.95))
 	})
 
+	// One of four engines fails all requests for ten seconds. An engine that fails requests at
+	// once looks idle, and one that hangs holds each request until its deadline; either could
+	// attract request after request. After the ten seconds it works again.
 	DescribeTable("whose target fails lose little more than the requests that were there",
-		func(outcome yuccagrant.Outcome, most float64) {
-			engines := fleet(6, 1, 1, 1, 1)
+		func(outcome yuccagrant.Outcome, maxLostShare float64) {
+			engines := newEngines(6, 1, 1, 1, 1)
 			sim := newSimulation(7, engines...)
 			sim.run(5*time.Second, steady(20))
 			start := sim.now
@@ -129,17 +138,17 @@
 					lost++
 				}
 			}
-			Expect(float64(lost)).To(BeNumerically("<=", most*float64(len(sim.all)-before)))
+			Expect(float64(lost)).To(BeNumerically("<=", maxLostShare*float64(len(sim.all)-before)))
 			engines[1].fails = nil
 			before = len(sim.all)
 			sim.run(10*time.Second, steady(20))
-			used := 0
+			served := 0
 			for _, jb := range sim.all[before:] {
 				if jb.done {
-					used++
+					served++
 				}
 			}
-			Expect(used).To(BeNumerically(">=", (len(sim.all)-before)*97/100))
+			Expect(served).To(BeNumerically(">=", (len(sim.all)-before)*97/100))
 		},
 		Entry("that refuses connections", yuccagrant.Unreachable, 0.01),
 		Entry("that rejects everything", yuccagrant.Rejected, 0.01),
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -6,10 +6,12 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// targetState is a target as configured, and what a leader knows of it.
+// targetState is a target as configured, together with its runs and what the leader has learned
+// of it.
 type targetState struct {
 	Target
-	// totalSlots is the number of the target's slots; Slots is this leader's share of them.
+	// totalSlots is the number of the target's slots. The embedded Slots is set to this leader's
+	// share of them.
 	totalSlots int
 	runs       map[ID]*activeRun
 	// pace is how many times longer the target takes than the fastest one, learned from
@@ -20,29 +22,30 @@
 	// and failureRate the fraction of its runs that failed.
 	lateFraction float64
 	failureRate  float64
-	// backoffUntil is until when the target gets no requests after a failure.
+	// backoffUntil is the time before which the target gets no requests because of a failure.
 	backoffUntil        time.Time
 	consecutiveFailures int
 	// unaccounted is the number of runs that the target reported beyond those that the leaders
-	// know of. It counts until unaccountedUntil.
+	// know of. It is counted as occupied slots until unaccountedUntil.
 	unaccounted      int
 	unaccountedUntil time.Time
-	// remoteRuns is the number of runs that leaders of other data centres reported.
-	remoteRuns int
-	// bias is a small random share of the cost that differs from leader to leader. Without it
-	// all leaders that have not learned anything yet would send their first requests to the
-	// same target.
+	// otherCentreRuns is the number of runs on this target that the leaders of other data
+	// centres reported.
+	otherCentreRuns int
+	// bias is a small random number that differs from leader to leader. The target's cost is
+	// increased by this share of the expected time to the first event. Otherwise all leaders
+	// that have not learned anything yet would send their first requests to the same target.
 	bias float64
 }
 
-// activeRun is a request that was sent to a target. started reports that its first event has
-// come, and expected is the time from sending after which it was expected.
+// activeRun is a request that was sent to a target and has not finished. started reports that
+// its first event has come, and dueAfter is the expected time from sending to the first event.
 type activeRun struct {
 	request     Request
 	targetState *targetState
 	sent        time.Time
 	started     bool
-	expected    time.Duration
+	dueAfter    time.Duration
 }
 
 func newTargetState(target Target, bias float64) *targetState {
@@ -65,7 +68,7 @@
 
 // busySlots returns how many slots of the target are occupied, as far as is known.
 func (tgt *targetState) busySlots(now time.Time) int {
-	sum := len(tgt.runs) + tgt.remoteRuns
+	sum := len(tgt.runs) + tgt.otherCentreRuns
 	if now.Before(tgt.unaccountedUntil) {
 		sum += tgt.unaccounted
 	}
@@ -83,14 +86,14 @@
 	return max(tgt.Slots+(tgt.Slots+overcommitDivisor-1)/overcommitDivisor-tgt.busySlots(now), 0)
 }
 
-// recordReport records the load that the target reported. The numbers of runs that leaders of
-// other data centres reported are slightly older, so a difference of one or two runs is
-// ignored.
+// recordReport compares the load that the target reported with the runs that the leaders know
+// of. What the leaders of other data centres reported is slightly older than the target's own
+// report, so a difference of one or two runs is ignored.
 func (tgt *targetState) recordReport(now time.Time, load ReportedLoad) {
 	if !load.Known {
 		return
 	}
-	tgt.unaccounted = max(load.Running+load.Waiting-len(tgt.runs)-tgt.remoteRuns-unaccountedSlack, 0)
+	tgt.unaccounted = max(load.Running+load.Waiting-len(tgt.runs)-tgt.otherCentreRuns-unaccountedSlack, 0)
 	tgt.unaccountedUntil = now.Add(unaccountedTTL)
 }
 
@@ -98,15 +101,16 @@
 //
 // A target that hangs or drops requests fails each one after a long time, and a target that
 // refuses connections fails each one at once and so always looks idle. Either would attract
-// request after request. One failure causes a short backoff, consecutive failures cause longer
-// ones, and an overdue run keeps other requests away until its first event or its end.
+// request after request. One failure causes a short backoff and consecutive failures cause
+// longer ones. While a run is overdue, its target gets no other requests until the first event
+// of the run or until the run finishes.
 func (tgt *targetState) backingOff(now time.Time) bool {
 	return now.Before(tgt.backoffUntil) || tgt.hasOverdueRun(now)
 }
 
 func (tgt *targetState) hasOverdueRun(now time.Time) bool {
 	for _, run := range tgt.runs {
-		if !run.started && now.Sub(run.sent) > time.Duration(overdueRatio*float64(run.expected))+overdueSlack {
+		if !run.started && now.Sub(run.sent) > time.Duration(overdueRatio*float64(run.dueAfter))+overdueSlack {
 			return true
 		}
 	}
@@ -115,6 +119,7 @@
 
 // backOff records a failure after which the target gets no requests for a while.
 func (tgt *targetState) backOff(now time.Time) {
+	// The shift is bounded because the delay would otherwise overflow.
 	delay := min(minBackoff<<min(tgt.consecutiveFailures, 8), maxBackoff)
 	tgt.consecutiveFailures++
 	tgt.backoffUntil = now.Add(delay)
@@ -128,18 +133,19 @@
 	tgt.failureRate += failureWeight * (sample - tgt.failureRate)
 }
 
-// learnPace includes one answer in the target's pace: ratio is its duration divided by the one
-// expected on the fastest target. The weight depends on the kind of answer, because the time
-// between events depends mostly on the target and the time to a single answer depends as much
-// on the request.
+// learnPace includes one answer in the target's pace. ratio is the time that the answer took,
+// divided by the time expected on the fastest target. weight depends on the kind of answer: the
+// time between two events depends mostly on the target, but the duration of an answer with a
+// single event depends as much on the request.
 func (tgt *targetState) learnPace(ratio, weight float64) {
 	ratio = min(max(ratio, 1/maxPace), maxPace)
 	tgt.paceSamples++
 	tgt.pace += max(weight, 1/float64(tgt.paceSamples)) * (ratio - tgt.pace)
 }
 
-// adoptPace sets the pace to one that another leader has learned, unless this leader has enough
-// samples, and reports whether it did.
+// adoptPace sets the pace to the given pace, which another leader has learned, and reports
+// whether it did. It does nothing if this leader has enough samples of its own, or if the given
+// pace is zero, which means unknown.
 func (tgt *targetState) adoptPace(pace float64) bool {
 	if tgt.paceSamples >= minPaceSamples || pace <= 0 {
 		return false
@@ -157,6 +163,7 @@
 	tgt.lateFraction += lateGapWeight * (sample - tgt.lateFraction)
 }
 
+// failedBefore reports whether the request has already failed on this target.
 func (tgt *targetState) failedBefore(req *Request) bool {
 	for _, name := range req.FailedTargets {
 		if name == tgt.Name {
@@ -166,7 +173,7 @@
 	return false
 }
 
-// TargetStatus is a target as the leader sees it, for operators.
+// TargetStatus is the state of a target that a leader shows to operators.
 type TargetStatus struct {
 	Target       yuccaid.Target `json:"target"`
 	Busy         int            `json:"busy"`
--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -13,25 +13,25 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// feed is the traffic of a feed dispatch: plans with long prompts are the most urgent, then
-// come questions, then labels.
-var feed = []class{
+// feedClasses is the traffic of an application called the feed dispatch: plans, which have long
+// prompts, are the most urgent, then come questions, then labels.
+var feedClasses = []class{
 	{kind: "plan", rank: 0, softDeadline: 1200 * time.Millisecond, deadline: 4800 * time.Millisecond, events: 64, prompt: 6610, share: 0.232},
 	{kind: "question", rank: 1, softDeadline: 600 * time.Millisecond, deadline: 4 * time.Second, events: 49, prompt: 628, share: 0.413},
 	{kind: "label", rank: 2, softDeadline: 800 * time.Millisecond, deadline: 3 * time.Second, events: 4, prompt: 1800, share: 0.355},
 }
 
-// newFeedSimulation returns a simulation of nine engines with three paces, which are nearly
-// full at 50 requests a second.
+// newFeedSimulation returns a simulation of nine engines with three different paces, which are
+// nearly full at 50 requests of feedClasses a second.
 func newFeedSimulation(seed uint64) *simulation {
 	sim := newSimulation(seed, batchingEngines(0.55, 0.55, 0.55, 1, 1, 1, 2.8, 2.8, 2.8)...)
-	sim.classes = feed
+	sim.classes = feedClasses
 	sim.maxGap = 500 * time.Millisecond
 	return sim
 }
 
-// twoBursts is a rate of 50 requests a second, doubled once for five seconds and once for two
-// and a half.
+// twoBursts returns the rate in requests a second: 50, and 100 during one burst of 5 s and another
+// of 2.5 s.
 func twoBursts(since time.Duration) float64 {
 	second := since.Seconds()
 	if second > 5 && second < 10 || second > 15 && second < 17.5 {
@@ -42,8 +42,8 @@
 
 var _ = Describe("a feed dispatch", func() {
 	// Two bursts arrive at nine engines that are nearly full already. If requests were served
-	// in order of arrival, or by rank alone, many short ones would be refused because of a few
-	// long ones.
+	// in order of arrival, or by rank alone, many short requests would be refused because of a
+	// few long ones.
 	It("serves nearly all callers through two bursts, long requests and urgent ones among them", func() {
 		for seed := range uint64(4) {
 			sim := newFeedSimulation(seed)
@@ -52,13 +52,14 @@
 			Expect(all.servedShare()).To(BeNumerically(">=", 0.9), "of all, seed %d", seed)
 			Expect(plan.servedShare()).To(BeNumerically(">=", all.servedShare()-0.05), "of plans, seed %d", seed)
 			for _, kind := range []string{"plan", "question", "label"} {
-				long, whole := sim.largestTenth(kind), sim.tally(kind)
-				Expect(long.servedShare()).To(BeNumerically(">=", 0.5*whole.servedShare()), "of the largest tenth of %ss, seed %d", kind, seed)
+				largest, ofKind := sim.largestTenth(kind), sim.tally(kind)
+				Expect(largest.servedShare()).To(BeNumerically(">=", 0.5*ofKind.servedShare()), "of the largest tenth of %ss, seed %d", kind, seed)
 			}
 		}
 	})
 
-	// For twenty seconds twice as many requests arrive as the engines can serve.
+	// For twenty seconds twice as many requests arrive as the engines can serve. Plans are the
+	// longest requests, so an order by work alone would refuse the most urgent ones first.
 	It("gives urgent requests no less than others while it is full for long", func() {
 		sim := newFeedSimulation(11)
 		sim.run(20*time.Second, steady(100))
@@ -67,24 +68,26 @@
 		Expect(sim.tally("").servedShare()).To(BeNumerically(">=", 0.6))
 	})
 
-	// For a minute nearly twice as many requests arrive as the engines can serve. The largest
-	// requests, which come last in each rank when ordered by work, would get no slots in that
+	// For a minute nearly twice as many requests arrive as the engines can serve. If requests of
+	// a rank were always ordered by work, the largest would come last and get no slots in that
 	// time.
 	It("doesn't refuse all large requests while it is full for long", func() {
 		for seed := range uint64(3) {
 			sim := newFeedSimulation(seed)
 			sim.run(60*time.Second, steady(90))
 			for _, kind := range []string{"plan", "question", "label"} {
-				long, whole := sim.largestTenth(kind), sim.tally(kind)
-				Expect(long.servedShare()).To(BeNumerically(">=", 0.5*whole.servedShare()), "of the largest tenth of %ss, seed %d", kind, seed)
+				largest, ofKind := sim.largestTenth(kind), sim.tally(kind)
+				Expect(largest.servedShare()).To(BeNumerically(">=", 0.5*ofKind.servedShare()), "of the largest tenth of %ss, seed %d", kind, seed)
 			}
 		}
 	})
 
-	// Enough short, less urgent requests arrive to fill all engines. They would overtake a long
-	// urgent request until its caller leaves.
+	// Enough short, less urgent requests arrive to fill all slots. Because they are shorter by
+	// more than the factor between the ranks, they could overtake a long urgent request until
+	// its caller stops waiting.
 	It("lets no less urgent request overtake one that has waited for half of the time to its deadline", func() {
 		lead, now := leaderWithHistory(shortClass, longClass)
+		// Eight requests occupy the slots and two more wait in the target's own queue.
 		running, number := lead.fill(now, shortClass, 8+2)
 		start := now
 		lead.Submit(now, requestOf(1, longClass, now))
@@ -94,48 +97,50 @@
 			number++
 			Expect(lead.Submit(now, requestOf(number, shortClass, now)).Grants).To(BeEmpty())
 			lead.Tick(now)
-			granted := lead.end(now, running[0])
+			granted := lead.finish(now, running[0])
 			running = append(running[1:], granted)
 			if granted == idOf(1) {
-				Expect(waited).To(BeNumerically(">=", 1900*time.Millisecond), "it was never passed")
+				Expect(waited).To(BeNumerically(">=", 1900*time.Millisecond), "it was granted before less urgent requests had overtaken it for half of its time")
 				break
 			}
 		}
 	})
 
 	// One account sends six times its usual load to engines that are nearly full without it.
-	// Most of its requests are over its quota, though still below the limit that operators
-	// tolerate, and would take the slots of accounts within their quotas.
+	// Four of five of its requests are over its quota, though still below the limit up to which
+	// operators tolerate that, so they reach the leader. If they were as urgent as requests
+	// within the quota, they would take the slots of accounts that keep to theirs.
 	It("serves accounts within their quotas while another one exceeds its own", func() {
-		othersServed := func(over bool) float64 {
+		othersServedShare := func(overQuota bool) float64 {
 			var others tally
 			for seed := range uint64(3) {
 				sim := newFeedSimulation(seed)
-				sim.classes = slices.Clone(feed)
-				for _, cls := range feed {
+				sim.classes = slices.Clone(feedClasses)
+				for _, cls := range feedClasses {
 					cls.kind, cls.share = "rushing "+cls.kind, cls.share*0.5
-					cls.misannounce = func(req *yuccagrant.Request) { req.OverQuota = over && req.ID.Number%5 > 0 }
+					cls.alterRequest = func(req *yuccagrant.Request) { req.OverQuota = overQuota && req.ID.Number%5 > 0 }
 					sim.classes = append(sim.classes, cls)
 				}
-				for at := range feed {
+				for at := range feedClasses {
 					sim.classes[at].share *= 0.5
 				}
 				sim.run(15*time.Second, steady(90))
-				for _, cls := range feed {
+				for _, cls := range feedClasses {
 					others.add(sim.tally(cls.kind))
 				}
 			}
 			return others.servedShare()
 		}
-		Expect(othersServed(true)).To(BeNumerically(">=", 0.95))
-		Expect(othersServed(true)).To(BeNumerically(">=", othersServed(false)+0.05))
+		Expect(othersServedShare(true)).To(BeNumerically(">=", 0.95))
+		Expect(othersServedShare(true)).To(BeNumerically(">=", othersServedShare(false)+0.05))
 	})
 
-	// An account announces one token for each of its long answers, or 50,000 tokens for each of
-	// its short prompts, while the engines are full.
+	// While the engines are full, one account announces lengths that are far too small or far
+	// too large, such as one token for each of its long answers. If announcements were believed,
+	// its requests would go before those of other accounts, or distort what is expected of them.
 	DescribeTable("gives an account that announces wrong lengths no more than one that announces none",
 		func(misannounce func(req *yuccagrant.Request)) {
-			Expect(servedBeside(misannounce)).To(BeNumerically(">=", servedBeside(func(req *yuccagrant.Request) { req.Prompt, req.Answer = 0, 0 })-0.02))
+			Expect(othersServedShareBeside(misannounce)).To(BeNumerically(">=", othersServedShareBeside(func(req *yuccagrant.Request) { req.Prompt, req.Answer = 0, 0 })-0.02))
 		},
 		Entry("one token of each answer", func(req *yuccagrant.Request) { req.Answer = 1 }),
 		Entry("one token of each prompt", func(req *yuccagrant.Request) { req.Prompt = 1 }),
@@ -144,19 +149,19 @@
 	)
 })
 
-// servedBeside returns the share of all other requests that is served while one account
-// announces wrong lengths for its questions.
-func servedBeside(misannounce func(req *yuccagrant.Request)) float64 {
+// othersServedShareBeside returns the share of the requests of other accounts that is served while
+// one account, which sends half of the questions, announces wrong lengths for them.
+func othersServedShareBeside(misannounce func(req *yuccagrant.Request)) float64 {
 	var sum tally
 	for seed := range uint64(3) {
 		sim := newFeedSimulation(seed)
-		sim.classes = slices.Clone(feed)
+		sim.classes = slices.Clone(feedClasses)
 		sim.classes[1].share /= 2
 		wrongClass := sim.classes[1]
-		wrongClass.kind, wrongClass.misannounce = "liar", misannounce
+		wrongClass.kind, wrongClass.alterRequest = "liar", misannounce
 		sim.classes = append(sim.classes, wrongClass)
 		sim.run(20*time.Second, steady(75))
-		for _, cls := range feed {
+		for _, cls := range feedClasses {
 			sum.add(sim.tally(cls.kind))
 		}
 	}
@@ -168,10 +173,11 @@
 	longClass  = class{kind: "slow", rank: 0, events: 200}
 )
 
-// eightSlotLeader is a leader with a single target of eight slots.
+// eightSlotLeader is a leader with a single target, which has eight slots.
 type eightSlotLeader struct{ *yuccagrant.Leader }
 
-// leaderWithHistory returns a leader that has seen answers of the given classes.
+// leaderWithHistory returns a leader that has learned from forty answers of the given classes, and
+// the simulated time after them.
 func leaderWithHistory(classes ...class) (eightSlotLeader, time.Time) {
 	lead := eightSlotLeader{yuccagrant.New(rand.New(rand.NewPCG(1, 1)))}
 	now := time.Unix(1_700_000_000, 0)
@@ -188,8 +194,8 @@
 	return lead, now
 }
 
-// fill submits requests that must be granted at once, and returns their IDs and the next free
-// number.
+// fill submits count requests that must be granted at once, and returns their IDs and the number
+// that follows the last one used.
 func (lead eightSlotLeader) fill(now time.Time, cls class, count int) (running []yuccagrant.ID, number uint64) {
 	for number = 2000; number < 2000+uint64(count); number++ {
 		dec := lead.Submit(now, requestOf(number, cls, now))
@@ -199,8 +205,8 @@
 	return running, number
 }
 
-// end finishes a run and returns the request that gets its slot.
-func (lead eightSlotLeader) end(now time.Time, id yuccagrant.ID) yuccagrant.ID {
+// finish finishes a run and returns the ID of the request that is granted its slot.
+func (lead eightSlotLeader) finish(now time.Time, id yuccagrant.ID) yuccagrant.ID {
 	dec := lead.RunFinished(now, yuccagrant.Finished{ID: id, Outcome: yuccagrant.Served, TimeToFirst: 50 * time.Millisecond, Events: 2, Span: 10 * time.Millisecond})
 	Expect(dec.Grants).To(HaveLen(1))
 	return dec.Grants[0].ID
@@ -215,7 +221,7 @@
 	}
 }
 
-// BenchmarkFullQueue measures a request that arrives while the queue is nearly full, and the
+// BenchmarkFullQueue measures the submission of a request while the queue is nearly full, and the
 // finish of a run.
 func BenchmarkFullQueue(b *testing.B) {
 	RegisterTestingT(b)
@@ -230,6 +236,6 @@
 	for b.Loop() {
 		number++
 		lead.Submit(now, requestOf(number, shortClass, now))
-		running = append(running[1:], lead.end(now, running[0]))
+		running = append(running[1:], lead.finish(now, running[0]))
 	}
 }
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -7,27 +7,30 @@
 	"time"
 )
 
-// cannotMeetDeadline reports whether a request that got no slot should be refused at once.
+// cannotMeetDeadline reports whether a waiting request should be refused now because its first
+// event is expected too late.
 //
 // Under overload a queue that accepts all requests makes all of them late. A caller who is
-// refused at once and told when to retry loses nothing. But while requests of lower ranks run,
-// their slots will become free, and a request of a higher rank is not refused before that.
+// refused at once and told when to retry loses nothing. But while less urgent requests run, their
+// slots will become free soon, so a more urgent request may then wait longer, as lateStartShare
+// says.
 func (lead *Leader) cannotMeetDeadline(now time.Time, entry *queueEntry) bool {
 	if lead.latencyModel.holdSamples < minHoldSamples {
 		// Too few runs have finished to estimate waiting times.
 		return !now.Before(entry.Deadline)
 	}
-	start := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedFirst(&entry.Request))
-	if start <= entry.SoftDeadline.Sub(now)+lateStartSlack {
+	timeToFirst := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedTimeToFirst(&entry.Request))
+	if timeToFirst <= entry.SoftDeadline.Sub(now)+lateStartSlack {
 		return false
 	}
 	if lead.lessUrgentRunning(&entry.Request) {
-		return start > time.Duration(lateStartShare*float64(entry.Deadline.Sub(now)))
+		return timeToFirst > time.Duration(lateStartShare*float64(entry.Deadline.Sub(now)))
 	}
 	return true
 }
 
-// lessUrgentRunning reports whether a less urgent request is running.
+// lessUrgentRunning reports whether a request of a less urgent tier or effective rank than the
+// given one is running.
 func (lead *Leader) lessUrgentRunning(request *Request) bool {
 	for _, run := range lead.runs {
 		if cmp.Or(cmp.Compare(run.request.Tier, request.Tier), cmp.Compare(run.request.effectiveRank(), request.effectiveRank())) > 0 {
@@ -37,7 +40,8 @@
 	return false
 }
 
-// refuseExpired refuses the waiting requests that can no longer be served in time.
+// refuseExpired refuses the waiting requests that are past their deadline, and those past their
+// soft deadline whose first event is expected too late.
 func (lead *Leader) refuseExpired(now time.Time, dec *Decisions) {
 	if len(lead.targets) == 0 {
 		lead.refuseWithoutTargets(now, dec)
@@ -53,7 +57,7 @@
 }
 
 // refuseWithoutTargets refuses waiting requests of a pool without targets: those past their
-// soft deadline, or all if no target is expected soon.
+// soft deadline, or all of them if no target is expected soon.
 func (lead *Leader) refuseWithoutTargets(now time.Time, dec *Decisions) {
 	var expired []*queueEntry
 	for _, entry := range lead.queue.byID {
@@ -64,6 +68,8 @@
 	lead.refuseAll(now, expired, ReasonNoTarget, dec)
 }
 
+// refuseAll removes the given requests from the queue and refuses them, in the order of their
+// numbers.
 func (lead *Leader) refuseAll(now time.Time, expired []*queueEntry, reason Reason, dec *Decisions) {
 	slices.SortFunc(expired, func(a, b *queueEntry) int { return cmp.Compare(a.ID.Number, b.ID.Number) })
 	for _, entry := range expired {
@@ -81,11 +87,11 @@
 	})
 }
 
-// retryAfter returns the time after which a refused caller should retry: when the requests
-// waiting in its tier and in more urgent ones have been served. It is spread at random, because
-// callers that are refused together would otherwise retry as one burst.
+// retryAfter returns the time after which a refused caller should retry: the estimated time in
+// which the requests waiting in its tier and in more urgent tiers are served. A random part is
+// added, because callers that are refused together would otherwise retry in one burst.
 func (lead *Leader) retryAfter(now time.Time, tier int) time.Duration {
-	estimatedWait := lead.estimatedWait(now, lead.queue.workAhead(tier, math.Inf(1))+lead.latencyModel.expectedHold())
-	estimatedWait = min(max(estimatedWait, minRetryAfter), maxRetryAfter)
-	return estimatedWait + time.Duration(lead.rng.Float64()*retryJitter*float64(estimatedWait))
+	wait := lead.estimatedWait(now, lead.queue.workAhead(tier, math.Inf(1))+lead.latencyModel.expectedHold())
+	wait = min(max(wait, minRetryAfter), maxRetryAfter)
+	return wait + time.Duration(lead.rng.Float64()*retryJitter*float64(wait))
 }
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -9,23 +9,26 @@
 //
 // Within a tier requests are ordered by expected work: a request that occupies its slot briefly
 // goes before a longer one, and before one of a more urgent rank if it is shorter by more than
-// the factor between the ranks. Requests that can still be on time go before late ones. A
-// request that has waited for long is no longer overtaken by less urgent ones.
+// the factor between the ranks. Requests that can still be on time go before late ones. Once a
+// request is starved, those of its tier that are at least as urgent are all granted slots before
+// the less urgent ones.
 func (lead *Leader) grantSlots(now time.Time, dec *Decisions) {
 	for _, tier := range lead.queue.tiers {
-		effectiveRank, found := tier.starved(now)
+		starvedRank, found := tier.mostUrgentStarved(now)
 		if !found {
 			lead.grantTier(now, tier, anyRank, dec)
 			continue
 		}
-		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() <= effectiveRank }, dec)
-		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() > effectiveRank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() <= starvedRank }, dec)
+		lead.grantTier(now, tier, func(entry *queueEntry) bool { return entry.effectiveRank() > starvedRank }, dec)
 	}
 }
 
 func anyRank(*queueEntry) bool { return true }
 
-// grantTier grants slots to the eligible requests of one tier.
+// grantTier grants slots to the eligible requests of one tier: first to those that can still be
+// on time, then to late ones. A granted request leaves tier.entries, so at then already points to
+// the next one.
 func (lead *Leader) grantTier(now time.Time, tier *tierQueue, eligible func(*queueEntry) bool, dec *Decisions) {
 	for _, onTime := range []bool{true, false} {
 		missed := 0
@@ -42,9 +45,9 @@
 	}
 }
 
-// tryGrant grants a request its best target and reports whether it did. A request that can
-// still be on time waits instead of taking a target where it would be late, if a better one is
-// likely to become free in time.
+// tryGrant assigns a request to its best target and reports whether it did. A request that can
+// still be on time is not assigned to a target where it would be late if a suitable target is
+// likely to have a free slot in time.
 func (lead *Leader) tryGrant(now time.Time, entry *queueEntry, dec *Decisions) bool {
 	best := lead.chooseTarget(now, &entry.Request)
 	if best.targetState == nil {
@@ -57,63 +60,66 @@
 	lead.sizeStats.learn(entry.effectiveRank(), entry.expectedWork, true)
 	busySlots := best.targetState.busySlots(now)
 	lead.addRun(now, best.targetState, entry.Request)
-	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.targetState.Name, ExpectedFirst: best.expectedFirst, Busy: busySlots})
+	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.targetState.Name, ExpectedFirst: best.expectedTimeToFirst, Busy: busySlots})
 	return true
 }
 
 // worthWaiting reports whether a target that is suitable for the request is likely to have a
 // free slot while the request can still be on time.
 func (lead *Leader) worthWaiting(now time.Time, req *Request) bool {
-	wait := lead.nextFreeSlot(now)
+	wait := lead.timeToFreeSlot(now)
 	base := lead.baseline(req)
 	for _, tgt := range lead.targets {
 		if tgt.backingOff(now) || tgt.failedBefore(req) {
 			continue
 		}
 		candidate := lead.estimate(now, tgt, req, &base)
-		if candidate.suitable && candidate.expectedFirst+wait <= time.Duration(softDeadlineShare*float64(req.SoftDeadline.Sub(now))) {
+		if candidate.suitable && candidate.expectedTimeToFirst+wait <= time.Duration(softDeadlineShare*float64(req.SoftDeadline.Sub(now))) {
 			return true
 		}
 	}
 	return false
 }
 
-// nextFreeSlot returns the mean time until a slot becomes free.
-func (lead *Leader) nextFreeSlot(now time.Time) time.Duration {
+// timeToFreeSlot returns the mean time until one slot of any target becomes free.
+func (lead *Leader) timeToFreeSlot(now time.Time) time.Duration {
 	return lead.estimatedWait(now, lead.latencyModel.expectedHold())
 }
 
 // estimatedWait returns how long the targets take for the given work, which is in seconds of one
-// slot of the fastest target.
+// slot of the fastest target. At least half a slot is assumed, so that the result is defined
+// while no target can be used.
 func (lead *Leader) estimatedWait(now time.Time, work float64) time.Duration {
 	return seconds(work / max(lead.slotCapacity(now), 0.5))
 }
 
-// newEntry returns a queue entry for a request.
+// newEntry returns a queue entry for a request, with its expected work and sort key.
 func (lead *Leader) newEntry(now time.Time, req Request) *queueEntry {
 	expectedWork := lead.expectedWork(&req)
-	weight := math.Pow(rankFactor, float64(req.effectiveRank()))
-	return &queueEntry{Request: req, submitted: now, expectedWork: expectedWork, sortKey: weight * lead.sizeStats.orderingWork(req.effectiveRank(), expectedWork)}
+	rankWeight := math.Pow(rankFactor, float64(req.effectiveRank()))
+	return &queueEntry{Request: req, submitted: now, expectedWork: expectedWork, sortKey: rankWeight * lead.sizeStats.orderingWork(req.effectiveRank(), expectedWork)}
 }
 
 // expectedWork returns how long a run is expected to occupy a slot of the fastest target, in
 // seconds.
 func (lead *Leader) expectedWork(req *Request) float64 {
-	events, known := lead.lengthModel.events(req)
+	events, known := lead.lengthModel.expectedEvents(req)
 	if req.MaxGap <= 0 || !known {
 		return lead.latencyModel.expectedHold()
 	}
-	return lead.expectedFirst(req) + lead.latencyModel.gap()*max(events-1, 0)
+	return lead.expectedTimeToFirst(req) + lead.latencyModel.gap()*max(events-1, 0)
 }
 
-// expectedFirst returns the expected time to the first event on the fastest target, in seconds.
-func (lead *Leader) expectedFirst(req *Request) float64 {
-	return lead.latencyModel.expectedFirst(req.Prompt).Seconds() * lead.lengthModel.firstRatio(req.Class)
+// expectedTimeToFirst returns the expected time to the first event on the fastest target, in
+// seconds.
+func (lead *Leader) expectedTimeToFirst(req *Request) float64 {
+	return lead.latencyModel.expectedTimeToFirst(req.Prompt).Seconds() * lead.lengthModel.timeToFirstRatio(req.Class)
 }
 
+// addRun counts a request as sent to a target now.
 func (lead *Leader) addRun(now time.Time, tgt *targetState, request Request) *activeRun {
 	base := lead.baseline(&request)
-	run := &activeRun{request: request, targetState: tgt, sent: now, expected: lead.estimate(now, tgt, &request, &base).expectedFirst}
+	run := &activeRun{request: request, targetState: tgt, sent: now, dueAfter: lead.estimate(now, tgt, &request, &base).expectedTimeToFirst}
 	lead.runs[request.ID] = run
 	tgt.runs[request.ID] = run
 	return run
--- a/core/yuccagrant/sizes.go
+++ b/core/yuccagrant/sizes.go
@@ -1,32 +1,33 @@
 package yuccagrant
 
 const (
-	// largeFactor is the factor above the mean work of its rank that makes a request large.
+	// A request is large if its expected work is more than largeFactor times the mean expected
+	// work of its rank.
 	largeFactor = 2.0
 	// Large requests are moved forward in the queue while the share of them that is served is
-	// below minServedRatio times the share of all requests of their rank.
+	// below minServedRatio times the served share of all requests of their rank.
 	minServedRatio = 0.6
-	// priorityDivisor divides the mean work of the rank to give the work that such a large
-	// request is ordered by.
+	// A large request that is moved forward is ordered as if its work were the mean work of its
+	// rank divided by priorityDivisor.
 	priorityDivisor = 4
 	// rankStatsWeight is the weight of one request in the mean work and the served share of its
-	// rank, and largeServedWeight the weight of a large one in the served share of large
-	// requests, of which there are few.
+	// rank. largeServedWeight is the weight of one large request in the served share of large
+	// requests; it is higher because there are few of them.
 	rankStatsWeight   = 0.02
 	largeServedWeight = 0.05
 )
 
-// sizeStats prevents large requests from being refused for as long as engines are full.
+// sizeStats prevents all large requests from being refused while the targets are full.
 //
 // If requests were ordered by work alone, the largest tenth of a rank would get no slots while
-// twice as many requests arrive as the engines can serve, although most of the others are
-// served.
+// twice as many requests arrive as the targets can serve, although most of the smaller requests
+// are served. Ranks are effective ranks here.
 type sizeStats struct {
 	ranks map[int]*rankStats
 }
 
-// rankStats are the mean work of the requests of one rank, and the shares of all and of the
-// large ones that are served.
+// rankStats holds the mean expected work of the requests of one rank, in seconds of one slot of
+// the fastest target, the share of them that is served, and the served share of the large ones.
 type rankStats struct {
 	meanWork                      float64
 	servedShare, largeServedShare float64
@@ -36,8 +37,8 @@
 	return sizeStats{ranks: make(map[int]*rankStats)}
 }
 
-// orderingWork returns the work that a request is ordered by: its own, or a fraction of the
-// mean if large requests are served too seldom.
+// orderingWork returns the work that a request is ordered by: its own expected work, or a
+// fraction of the mean of its rank if it is large and large requests are served too seldom.
 func (ss *sizeStats) orderingWork(rank int, work float64) float64 {
 	stats := ss.ranks[rank]
 	if stats == nil || work <= largeFactor*stats.meanWork || stats.largeServedShare >= minServedRatio*stats.servedShare {
@@ -46,7 +47,7 @@
 	return stats.meanWork / priorityDivisor
 }
 
-// learn records whether a request was served.
+// learn records whether a request was served, which means granted a slot, or refused.
 func (ss *sizeStats) learn(rank int, work float64, served bool) {
 	stats := ss.ranks[rank]
 	if stats == nil {
--- a/core/yuccagrant/waiting.go
+++ b/core/yuccagrant/waiting.go
@@ -10,17 +10,18 @@
 type queueEntry struct {
 	Request
 	submitted time.Time
-	// expectedWork is how long a run is expected to occupy a slot of the fastest target, in
-	// seconds. sortKey is that work weighted by rank; within a tier the entry with the lowest
-	// goes first.
+	// expectedWork is how long the request is expected to occupy a slot of the fastest target,
+	// in seconds. sortKey is the work that the request is ordered by, weighted by rank; within a
+	// tier the entry with the lowest sortKey goes first.
 	expectedWork float64
 	sortKey      float64
 }
 
-// onTime reports whether the first event can still be on time.
+// onTime reports whether the soft deadline has not passed, so that the first event can still be
+// on time.
 func (entry *queueEntry) onTime(now time.Time) bool { return !entry.SoftDeadline.Before(now) }
 
-// starved reports whether the request has waited so long that less urgent ones may no longer
+// starved reports whether the request has waited so long that less urgent requests may no longer
 // overtake it.
 func (entry *queueEntry) starved(now time.Time) bool {
 	return now.Sub(entry.submitted) > time.Duration(starvationShare*float64(entry.Deadline.Sub(entry.submitted)))
@@ -32,15 +33,15 @@
 	entries []*queueEntry
 }
 
-// starved returns the effective rank of the most urgent request that is starved, and whether
-// there is one.
-func (tq *tierQueue) starved(now time.Time) (effectiveRank int, found bool) {
+// mostUrgentStarved returns the effective rank of the most urgent request that is starved, and
+// whether any request is starved.
+func (tq *tierQueue) mostUrgentStarved(now time.Time) (rank int, found bool) {
 	for _, entry := range tq.entries {
-		if (!found || entry.effectiveRank() < effectiveRank) && entry.starved(now) {
-			effectiveRank, found = entry.effectiveRank(), true
+		if (!found || entry.effectiveRank() < rank) && entry.starved(now) {
+			rank, found = entry.effectiveRank(), true
 		}
 	}
-	return effectiveRank, found
+	return rank, found
 }
 
 // queue holds the waiting requests, the most urgent tier first.
@@ -53,6 +54,7 @@
 	return queue{byID: make(map[ID]*queueEntry)}
 }
 
+// push inserts an entry behind all entries of its tier with the same or a lower sortKey.
 func (q *queue) push(entry *queueEntry) {
 	at, found := slices.BinarySearchFunc(q.tiers, entry.Tier, func(tq *tierQueue, tier int) int { return cmp.Compare(tq.tier, tier) })
 	if !found {
@@ -69,6 +71,7 @@
 	q.byID[entry.ID] = entry
 }
 
+// remove removes a request and returns its entry, or nil if it isn't waiting.
 func (q *queue) remove(id ID) *queueEntry {
 	entry, found := q.byID[id]
 	if !found {
@@ -86,8 +89,8 @@
 
 func (q *queue) len() int { return len(q.byID) }
 
-// workAhead returns the sum of the work that is served before a request of the given tier and
-// sortKey, in seconds of one slot of the fastest target.
+// workAhead returns the expected work of all waiting requests that go before a request of the
+// given tier and sortKey, or share its sortKey, in seconds of one slot of the fastest target.
 func (q *queue) workAhead(tier int, sortKey float64) float64 {
 	sum := 0.0
 	for _, tq := range q.tiers {
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -17,48 +17,56 @@
 // tickInterval is the step of the simulated time. A real daemon calls Tick as often.
 const tickInterval = 5 * time.Millisecond
 
-// engine simulates a target with slots and a queue in order of arrival. The times to the first
-// event and to each further one are multiplied by its pace.
+// engine simulates a target with slots and a queue in order of arrival. The time to the first
+// event and the times between events are multiplied by its pace.
 type engine struct {
 	name  yuccaid.Target
 	slots int
 	pace  float64
-	// fails returns the outcome of a run that is sent now; a nil function means Served.
+	// fails returns the outcome of a run that is sent now. If fails is nil, all runs are Served.
 	fails func(now time.Time) yuccagrant.Outcome
 	queue []*job
 	runs  []*job
-	// batching is set for an engine that works in steps.
+	// batching is set for an engine that simulates each step of its batch. All runs of other
+	// engines take fixed times.
 	batching *batching
 }
 
+// firstTime is the time to the first event of an empty prompt, and eventTime the time between two
+// events, on an engine of pace 1 that is not batching.
 const (
 	firstTime = 90 * time.Millisecond
 	eventTime = 8 * time.Millisecond
 )
 
-// job is one request of a caller.
+// job is one request of a caller, and what has become of it.
 type job struct {
 	req     yuccagrant.Request
 	arrived time.Time
 	events  int
-	// prompt is the actual length of the prompt, whatever length is announced.
+	// prompt is the actual length of the prompt; req holds the announced one.
 	prompt yuccaid.Tokens
 	state  progress
 	kind   string
 
+	// sent is when the request was sent to its engine, and first when its first event came. On a
+	// batching engine starts is when the run got a slot. On other engines starts is when the
+	// first event is due and ends when the run will finish.
 	sent    time.Time
 	starts  time.Time
 	first   time.Time
 	ends    time.Time
 	outcome yuccagrant.Outcome
-	// What became of the request for its caller.
+	// refused to done are what the caller saw: retryAfter is set for a refused request, onTime
+	// reports that no event so far was late, and done that the answer is complete.
 	refused    bool
 	retryAfter time.Duration
 	onTime     bool
 	done       bool
 }
 
-// class is a kind of request with its share of the traffic.
+// class describes the requests of one kind. events and prompt are the mean length of the answer in
+// events and of the prompt in tokens, and share is the fraction of all requests.
 type class struct {
 	kind         string
 	rank         int
@@ -69,17 +77,21 @@
 	// deadline is how long callers wait for the first event. If it is zero they wait four times
 	// softDeadline.
 	deadline time.Duration
-	// misannounce changes what a request announces.
-	misannounce func(req *yuccagrant.Request)
+	// alterRequest, if set, changes a request before it is submitted, such as the lengths that
+	// it announces.
+	alterRequest func(req *yuccagrant.Request)
 }
 
+// classes is the traffic of simulations that set no other: notes are the most urgent requests, then
+// come handovers, then letters.
 var classes = []class{
 	{kind: "note", rank: 0, softDeadline: 1200 * time.Millisecond, events: 60, prompt: 3700, share: 0.4},
 	{kind: "handover", rank: 1, softDeadline: time.Second, events: 26, prompt: 2900, share: 0.2},
 	{kind: "letter", rank: 2, softDeadline: 800 * time.Millisecond, events: 86, prompt: 1100, share: 0.4},
 }
 
-// simulation runs callers and engines against a leader, or against a simple policy.
+// simulation simulates callers and engines whose requests are scheduled by a leader, or by a simple
+// policy to compare it with.
 type simulation struct {
 	now     time.Time
 	rng     *rand.Rand
@@ -109,6 +121,7 @@
 	return sim
 }
 
+// configure sets the leader's targets to the engines.
 func (sim *simulation) configure() {
 	var targets []yuccagrant.Target
 	for _, eng := range sim.engines {
@@ -117,8 +130,8 @@
 	sim.apply(sim.lead.Configure(sim.now, targets))
 }
 
-// fleet returns engines with the given number of slots and paces.
-func fleet(slots int, paces ...float64) []*engine {
+// newEngines returns one engine for each of the given paces, each with the given number of slots.
+func newEngines(slots int, paces ...float64) []*engine {
 	var engines []*engine
 	for at, pace := range paces {
 		engines = append(engines, &engine{name: yuccaid.Target(fmt.Sprintf("engine-%02d", at)), slots: slots, pace: pace})
@@ -126,8 +139,8 @@
 	return engines
 }
 
-// run submits requests at a rate that depends on the time since the start, and then waits for
-// the last ones to finish.
+// run submits requests for the given time, at a rate in requests a second that depends on the time
+// since the start, and then simulates 20 s more so that the last requests finish.
 func (sim *simulation) run(span time.Duration, rate func(since time.Duration) float64) {
 	start := sim.now
 	for due := 0.0; sim.now.Sub(start) < span; {
@@ -142,10 +155,12 @@
 	}
 }
 
+// steady returns a constant rate, in requests a second.
 func steady(rate float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return rate }
 }
 
+// submitRequest submits one request of a random class and length.
 func (sim *simulation) submitRequest() {
 	draw, cls := sim.rng.Float64(), sim.classes[len(sim.classes)-1]
 	for _, each := range sim.classes {
@@ -161,8 +176,8 @@
 		Prompt: jb.prompt, Answer: yuccaid.Tokens(float64(6*jb.events) * sim.announcementError()),
 		SoftDeadline: sim.now.Add(cls.softDeadline), Deadline: sim.now.Add(cmp.Or(cls.deadline, 4*cls.softDeadline)), MaxGap: cmp.Or(sim.maxGap, 300*time.Millisecond),
 	}
-	if cls.misannounce != nil {
-		cls.misannounce(&jb.req)
+	if cls.alterRequest != nil {
+		cls.alterRequest(&jb.req)
 	}
 	sim.jobs[jb.req.ID] = jb
 	sim.all = append(sim.all, jb)
@@ -175,23 +190,25 @@
 	sim.apply(sim.lead.Submit(sim.now, jb.req))
 }
 
-// classOf returns the class of a kind of request.
+// classOf returns the scheduler's class of a kind of request.
 func classOf(kind string) yuccagrant.Class {
 	return yuccagrant.Class(xxhash.Sum64String(kind))
 }
 
-// announcementError draws the factor by which an announced length is wrong.
+// announcementError draws the factor by which an announced answer length is wrong.
 func (sim *simulation) announcementError() float64 {
 	const sigma = 0.5
 	return math.Exp(sigma * sim.rng.NormFloat64())
 }
 
-// lengthFactor draws a length relative to the mean, from a distribution with a long tail.
+// lengthFactor draws a length relative to the mean, from a distribution with a long tail that is
+// cut off at 12.
 func (sim *simulation) lengthFactor() float64 {
 	const sigma = 0.9
 	return min(math.Exp(sigma*sim.rng.NormFloat64()-sigma*sigma/2), 12)
 }
 
+// apply carries out the decisions of the leader.
 func (sim *simulation) apply(dec yuccagrant.Decisions) {
 	for _, grant := range dec.Grants {
 		jb := sim.jobs[grant.ID]
@@ -229,6 +246,7 @@
 	}
 }
 
+// advance simulates an engine up to the current time.
 func (sim *simulation) advance(eng *engine) {
 	if eng.batching != nil {
 		sim.advanceBatch(eng)
@@ -269,6 +287,7 @@
 	}
 }
 
+// finish reports the outcome of a run to the leader.
 func (sim *simulation) finish(eng *engine, jb *job, outcome yuccagrant.Outcome) {
 	if sim.leastOutstanding {
 		return
@@ -292,7 +311,7 @@
 // onTimeShare returns the share of requests that were answered on time.
 func (tl tally) onTimeShare() float64 { return float64(tl.onTime) / float64(max(tl.submitted, 1)) }
 
-// servedShare returns the share of requests that were served, late or not.
+// servedShare returns the share of requests that were served, whether on time or late.
 func (tl tally) servedShare() float64 { return float64(tl.served) / float64(max(tl.submitted, 1)) }
 
 func (tl *tally) add(other tally) {
@@ -315,6 +334,7 @@
 	}
 }
 
+// tally tallies the requests of a kind, or all if kind is empty.
 func (sim *simulation) tally(kind string) tally {
 	var tl tally
 	for _, jb := range sim.jobsOf(kind) {
@@ -334,7 +354,7 @@
 	return tl
 }
 
-// jobsOf returns the requests of a kind, or all if it is empty.
+// jobsOf returns the requests of a kind, or all if kind is empty.
 func (sim *simulation) jobsOf(kind string) []*job {
 	var jobs []*job
 	for _, jb := range sim.all {
