--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -23,8 +23,8 @@
 		var targets []Target
 		for i := range rapid.IntRange(1, 8).Draw(rt, "targets") {
 			target := Target{Name: yuccaid.Target(fmt.Sprint("engine-", i)), Slots: rapid.IntRange(1, 6).Draw(rt, "slots")}
-			if rapid.Bool().Draw(rt, "remote") {
-				target.Remote, target.RoundTrip = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "round trip"))*time.Millisecond
+			if rapid.Bool().Draw(rt, "away") {
+				target.Remote, target.RoundTrip = true, time.Duration(rapid.IntRange(0, 80).Draw(rt, "way"))*time.Millisecond
 			}
 			targets = append(targets, target)
 		}
@@ -32,17 +32,17 @@
 		for number := range uint64(rapid.IntRange(0, 60).Draw(rt, "requests")) {
 			req := Request{
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
-				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "soft deadline")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
+				SoftDeadline: now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(rt, "aim")) * time.Millisecond), Deadline: now.Add(10 * time.Second),
 			}
 			if got, want := lead.chooseTarget(now, &req), lead.chooseWithoutBound(now, &req); got.targetState != want.targetState {
 				rt.Fatalf("chose %+v instead of %+v", got, want)
 			}
 			lead.Submit(now, req)
-			if rapid.Bool().Draw(rt, "finishes") {
+			if rapid.Bool().Draw(rt, "ends") {
 				took := time.Duration(rapid.IntRange(1, 2000).Draw(rt, "took")) * time.Millisecond
 				lead.RunFinished(now, Finished{ID: req.ID, Outcome: Served, TimeToFirst: took})
 			}
-			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "time to next request")) * time.Millisecond)
+			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(rt, "pause")) * time.Millisecond)
 			lead.Tick(now)
 		}
 	})
--- a/core/yuccagrant/data.go
+++ b/core/yuccagrant/data.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// defaultTimeToFirst, defaultPerPromptToken and defaultEventGap are the latencies assumed before
-	// any answer was seen: the time to the first event on an idle engine, what each prompt
-	// token adds to that time, and the time between two events.
+	// defaultTimeToFirst, defaultPerPromptToken and defaultEventGap are the latencies assumed
+	// before any answer was seen: the time to the first event on an idle target, what each
+	// prompt token adds to that time, and the time between two events.
 	defaultTimeToFirst    = 150 * time.Millisecond
 	defaultPerPromptToken = 20 * time.Microsecond
 	defaultEventGap       = 15 * time.Millisecond
@@ -29,7 +29,8 @@
 	// time than on the target.
 	minPaceEvents = 4
 	// maxPace and 1/maxPace bound the ratio of actual to expected time that one answer can
-	// contribute to a pace, so that an outlier has little effect.
+	// contribute to a pace, so that an outlier has little effect. maxPace also bounds what one
+	// answer contributes to a class's mean ratio of times to the first event.
 	maxPace = 20.0
 	// lateGapWeight is the weight of one answer in the fraction of a target's answers that had
 	// a gap longer than MaxGap.
--- a/core/yuccagrant/doc.go
+++ b/core/yuccagrant/doc.go
@@ -1,6 +1,7 @@
 // Package yuccagrant schedules the requests of a pool, which is a group of targets: it decides
 // which waiting request is sent to which target, and which is refused with a time after which to
-// retry.
+// retry. A target is an inference engine, which serves as many requests at once as it has slots and
+// streams each answer as events, or a plain service, which answers with a single event.
 //
 // It is made for requests with a latency target for the first event: an answer whose first
 // event is on time and whose events then follow without long gaps is worth much more than one
--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -23,7 +23,7 @@
 	// run is preempted; it reads its prompt again later.
 	memory yuccaid.Tokens
 
-	// simulatedUntil is the end of the last step that was simulated.
+	// simulatedUntil is the time up to which the engine has been simulated.
 	simulatedUntil time.Time
 }
 
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -17,18 +17,18 @@
 		for range rapid.IntRange(minLengthSamples+1, 40).Draw(rt, "honest answers") {
 			req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced"))}
 			events := rapid.IntRange(1, 400).Draw(rt, "events")
-			ratio := rapid.Float64Range(0.5, 2).Draw(rt, "time to first ratio")
+			ratio := rapid.Float64Range(0.5, 2).Draw(rt, "first")
 			for _, model := range []*lengthModel{&undisturbed, &disturbed} {
 				model.learnAnswer(&req, events)
 				model.learnTimeToFirst(1, ratio)
 			}
-			wrong := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "wrongly announced"))}
+			wrong := Request{Class: 2, Answer: yuccaid.Tokens(rapid.IntRange(0, 1_000_000).Draw(rt, "lie"))}
 			disturbed.learnAnswer(&wrong, rapid.IntRange(1, 10_000).Draw(rt, "events of the other class"))
 			disturbed.learnTimeToFirst(2, rapid.Float64Range(0, 1000).Draw(rt, "time to first ratio of the other class"))
 			undisturbed.updateMedian()
 			disturbed.updateMedian()
 		}
-		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "announced by the request"))}
+		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
 		want, _ := undisturbed.expectedEvents(&req)
 		// A class that has never announced an answer length uses the median over all classes for
 		// an announced one, which class 2 affects.
--- a/core/yuccagrant/load_test.go
+++ b/core/yuccagrant/load_test.go
@@ -85,7 +85,8 @@
 	})
 
 	// One engine becomes eight times slower without reporting it. If the leader did not notice,
-	// that engine would go on getting as many requests as the others, which would be late.
+	// that engine would go on getting as many requests as each other engine, and answer them
+	// late.
 	It("hardly notice an engine that has turned slow", func() {
 		engines := newEngines(6, 1, 1, 1, 1)
 		sim := newSimulation(5, engines...)
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -19,12 +19,12 @@
 		// Too few runs have finished to estimate waiting times.
 		return !now.Before(entry.Deadline)
 	}
-	timeToFirst := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedTimeToFirst(&entry.Request))
-	if timeToFirst <= entry.SoftDeadline.Sub(now)+lateStartSlack {
+	untilFirst := lead.estimatedWait(now, lead.queue.workAhead(entry.Tier, entry.sortKey)) + seconds(lead.expectedTimeToFirst(&entry.Request))
+	if untilFirst <= entry.SoftDeadline.Sub(now)+lateStartSlack {
 		return false
 	}
 	if lead.lessUrgentRunning(&entry.Request) {
-		return timeToFirst > time.Duration(lateStartShare*float64(entry.Deadline.Sub(now)))
+		return untilFirst > time.Duration(lateStartShare*float64(entry.Deadline.Sub(now)))
 	}
 	return true
 }
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -9,7 +9,7 @@
 //
 // Within a tier requests are ordered by expected work: a request that occupies its slot briefly
 // goes before a longer one, and before one of a more urgent rank if it is shorter by more than
-// the factor between the ranks. Requests that can still be on time go before late ones. Once a
+// rankFactor for each rank between them. Requests that can still be on time go before late ones. Once a
 // request is starved, those of its tier that are at least as urgent are all granted slots before
 // the less urgent ones.
 func (lead *Leader) grantSlots(now time.Time, dec *Decisions) {
