--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -83,8 +83,8 @@
 	})
 
 	// Enough short, less urgent requests arrive to fill all slots. Because they are shorter by
-	// more than rankFactor for each rank between them, they could overtake a long urgent request until
-	// its caller stops waiting.
+	// more than rankFactor for each rank between them, they could overtake a long urgent
+	// request until its caller stops waiting.
 	It("lets no less urgent request overtake one that has waited for half of the time to its deadline", func() {
 		lead, now := leaderWithHistory(shortClass, longClass)
 		// Eight requests occupy the slots and two more wait in the target's own queue.
