--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// mostSends bounds how often a request is sent although it surely didn't run: a second
-	// target is likely to take it, and a fleet that rejects everything isn't asked on.
-	mostSends = 3
-	// cutBack is when a caller should come back whose request found no target to run it.
-	cutBack = 500 * time.Millisecond
+	// maxSends bounds how often a request is sent to targets that certainly didn't run it: a
+	// second target is likely to accept it, and a fleet that rejects everything should not be
+	// asked again and again.
+	maxSends = 3
+	// unservedRetryAfter is the retry-after of requests that no target has run.
+	unservedRetryAfter = 500 * time.Millisecond
 )
 
-// attempt is one sending of a request to one target.
+// attempt is one attempt to have a request served by one target.
 type attempt struct {
-	tkt    *ticket
-	sent   time.Time
-	answer *yuccahop.Answer
-	word   TargetReport
-	watch  *silence
+	placement *placement
+	sentAt    time.Time
+	answer    *yuccahop.Answer
+	report    TargetReport
+	watchdog  *watchdog
 }
 
 // close ends the exchange with the target.
@@ -33,88 +34,91 @@
 	if att.answer != nil {
 		att.answer.Close()
 	}
-	att.watch.stop()
+	att.watchdog.stop()
 }
 
-// run sends the request to a target, and to another one where the first surely didn't run
-// it or it may be repeated, and hands the answer back.
+// run sends the request to a target and relays the response. If the first target certainly
+// didn't run the request, or the request may be repeated, run tries another target.
 func (req *request) run(ctx context.Context) *Problem {
-	// failure is a target's failure that another target may mend.
+	// failure is an attempt that ended in an error response of a target, kept while another
+	// target is tried.
 	var failure *attempt
 	for {
-		tkt, place, prob := req.place(ctx)
+		plc, dec, prob := req.awaitTarget(ctx)
 		if prob != nil && failure != nil && ctx.Err() == nil {
-			// It ran: to say now that it didn't would be untrue, and the target's own word
-			// says more than one of ours.
-			req.told("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.tkt.target)
+			// The request ran, so responding that it didn't would be wrong. The target's own
+			// error response says more than one of the gateway's would.
+			req.logDecision("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.placement.target)
 			return req.relay(ctx, failure)
 		}
 		if prob != nil {
 			return prob
 		}
 		failure.drop()
-		att, outcome := req.send(ctx, tkt, place, req.caller.LastEventID)
+		att, outcome := req.send(ctx, plc, dec, req.info.LastEventID)
 		failure = nil
 		switch {
 		case outcome == yuccagrant.Served && att.answer.Status < http.StatusInternalServerError:
 			return req.relay(ctx, att)
 		case outcome == yuccagrant.Served:
-			att.watch.answered()
-			if !req.again(yuccagrant.Failed, att) {
+			att.watchdog.disarm()
+			if !req.shouldResend(yuccagrant.Failed, att) {
 				return req.relay(ctx, att)
 			}
-			req.gate.ended(tkt, yuccagrant.Finished{Outcome: yuccagrant.Failed, Load: att.word.Load})
+			req.gate.finished(plc, yuccagrant.Finished{Outcome: yuccagrant.Failed, Load: att.report.Load})
 			failure = att
 		default:
 			att.close()
-			req.gate.ended(tkt, yuccagrant.Finished{Outcome: outcome, Load: att.word.Load})
-			if ctx.Err() != nil || !req.again(outcome, att) {
-				return req.failed(ctx, outcome)
+			req.gate.finished(plc, yuccagrant.Finished{Outcome: outcome, Load: att.report.Load})
+			if ctx.Err() != nil || !req.shouldResend(outcome, att) {
+				return req.problemAfterFailure(ctx, outcome)
 			}
 		}
 	}
 }
 
-// drop gives up an answer that another one takes the place of.
+// drop closes an attempt that another one replaces.
 func (att *attempt) drop() {
 	if att != nil {
 		att.close()
 	}
 }
 
-// place waits for a target. A request that has run is never said not to have.
-func (req *request) place(ctx context.Context) (*ticket, placed, *Problem) {
-	tkt, place, err := req.gate.acquire(ctx, req)
+// awaitTarget waits for a target. If the request has run before, the returned problem never
+// states that it hasn't.
+func (req *request) awaitTarget(ctx context.Context) (*placement, decision, *Problem) {
+	plc, dec, err := req.gate.acquire(ctx, req)
 	var prob *Problem
 	switch {
 	case err != nil:
-		prob = req.gaveUp(err)
-	case place.problem != nil:
-		prob = place.problem
-	case place.refusal != nil:
-		prob = refused(place)
+		prob = req.problemUnsent(err)
+	case dec.problem != nil:
+		prob = dec.problem
+	case dec.refusal != nil:
+		prob = refusalProblem(dec)
 	}
-	if prob != nil && req.runs > 0 && prob.promises() {
-		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), inputs: prob.inputs}
+	if prob != nil && req.runs > 0 && prob.promisesNotRun() {
+		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), logFields: prob.logFields}
 	}
-	return tkt, place, prob
+	return plc, dec, prob
 }
 
-// again reports whether the request may be sent to another target after an outcome.
-func (req *request) again(outcome yuccagrant.Outcome, att *attempt) bool {
+// shouldResend reports whether the request may be sent to another target after an outcome, and
+// counts the resend against the budget.
+func (req *request) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
 	may, why := req.mayRepeat(outcome)
-	if may && !att.watch.paid.Load() && !req.gate.mayResend(req) {
+	if may && !att.watchdog.charged.Load() && !req.gate.allowResend(req) {
 		may, why = false, "budget of resends"
 	}
-	req.told("again", "outcome", outcome.String(), "may", may, "why", why, "sends", req.sends, "runs", req.runs)
+	req.logDecision("again", "outcome", outcome.String(), "may", may, "why", why, "sends", req.sends, "runs", req.runs)
 	return may
 }
 
-// mayRepeat reports whether what the request is allows another sending, and why.
+// mayRepeat reports whether the outcome and the route allow another attempt, and why.
 func (req *request) mayRepeat(outcome yuccagrant.Outcome) (may bool, why string) {
 	switch outcome {
 	case yuccagrant.Rejected, yuccagrant.Misdirected, yuccagrant.Unreachable:
-		return req.sends < mostSends, "not run"
+		return req.sends < maxSends, "not run"
 	}
 	if !req.route.Repeatable() {
 		return false, "may run once"
@@ -122,8 +126,9 @@
 	return req.runs < max(req.route.Attempts, 1), "attempts of the route"
 }
 
-// gaveUp says what becomes of a request that was never sent on this turn.
-func (req *request) gaveUp(cause error) *Problem {
+// problemUnsent returns the problem of a request that got no target before its context ended
+// with the cause.
+func (req *request) problemUnsent(cause error) *Problem {
 	if errors.Is(cause, errTimeout) && req.runs > 0 {
 		return &Problem{Kind: KindTimeout}
 	}
@@ -131,14 +136,15 @@
 	if errors.Is(cause, errTimeout) {
 		detail = "its time is up"
 	}
-	return &Problem{Kind: KindLate, Detail: detail, RetryAfter: cutBack}
+	return &Problem{Kind: KindLate, Detail: detail, RetryAfter: unservedRetryAfter}
 }
 
-// failed says what becomes of a request whose last sending failed.
-func (req *request) failed(ctx context.Context, outcome yuccagrant.Outcome) *Problem {
+// problemAfterFailure returns the problem of a request whose last attempt ended with the
+// outcome.
+func (req *request) problemAfterFailure(ctx context.Context, outcome yuccagrant.Outcome) *Problem {
 	switch {
 	case req.runs == 0:
-		return &Problem{Kind: KindRejected, Detail: outcome.String(), RetryAfter: cutBack}
+		return &Problem{Kind: KindRejected, Detail: outcome.String(), RetryAfter: unservedRetryAfter}
 	case errors.Is(context.Cause(ctx), errTimeout):
 		return &Problem{Kind: KindTimeout}
 	default:
@@ -146,8 +152,8 @@
 	}
 }
 
-func refused(place placed) *Problem {
-	refusal := place.refusal
+func refusalProblem(dec decision) *Problem {
+	refusal := dec.refusal
 	kind := KindLate
 	switch refusal.Reason {
 	case yuccagrant.ReasonNoTarget:
@@ -155,26 +161,27 @@
 	case yuccagrant.ReasonQueueFull:
 		kind = KindBusy
 	}
-	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, inputs: []any{
-		"leader", place.inputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
-		"revision", place.inputs.revision, "newsAgeMillis", place.inputs.age.Milliseconds(),
+	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, logFields: []any{
+		"leader", dec.inputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
+		"revision", dec.inputs.platformRevision, "newsAgeMillis", dec.inputs.platformAge.Milliseconds(),
 	}}
 }
 
-// send sends the request to the target that it was granted, to go on behind a position.
-func (req *request) send(ctx context.Context, tkt *ticket, place placed, position string) (*attempt, yuccagrant.Outcome) {
-	att := &attempt{tkt: tkt, sent: time.Now()}
+// send sends the request to the granted target, which continues after the event lastEventID,
+// and waits for the head of the response.
+func (req *request) send(ctx context.Context, plc *placement, dec decision, lastEventID string) (*attempt, yuccagrant.Outcome) {
+	att := &attempt{placement: plc, sentAt: time.Now()}
 	req.sends++
-	req.tried = append(req.tried, place.target)
-	out := req.out
-	out.Header = req.onward(att.sent, place.target, position)
-	own := func(header http.Header) bool { return req.gate.dialect.MatchesRequest(header, req.caller.ID) }
-	ctx, att.watch = req.watchSilence(ctx, place.inputs.expect)
-	req.gate.metrics.sent(req.shownRank(), place.alone, att.sent.Sub(req.arrived))
-	req.logSent(att, place)
-	answer, err := req.gate.hop.Send(ctx, place.address, &out, own)
+	req.tried = append(req.tried, dec.target)
+	out := req.outgoing
+	out.Header = req.targetHeader(att.sentAt, dec.target, lastEventID)
+	matches := func(header http.Header) bool { return req.gate.dialect.MatchesRequest(header, req.info.ID) }
+	ctx, att.watchdog = req.startWatchdog(ctx, dec.inputs.expect)
+	req.gate.metrics.sent(req.metricRank(), dec.withoutLeader, att.sentAt.Sub(req.arrivedAt))
+	req.logSent(att, dec)
+	answer, err := req.gate.targetClient.Send(ctx, dec.address, &out, matches)
 	if err != nil {
-		req.told("unanswered", "target", place.target, "send", req.sends, "error", err)
+		req.logDecision("unanswered", "target", dec.target, "send", req.sends, "error", err)
 		var unsent *yuccahop.UnsentError
 		if errors.As(err, &unsent) {
 			return att, yuccagrant.Unreachable
@@ -189,26 +196,26 @@
 	}
 	req.arrivals++
 	att.answer = answer
-	att.word = req.gate.dialect.ReadReport(answer.Status, answer.Header)
+	att.report = req.gate.dialect.ReadReport(answer.Status, answer.Header)
 	switch {
-	case att.word.Misdirected:
+	case att.report.Misdirected:
 		return att, yuccagrant.Misdirected
-	case att.word.NotRun:
+	case att.report.NotRun:
 		return att, yuccagrant.Rejected
 	}
 	req.runs++
 	return att, yuccagrant.Served
 }
 
-// logSent tells of a sending and what it was decided from, before it is known what comes of
-// it: a target that hangs is seen by what has no further line.
-func (req *request) logSent(att *attempt, place placed) {
-	req.went("sent",
+// logSent logs an attempt and what its decision was made from, before the outcome is known. So
+// an attempt without a further line points to a target that hangs.
+func (req *request) logSent(att *attempt, dec decision) {
+	req.logStep("sent",
 		"account", req.accountName(), "route", req.routeName(),
-		"target", place.target, "send", req.sends, "waitedMillis", att.sent.Sub(req.arrived).Milliseconds(),
-		"leader", place.inputs.leader, "alone", place.alone, "expectMillis", place.inputs.expect.Milliseconds(), "busy", place.inputs.busy,
-		"number", req.table.Number(), "revision", place.inputs.revision, "newsAgeMillis", place.inputs.age.Milliseconds(),
-		"charged", req.caller.Charged, "over", req.over, "prompt", req.caller.Prompt, "answer", req.caller.Answer,
+		"target", dec.target, "send", req.sends, "waitedMillis", att.sentAt.Sub(req.arrivedAt).Milliseconds(),
+		"leader", dec.inputs.leader, "alone", dec.withoutLeader, "expectMillis", dec.inputs.expect.Milliseconds(), "busy", dec.inputs.busy,
+		"number", req.table.Number(), "revision", dec.inputs.platformRevision, "newsAgeMillis", dec.inputs.platformAge.Milliseconds(),
+		"charged", req.info.Charged, "over", req.overQuota, "prompt", req.info.Prompt, "answer", req.info.Answer,
 	)
 }
 
@@ -219,7 +226,7 @@
 	return req.account.Name
 }
 
-func text(err error) string {
+func errText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/io/yuccagate/seen.go
+++ b/io/yuccagate/seen.go
@@ -1,32 +1,35 @@
 package yuccagate
 
-// seenSpan is how far behind the latest one a cast may be and still be told from one that
-// came before. A daemon casts some tens of times a second at most, so that is a second.
-const seenSpan = 64
+// sequenceWindowSize is how far a cast may be behind the latest one and still be recognised as
+// new or repeated. A daemon sends some tens of casts a second at most, so 64 casts cover at
+// least a second.
+const sequenceWindowSize = 64
 
-// seen tells which casts of a series have come. Each comes over two ways, one of which may be
-// behind the other: what it brings late is news all the same, once.
-type seen struct {
+// sequenceWindow records which casts of a series have arrived. Each cast arrives over two
+// connections, one of which may lag. A cast that arrives late for the first time has to be
+// accepted, but only once.
+type sequenceWindow struct {
 	latest uint64
-	// before has a bit for each of the casts before the latest one.
-	before uint64
+	// earlier has a bit for each of the sequenceWindowSize casts before the latest one; the
+	// lowest bit stands for the one just before it.
+	earlier uint64
 }
 
-// first reports whether a cast is news, and remembers it. What is older than the span counts
-// as known.
-func (sn *seen) first(sequence uint64) bool {
-	if sequence > sn.latest {
-		ahead := sequence - sn.latest
-		sn.before = sn.before<<ahead | 1<<(ahead-1)
-		sn.latest = sequence
+// accept reports whether a cast is new, and records it. A cast that is older than the window
+// counts as repeated.
+func (window *sequenceWindow) accept(sequence uint64) bool {
+	if sequence > window.latest {
+		ahead := sequence - window.latest
+		window.earlier = window.earlier<<ahead | 1<<(ahead-1)
+		window.latest = sequence
 		return true
 	}
-	behind := sn.latest - sequence
-	if behind == 0 || behind > seenSpan {
+	behind := window.latest - sequence
+	if behind == 0 || behind > sequenceWindowSize {
 		return false
 	}
 	bit := uint64(1) << (behind - 1)
-	news := sn.before&bit == 0
-	sn.before |= bit
-	return news
+	isNew := window.earlier&bit == 0
+	window.earlier |= bit
+	return isNew
 }
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -10,16 +10,19 @@
 )
 
 const (
-	// headAfter bounds the time for a request's head, and largestHead its size, whatever the
-	// configuration allows: without them a caller that sends nothing holds a connection.
-	headAfter   = 10 * time.Second
-	largestHead = 128 << 10
-	// lastAnswers is how long the last answers may take to leave.
-	lastAnswers = 200 * time.Millisecond
-	// idleEvery is how often idle connections are looked at.
-	idleEvery = 500 * time.Millisecond
-	// defaultIdle is how long a connection may be idle while no configuration says.
-	defaultIdle = 30 * time.Second
+	// headTimeout bounds the time for reading a request's head, and maxHeadBytes its size. They
+	// apply whatever the configuration allows, because otherwise a caller that sends nothing
+	// keeps its connection open for ever.
+	headTimeout  = 10 * time.Second
+	maxHeadBytes = 128 << 10
+	// lastResponseWait is the longest wait for the responses to requests that are refused while
+	// the server closes.
+	lastResponseWait = 200 * time.Millisecond
+	// idleCheckInterval is the time between two checks for idle connections.
+	idleCheckInterval = 500 * time.Millisecond
+	// defaultIdleTimeout bounds how long a connection may be idle if the configuration sets no
+	// limit.
+	defaultIdleTimeout = 30 * time.Second
 )
 
 // Server serves callers' requests on one listener.
@@ -27,40 +30,41 @@
 	gate     *Gate
 	listener *Listener
 	http     *http.Server
-	failed   chan error
+	errs     chan error
 	stop     chan struct{}
 	drain    sync.Once
 }
 
-// Serve starts serving callers.
+// Serve starts serving callers on the listener.
 func (gate *Gate) Serve(inner net.Listener) *Server {
-	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.turnedAway), failed: make(chan error, 1), stop: make(chan struct{})}
+	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.onConnRejected), errs: make(chan error, 1), stop: make(chan struct{})}
 	srv.http = &http.Server{
 		Handler:           gate,
-		ReadHeaderTimeout: headAfter,
-		MaxHeaderBytes:    largestHead,
+		ReadHeaderTimeout: headTimeout,
+		MaxHeaderBytes:    maxHeadBytes,
 		ConnState:         srv.listener.ConnState,
 	}
 	go func() {
 		if err := srv.http.Serve(srv.listener); !errors.Is(err, http.ErrServerClosed) {
-			srv.failed <- err
+			srv.errs <- err
 		}
 	}()
 	go srv.closeIdle()
 	return srv
 }
 
-// Failed yields the error of a listener that stopped by itself.
-func (srv *Server) Failed() <-chan error { return srv.failed }
+// Failed returns a channel that receives the error if the server stops although it was not
+// closed.
+func (srv *Server) Failed() <-chan error { return srv.errs }
 
-// closeIdle closes connections that have been idle for longer than the configuration says.
+// closeIdle closes connections that have been idle for longer than the configuration allows.
 func (srv *Server) closeIdle() {
-	ticker := time.NewTicker(idleEvery)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			limit := defaultIdle
+			limit := defaultIdleTimeout
 			if table := srv.gate.tables.Load(); table != nil && table.Config().Limits.IdleTimeout > 0 {
 				limit = table.Config().Limits.IdleTimeout
 			}
@@ -71,23 +75,25 @@
 	}
 }
 
-// Drain tells that the daemon is leaving, sends idle callers elsewhere and returns once no
-// request is open, or when the context ends, with the number of those that are then cut off.
+// Drain makes the daemon report that it isn't ready, closes idle connections and waits until no
+// request is open or the context ends. It returns the number of requests that are still open
+// and will be cut off.
 func (srv *Server) Drain(ctx context.Context) int64 {
-	srv.drain.Do(func() { srv.end(ctx) })
-	return srv.gate.open.Load()
+	srv.drain.Do(func() { srv.shutDown(ctx) })
+	return srv.gate.openRequests.Load()
 }
 
-func (srv *Server) end(ctx context.Context) {
-	srv.gate.leave()
+func (srv *Server) shutDown(ctx context.Context) {
+	srv.gate.startDraining()
 	srv.listener.CloseIdle(time.Now())
-	srv.gate.drain(ctx)
+	srv.gate.awaitDrained(ctx)
 	close(srv.stop)
 	_ = srv.listener.Close()
 	srv.listener.CloseIdle(time.Now())
-	// Who was let in by the last connection is sent away by now, and gets that answer.
-	for wait := time.Now(); srv.gate.open.Load() > 0 && time.Since(wait) < lastAnswers && ctx.Err() == nil; {
-		time.Sleep(drainPoll)
+	// Requests that arrived on the last accepted connections are refused by now; wait for those
+	// responses to be written.
+	for wait := time.Now(); srv.gate.openRequests.Load() > 0 && time.Since(wait) < lastResponseWait && ctx.Err() == nil; {
+		time.Sleep(drainPollInterval)
 	}
 	_ = srv.http.Close()
 }
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -9,45 +9,46 @@
 	"yuccacleat/core/yuccaspace"
 )
 
-// Settings is what differs from daemon to daemon, and the bounds that operators set.
+// Settings are the settings of one daemon, including the bounds that operators set.
 type Settings struct {
 	VM     yuccaid.VM
 	Centre yuccaid.Centre
-	// Regions names the region of each data centre.
+	// Regions holds the region of each data centre.
 	Regions map[yuccaid.Centre]yuccaid.Region
-	// Address is where peers reach this daemon, and Seeds where some of them listen.
+	// Address is where other daemons reach this one. Seeds are addresses of daemons that this
+	// one connects to first.
 	Address string
 	Seeds   []string
-	// Key is what daemons of one fleet prove to each other.
+	// Key is the secret by which the daemons of one fleet authenticate one another.
 	Key    yuccaid.Key
 	Bounds Bounds
-	// FirstStart says that the whole fleet starts for the first time, so that nothing was let in
-	// before.
+	// FirstStart reports whether the whole fleet starts for the first time, so that no account
+	// has usage from before.
 	FirstStart bool
-	// Machine is what the process may use.
+	// Machine is the memory and the file descriptors that the process may use.
 	Machine yuccaspace.ProcessLimits
 }
 
-// Bounds are the operators' limits on what the whole fleet may do.
+// Bounds are the operators' limits on the whole fleet.
 type Bounds struct {
-	// Grace is how long a process may go on after it was told to end.
+	// Grace is the longest time from the order to stop until the process has exited.
 	Grace time.Duration
-	// ResendRatio and ResendAllowance bound the requests that are sent to a second target
-	// within ResendWindow, for each pool over all daemons.
+	// ResendRatio and ResendAllowance bound how many requests of a pool all daemons together
+	// may send to a second target within ResendWindow.
 	ResendRatio     float64
 	ResendAllowance float64
 	ResendWindow    time.Duration
-	// QuotaWindow, QuotaOvershoot and QuotaAllowance say how far an account may go beyond
-	// its quota.
+	// QuotaWindow, QuotaOvershoot and QuotaAllowance define how far an account may exceed its
+	// quota.
 	QuotaWindow    time.Duration
 	QuotaOvershoot float64
 	QuotaAllowance float64
 }
 
-func (bnd *Bounds) tolerance() yuccaquota.Tolerance {
-	return yuccaquota.Tolerance{Window: bnd.QuotaWindow, Overshoot: bnd.QuotaOvershoot, Allowance: bnd.QuotaAllowance}
+func (bounds *Bounds) tolerance() yuccaquota.Tolerance {
+	return yuccaquota.Tolerance{Window: bounds.QuotaWindow, Overshoot: bounds.QuotaOvershoot, Allowance: bounds.QuotaAllowance}
 }
 
-func (bnd *Bounds) resends() yuccabudget.Bounds {
-	return yuccabudget.Bounds{Window: bnd.ResendWindow, Ratio: bnd.ResendRatio, Allowance: bnd.ResendAllowance}
+func (bounds *Bounds) resendBounds() yuccabudget.Bounds {
+	return yuccabudget.Bounds{Window: bounds.ResendWindow, Ratio: bounds.ResendRatio, Allowance: bounds.ResendAllowance}
 }
--- a/io/yuccagate/silence.go
+++ b/io/yuccagate/silence.go
@@ -8,66 +8,70 @@
 )
 
 const (
-	// silentRatio and silentSlack say when a target that shows nothing of a request has most
-	// likely lost it: three times what was expected, as for its other runs, and the grain of a
-	// busy batch.
-	silentRatio = 3
-	silentSlack = 300 * time.Millisecond
-	// silentGaps is the pause in a stream, in times of the longest that counts as on time,
-	// after which its target has most likely stopped. Callers leave after eight.
-	silentGaps = 4
+	// watchdogRatio and watchdogSlack define after which time without a first event a target
+	// has most likely lost the request: three times the predicted time, as for the target's
+	// other runs in yuccagrant, plus the variation that a busy batch causes.
+	watchdogRatio = 3
+	watchdogSlack = 300 * time.Millisecond
+	// watchdogGaps is the gap in a stream, as a multiple of the longest gap that counts as on
+	// time, after which the target has most likely stopped. Callers leave after eight such
+	// gaps.
+	watchdogGaps = 4
 )
 
 var errSilent = errors.New("the target has shown nothing for too long")
 
-// silence ends a sending whose target shows nothing, where another target may be asked.
+// watchdog cancels an attempt whose target sends nothing for too long, if the request may be
+// sent to another target.
 //
-// A target may lose an answer, or hang, without a word; its connection stays open. Without
-// this the request would wait there until its caller leaves, though it could have been
-// served elsewhere in time.
-type silence struct {
-	req   *request
-	timer *time.Timer
-	end   context.CancelCauseFunc
-	// paid says that the resend which follows is counted in the budget.
-	paid atomic.Bool
+// A target may lose a response, or hang, while its connection stays open. Without a watchdog
+// the request would wait there until its caller leaves, although another target could have
+// served it in time.
+type watchdog struct {
+	req    *request
+	timer  *time.Timer
+	cancel context.CancelCauseFunc
+	// charged reports whether the resend that follows has been counted against the resend
+	// budget.
+	charged atomic.Bool
 }
 
-// watchSilence returns the context of a sending, and a watch that ends it unless the target
-// shows something in time. Requests that may not go to another target are left alone.
-func (req *request) watchSilence(ctx context.Context, expect time.Duration) (context.Context, *silence) {
-	ctx, end := context.WithCancelCause(ctx)
-	sil := &silence{req: req, end: end}
+// startWatchdog returns the context of an attempt, and a watchdog that cancels it unless the
+// target sends something in time. Attempts of requests that may not be sent to another target
+// have no timer.
+func (req *request) startWatchdog(ctx context.Context, expect time.Duration) (context.Context, *watchdog) {
+	ctx, cancel := context.WithCancelCause(ctx)
+	dog := &watchdog{req: req, cancel: cancel}
 	if req.route.Repeatable() && req.runs+1 < req.route.Attempts {
-		sil.timer = time.AfterFunc(silentRatio*expect+silentSlack, sil.fire)
+		dog.timer = time.AfterFunc(watchdogRatio*expect+watchdogSlack, dog.fire)
 	}
-	return ctx, sil
+	return ctx, dog
 }
 
-// fire gives the sending up if the budget has room for another one.
-func (sil *silence) fire() {
-	if sil.req.gate.paysResend(sil.req.pool) {
-		sil.paid.Store(true)
-		sil.end(errSilent)
+// fire cancels the attempt if the resend budget allows another one.
+func (dog *watchdog) fire() {
+	if dog.req.gate.chargeResend(dog.req.pool) {
+		dog.charged.Store(true)
+		dog.cancel(errSilent)
 	}
 }
 
-// showed notes an event of a stream.
-func (sil *silence) showed() {
-	if sil.timer != nil && sil.timer.Stop() {
-		sil.timer.Reset(silentGaps * max(sil.req.route.MaxGap, silentSlack))
+// onEvent restarts the timer after an event of a stream has arrived.
+func (dog *watchdog) onEvent() {
+	if dog.timer != nil && dog.timer.Stop() {
+		dog.timer.Reset(watchdogGaps * max(dog.req.route.MaxGap, watchdogSlack))
 	}
 }
 
-// answered ends the watch of a target that has answered.
-func (sil *silence) answered() {
-	if sil.timer != nil {
-		sil.timer.Stop()
+// disarm stops the timer.
+func (dog *watchdog) disarm() {
+	if dog.timer != nil {
+		dog.timer.Stop()
 	}
 }
 
-// stop ends the watch and the sending's context.
-func (sil *silence) stop() {
-	sil.answered()
-	sil.end(nil)
+// stop stops the timer and cancels the attempt's context.
+func (dog *watchdog) stop() {
+	dog.disarm()
+	dog.cancel(nil)
 }
--- a/io/yuccagate/startup.go
+++ b/io/yuccagate/startup.go
@@ -7,18 +7,19 @@
 	"yuccacleat/core/yuccaroute"
 )
 
-// firstNews is how long after its start a daemon has callers wait for its first
-// configuration. Reading it from another region takes 150 ms, and a few tries fit in.
-const firstNews = 600 * time.Millisecond
+// firstConfigurationWait is how long after the daemon's start requests wait for the first
+// configuration. Reading it from another region takes 150 ms, so a few attempts fit in.
+const firstConfigurationWait = 600 * time.Millisecond
 
-// awaitTable returns the configuration in force, or nil if none is known.
+// awaitTable returns the configuration in force, or nil if there is none.
 //
-// After all daemons were killed, the balancer sends callers to those that have just begun.
-// Each would be refused within a millisecond of being served, and come back half a second
-// later, too late for most aims. So those that come while the first configuration is being
-// read wait for it. A daemon that has read in vain for longer refuses at once.
+// After all daemons were killed, the balancer sends callers to daemons that have just started.
+// Refused callers would retry half a second later, too late for most latency targets, although
+// they could have been served within a millisecond. So requests that arrive while the daemon
+// reads its first configuration wait for it. A daemon that has tried for longer than
+// firstConfigurationWait refuses at once.
 func (gate *Gate) awaitTable(ctx context.Context, now time.Time) *yuccaroute.Table {
-	left := firstNews - now.Sub(gate.began)
+	left := firstConfigurationWait - now.Sub(gate.startedAt)
 	if table := gate.tables.Load(); table != nil || left <= 0 {
 		return table
 	}
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -9,7 +9,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Status is what one gateway believes, for operators and tests.
+// Status is the state of one gateway, for operators and tests.
 type Status struct {
 	VM      yuccaid.VM           `json:"vm"`
 	Centre  yuccaid.Centre       `json:"centre"`
@@ -17,29 +17,30 @@
 	Ready   bool                 `json:"ready"`
 	Leaving bool                 `json:"leaving"`
 	Number  yuccaid.ConfigNumber `json:"number"`
-	// SkipsPlatformReads says that another daemon reads the platform for this one, and PlatformMillis how
-	// old the last word from it is, or -1.
+	// SkipsPlatformReads reports whether another daemon reads the platform for this one.
+	// PlatformAgeMillis is how many milliseconds ago the platform last responded to either of
+	// them, or -1 if it never did.
 	SkipsPlatformReads bool         `json:"rests"`
 	PlatformAgeMillis  int64        `json:"platformMillis"`
 	Peers              []PeerStatus `json:"peers"`
 	QuotaShare         float64      `json:"quotaPart"`
 	OpenRequests       int64        `json:"open"`
-	// HeldBytes is the memory, in bytes, that is lent to open requests.
+	// HeldBytes is the memory reserved for open requests, in bytes.
 	HeldBytes yuccaid.Bytes  `json:"heldBytes"`
 	Pools     []PoolStatus   `json:"pools"`
 	Targets   []TargetStatus `json:"targets"`
-	// Accounts lists the accounts with a quota.
+	// Accounts lists the accounts that have a quota.
 	Accounts []AccountStatus `json:"accounts"`
 }
 
-// PeerStatus is one other daemon that is live.
+// PeerStatus is one other daemon that this one is connected to.
 type PeerStatus struct {
 	VM      yuccaid.VM     `json:"vm"`
 	Centre  yuccaid.Centre `json:"centre"`
 	Leaving bool           `json:"leaving"`
 }
 
-// PoolStatus is what is decided for one pool here.
+// PoolStatus is the state of one pool's scheduler on this daemon.
 type PoolStatus struct {
 	Pool    yuccaid.Pool              `json:"pool"`
 	Leader  yuccaid.VM                `json:"leader"`
@@ -56,15 +57,15 @@
 	Leaving bool           `json:"leaving"`
 }
 
-// AccountStatus is what an account was let in for within its quota's window by all daemons,
-// as far as this one has heard, and what it may be let in for.
+// AccountStatus is an account's usage within its quota's window by all daemons, as far as this
+// one has received it, and the limit that applies to it.
 type AccountStatus struct {
 	Account yuccaid.Account `json:"account"`
 	Used    int64           `json:"used"`
 	Limit   int64           `json:"limit"`
 }
 
-// Status returns what the gateway believes now.
+// Status returns the gateway's present state.
 func (gate *Gate) Status() Status {
 	var status Status
 	gate.control.Call(func(now time.Time) { status = gate.status(now) })
@@ -74,8 +75,8 @@
 func (gate *Gate) status(now time.Time) Status {
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
-		Number: gate.number(), SkipsPlatformReads: gate.rests.Load(), PlatformAgeMillis: -1,
-		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.open.Load(), HeldBytes: gate.room.taken(),
+		Number: gate.configurationNumber(), SkipsPlatformReads: gate.skipsPlatformReads.Load(), PlatformAgeMillis: -1,
+		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.reserved(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
 		status.PlatformAgeMillis = age.Milliseconds()
@@ -83,9 +84,9 @@
 	for _, member := range gate.hub.Linked() {
 		status.Peers = append(status.Peers, PeerStatus{VM: member.VM, Centre: member.Centre, Leaving: member.Leaving})
 	}
-	for _, dsk := range gate.desks {
+	for _, sched := range gate.schedulers {
 		status.Pools = append(status.Pools, PoolStatus{
-			Pool: dsk.pool, Leader: dsk.leader.VM, Waiting: dsk.own.QueueLength(), Targets: dsk.own.Targets(now),
+			Pool: sched.pool, Leader: sched.leader.VM, Waiting: sched.local.QueueLength(), Targets: sched.local.Targets(now),
 		})
 	}
 	slices.SortFunc(status.Pools, func(a, b PoolStatus) int { return cmp.Compare(a.Pool, b.Pool) })
--- a/io/yuccagate/stream_test.go
+++ b/io/yuccagate/stream_test.go
@@ -13,7 +13,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func events(w http.ResponseWriter, from, to int, pause time.Duration) {
+func writeEvents(w http.ResponseWriter, from, to int, pause time.Duration) {
 	for at := from; at <= to; at++ {
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", at, at)
 		http.NewResponseController(w).Flush()
@@ -21,18 +21,18 @@
 	}
 }
 
-func stream(from, to int, pause time.Duration) http.HandlerFunc {
+func streamEvents(from, to int, pause time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
-		events(w, from, to, pause)
+		writeEvents(w, from, to, pause)
 	}
 }
 
 var _ = Describe("a stream", func() {
-	It("is handed on event by event as they come", func() {
-		eng := newEngine("a", stream(1, 5, 40*time.Millisecond))
+	It("is forwarded event by event as they arrive", func() {
+		eng := newEngine("a", streamEvents(1, 5, 40*time.Millisecond))
 		gt := newGate("entry-1")
-		gt.know(1, config(), 1, eng)
+		gt.configure(1, config(), 1, eng)
 		resp, err := http.DefaultTransport.RoundTrip(call{path: "/note/"}.request(gt))
 		Expect(err).NotTo(HaveOccurred())
 		defer resp.Body.Close()
@@ -53,25 +53,25 @@
 		Expect(gaps[4]).To(BeNumerically(">", 15*time.Millisecond))
 	})
 
-	// A target breaks off in the middle of an event. A caller that took the part for the
-	// whole would act on half a note.
-	It("never looks whole when it broke off", func() {
+	// A target's response breaks off in the middle of an event. A caller that took the part for
+	// the whole would act on half a note.
+	It("does not look complete when it broke off", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
-			events(w, 1, 2, 0)
+			writeEvents(w, 1, 2, 0)
 			fmt.Fprint(w, "id: 3\ndata: half of")
 			http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		})
 		gt := newGate("entry-1")
-		gt.know(1, config(), 1, eng)
+		gt.configure(1, config(), 1, eng)
 		got := call{path: "/note/"}.do(gt)
 		Expect(got.err).To(HaveOccurred())
 		Expect(got.body).NotTo(ContainSubstring("half"))
 	})
 
-	// A target crashes in the middle of an event. Another one can go on behind the last whole
-	// event, and the caller sees one stream with nothing missing or doubled.
+	// A target crashes in the middle of an event. Another one can continue after the last
+	// complete event, and the caller gets one stream with nothing missing or repeated.
 	DescribeTable("goes on at another target where its route allows it",
 		func(path string, whole bool) {
 			serve := func(name string) http.HandlerFunc {
@@ -79,11 +79,11 @@
 					w.Header().Set("Content-Type", "text/event-stream")
 					w.Header().Set("X-Signature", name)
 					if from := r.Header.Get("Last-Event-Id"); from != "" {
-						// It begins one event early.
-						events(w, 2, 5, 0)
+						// The resuming target starts one event too early.
+						writeEvents(w, 2, 5, 0)
 						return
 					}
-					events(w, 1, 2, 0)
+					writeEvents(w, 1, 2, 0)
 					fmt.Fprint(w, "id: 3\ndata: half of")
 					http.NewResponseController(w).Flush()
 					panic(http.ErrAbortHandler)
@@ -91,7 +91,7 @@
 			}
 			one, two := newEngine("one", serve("one")), newEngine("two", serve("two"))
 			gt := newGate("entry-1")
-			gt.know(1, config(), 1, one, two)
+			gt.configure(1, config(), 1, one, two)
 			got := call{path: path}.do(gt)
 			Expect(got.err == nil).To(Equal(whole), "%v", got.err)
 			if !whole {
@@ -113,7 +113,7 @@
 	It("isn't resumed more often than its attempts allow", func() {
 		breaking := func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
-			events(w, 1, 1, 0)
+			writeEvents(w, 1, 1, 0)
 			panic(http.ErrAbortHandler)
 		}
 		var all []*engine
@@ -121,7 +121,7 @@
 			all = append(all, newEngine(fmt.Sprint("e", at), breaking))
 		}
 		gt := newGate("entry-1")
-		gt.know(1, config(), 1, all...)
+		gt.configure(1, config(), 1, all...)
 		Expect(call{path: "/resumed/"}.do(gt).err).To(HaveOccurred())
 		runs := 0
 		for _, eng := range all {
@@ -130,16 +130,17 @@
 		Expect(runs).To(Equal(2))
 	})
 
-	// A caller closes its connection in the middle. The target would go on for nobody.
+	// A caller closes its connection in the middle of a stream. Otherwise the target would go
+	// on generating events that no caller reads.
 	It("ends at the target when its caller leaves", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			for at := 1; r.Context().Err() == nil; at++ {
-				events(w, at, at, 10*time.Millisecond)
+				writeEvents(w, at, at, 10*time.Millisecond)
 			}
 		})
 		gt := newGate("entry-1")
-		gt.know(1, config(), 1, eng)
+		gt.configure(1, config(), 1, eng)
 		ctx, leave := context.WithCancel(context.Background())
 		resp, err := http.DefaultTransport.RoundTrip(call{path: "/note/"}.request(gt).WithContext(ctx))
 		Expect(err).NotTo(HaveOccurred())
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -12,101 +12,112 @@
 )
 
 const (
-	// betweenRegions is how long a message to another region and its answer take. It only
-	// orders targets of equal pace; the learned times hold what the way really takes.
-	betweenRegions = 60 * time.Millisecond
-	// freshEvery is how often a reader tells its peers how old its news is.
-	freshEvery = 300 * time.Millisecond
-	// readerRole names the choice of the daemon that reads the platform for its data centre.
+	// regionRoundTrip is the assumed round-trip time to another region. It only orders targets
+	// of equal pace, because the measured times of runs include the real one.
+	regionRoundTrip = 60 * time.Millisecond
+	// platformReportInterval is the time between two reports of the reader to its peers on when
+	// the platform last responded.
+	platformReportInterval = 300 * time.Millisecond
+	// readerRole is the key under which the data centre chooses the daemon that reads the
+	// platform for it.
 	readerRole = yuccaid.Pool("reader of the platform")
-	// staleAfter is the age of the reader's news at which every daemon reads for itself: a
-	// little more than the reader's calls take when nothing changes.
-	staleAfter = 1700 * time.Millisecond
-	// askAroundEvery is how often a daemon asks a peer for news of targets that it can't read.
-	askAroundEvery = 400 * time.Millisecond
-	// firstReads is how long a daemon that has just started reads for itself, whoever else
-	// does: it knows nothing yet.
-	firstReads = 700 * time.Millisecond
+	// platformStaleAfter is the age of the platform's last response to the reader at which
+	// every daemon reads the platform itself: a little more than the reader's calls take when
+	// nothing changes.
+	platformStaleAfter = 1700 * time.Millisecond
+	// pullAnyInterval is the shortest time between two requests to a peer for targets while the
+	// platform can't be read.
+	pullAnyInterval = 400 * time.Millisecond
+	// startupReadTime is how long a daemon that has just started reads the platform itself,
+	// whichever other daemon does so too, because it has no targets yet.
+	startupReadTime = 700 * time.Millisecond
 )
 
-// fresh is a peer's word on its news of the platform.
-type fresh struct {
-	at    yuccaroster.Revision
-	age   time.Duration
-	heard time.Time
+// platformReport is a peer's report on what it has read from the platform: up to which
+// revision, and how long before the report the platform responded.
+type platformReport struct {
+	revision   yuccaroster.Revision
+	age        time.Duration
+	receivedAt time.Time
 }
 
-// OfferTargets takes what the platform says of registrations. What has changed is passed on to
-// the other daemons of the data centre, which need not read it themselves. Whole lists are
-// not: a hundred daemons that start together would each send a thousand targets to all the
-// others. Who lacks something asks for it, once it hears how far this daemon has read.
+// OfferTargets takes registrations of targets, and ends of registrations, from the platform as
+// of the revision at. If whole is set, entries are all targets. If sure is not set, removals
+// are tentative.
+//
+// Changes are forwarded to the other daemons of the data centre, which then need not read them.
+// Whole lists are not forwarded, because a hundred daemons that start together would each send
+// a thousand targets to all others. A daemon that lacks something requests it once it learns
+// how far this one has read.
 func (gate *Gate) OfferTargets(entries []yuccaroster.Entry, removals []yuccaroster.Removal, whole bool, at yuccaroster.Revision, sure bool) {
 	message := yuccawire.Targets{Entries: entries, Removals: removals, Whole: whole, At: at, Sure: sure}
 	gate.control.Post(func(now time.Time) {
 		gate.onTargets(now, message)
-		if !whole && gate.reads(now) {
-			gate.nearby(yuccawire.KindTargets, message)
+		if !whole && gate.isReader(now) {
+			gate.sendLocal(yuccawire.KindTargets, message)
 		}
 	})
 }
 
-// RecordPlatformRevision notes that the platform has answered and up to which revision it was heard.
+// RecordPlatformRevision records that the platform has responded, and the revision up to which
+// it has been read.
 func (gate *Gate) RecordPlatformRevision(at yuccaroster.Revision) {
 	gate.control.Post(func(now time.Time) {
-		gate.platformHeard = now
-		gate.platformAt = max(gate.platformAt, at)
+		gate.platformRespondedAt = now
+		gate.platformRevision = max(gate.platformRevision, at)
 	})
 }
 
-// platformAge is how long ago the platform was last heard, by this daemon or by the one that
-// reads for it. It is -1 if that never happened.
+// platformAge returns how long ago the platform last responded to this daemon or to the one
+// that reads for it, or -1 if it never did.
 func (gate *Gate) platformAge(now time.Time) time.Duration {
 	age := time.Duration(-1)
-	if !gate.platformHeard.IsZero() {
-		age = now.Sub(gate.platformHeard)
+	if !gate.platformRespondedAt.IsZero() {
+		age = now.Sub(gate.platformRespondedAt)
 	}
-	for _, word := range gate.fresh {
-		if told := now.Sub(word.heard) + word.age; age < 0 || told < age {
-			age = told
+	for _, report := range gate.platformReports {
+		if reportedAge := now.Sub(report.receivedAt) + report.age; age < 0 || reportedAge < age {
+			age = reportedAge
 		}
 	}
 	return age
 }
 
-// MaySkipPlatformReads reports whether this daemon need not read the platform, because another one of
-// its data centre does and tells it.
-func (gate *Gate) MaySkipPlatformReads() bool { return gate.rests.Load() }
+// MaySkipPlatformReads reports whether this daemon need not read the platform because another
+// daemon reads it and sends its changes.
+func (gate *Gate) MaySkipPlatformReads() bool { return gate.skipsPlatformReads.Load() }
 
-// reads reports whether this daemon reads the platform for its data centre.
-func (gate *Gate) reads(_ time.Time) bool {
+// isReader reports whether this daemon is the one that reads the platform for its data centre.
+func (gate *Gate) isReader(_ time.Time) bool {
 	reader, found := gate.peers.Leader(readerRole)
-	return found && reader.Incarnation == gate.inc
+	return found && reader.Incarnation == gate.incarnation
 }
 
-// tickReader tells the peers how old this daemon's news is if it is the reader, and decides
-// whether it may rest if it isn't.
+// tickReader reports to the peers when the platform last responded if this daemon is the
+// reader, and otherwise decides whether this daemon may skip reading the platform.
 //
-// Every call to the platform counts against a rate of the whole fleet, and is paid for. A
-// reader that dies, freezes or is cut off from the platform must not blind the others: its
-// word grows old, and then all read for themselves.
+// Calls to the platform count against a rate limit of the whole fleet, and each is paid for, so
+// one daemon of a data centre reads for all. If that daemon dies, freezes or loses its
+// connection to the platform, its report grows old, and then all daemons read the platform
+// themselves.
 func (gate *Gate) tickReader(now time.Time) {
-	reads := gate.reads(now)
-	if reads && now.Sub(gate.freshTold) >= freshEvery && !gate.platformHeard.IsZero() {
-		gate.freshTold = now
-		gate.nearby(yuccawire.KindFresh, yuccawire.Fresh{AgeMillis: now.Sub(gate.platformHeard).Milliseconds(), At: gate.platformAt})
+	reads := gate.isReader(now)
+	if reads && now.Sub(gate.platformReportedAt) >= platformReportInterval && !gate.platformRespondedAt.IsZero() {
+		gate.platformReportedAt = now
+		gate.sendLocal(yuccawire.KindFresh, yuccawire.Fresh{AgeMillis: now.Sub(gate.platformRespondedAt).Milliseconds(), At: gate.platformRevision})
 	}
-	gate.askAround(now)
-	rests := !reads && gate.tables.Load() != nil && now.Sub(gate.began) > firstReads && gate.informed(now)
-	if rests != gate.rests.Load() {
-		gate.rests.Store(rests)
-		gate.log.belief("reading the platform", "rests", rests, "reader", reads)
+	gate.pullFromAnyPeer(now)
+	rests := !reads && gate.tables.Load() != nil && now.Sub(gate.startedAt) > startupReadTime && gate.hasFreshReport(now)
+	if rests != gate.skipsPlatformReads.Load() {
+		gate.skipsPlatformReads.Store(rests)
+		gate.log.stateChange("reading the platform", "rests", rests, "reader", reads)
 	}
 }
 
-// informed reports whether a peer's news of the platform is fresh.
-func (gate *Gate) informed(now time.Time) bool {
-	for _, word := range gate.fresh {
-		if now.Sub(word.heard)+word.age < staleAfter {
+// hasFreshReport reports whether a peer has read the platform within platformStaleAfter.
+func (gate *Gate) hasFreshReport(now time.Time) bool {
+	for _, report := range gate.platformReports {
+		if now.Sub(report.receivedAt)+report.age < platformStaleAfter {
 			return true
 		}
 	}
@@ -114,25 +125,26 @@
 }
 
 func (gate *Gate) onFresh(now time.Time, from yuccaid.Incarnation, message yuccawire.Fresh) {
-	gate.fresh[from] = fresh{at: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, heard: now}
-	if message.At > gate.platformAt && now.Sub(gate.targetsPulled) > pullEvery {
+	gate.platformReports[from] = platformReport{revision: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, receivedAt: now}
+	if message.At > gate.platformRevision && now.Sub(gate.targetsPulledAt) > pullInterval {
 		gate.pullTargets(now, from)
 	}
 }
 
 func (gate *Gate) pullTargets(now time.Time, from yuccaid.Incarnation) {
-	gate.targetsPulled = now
-	gate.send(from, yuccawire.KindTargetsPull, yuccawire.TargetsPull{Have: gate.platformAt})
+	gate.targetsPulledAt = now
+	gate.send(from, yuccawire.KindTargetsPull, yuccawire.TargetsPull{Have: gate.platformRevision})
 }
 
-// askAround asks any peer for its targets while nobody in this data centre reaches the
-// platform.
+// pullFromAnyPeer requests the targets from a random peer while no daemon of this data centre
+// reaches the platform.
 //
-// A data centre may be cut off from the platform and not from the others. Its daemons would
-// send requests to targets that have gone, and those that are restarted would know none.
-func (gate *Gate) askAround(now time.Time) {
-	silent := gate.platformHeard.IsZero() || now.Sub(gate.platformHeard) > staleAfter
-	if !silent || gate.informed(now) || now.Sub(gate.began) < firstReads || now.Sub(gate.targetsPulled) < askAroundEvery {
+// A data centre may lose its connection to the platform but not to other data centres. Without
+// these requests its daemons would send work to targets that have gone, and restarted daemons
+// would have no targets.
+func (gate *Gate) pullFromAnyPeer(now time.Time) {
+	silent := gate.platformRespondedAt.IsZero() || now.Sub(gate.platformRespondedAt) > platformStaleAfter
+	if !silent || gate.hasFreshReport(now) || now.Sub(gate.startedAt) < startupReadTime || now.Sub(gate.targetsPulledAt) < pullAnyInterval {
 		return
 	}
 	if linked := gate.hub.Linked(); len(linked) > 0 {
@@ -141,16 +153,16 @@
 }
 
 func (gate *Gate) onTargetsPull(from yuccaid.Incarnation, pull yuccawire.TargetsPull) {
-	if gate.platformAt <= pull.Have {
+	if gate.platformRevision <= pull.Have {
 		return
 	}
 	gate.send(from, yuccawire.KindTargets, yuccawire.Targets{
-		Entries: gate.roster.Entries(), Removals: gate.roster.Removals(), At: gate.platformAt, Sure: true,
+		Entries: gate.roster.Entries(), Removals: gate.roster.Removals(), At: gate.platformRevision, Sure: true,
 	})
 }
 
 func (gate *Gate) onTargets(now time.Time, message yuccawire.Targets) {
-	gate.platformAt = max(gate.platformAt, message.At)
+	gate.platformRevision = max(gate.platformRevision, message.At)
 	if message.Whole {
 		gate.roster.ReplaceAll(now, message.Entries, message.At, message.Sure)
 	} else {
@@ -164,79 +176,82 @@
 	gate.refreshTargets(now)
 }
 
-// refreshTargets tells the desks of targets that came, went or are leaving.
+// refreshTargets passes changes of the targets to the schedulers.
 func (gate *Gate) refreshTargets(now time.Time) {
 	if gate.roster.Version() == gate.rosterVersion {
 		return
 	}
 	gate.rosterVersion = gate.roster.Version()
-	gate.tellTargets()
-	for _, dsk := range gate.desks {
-		gate.configure(now, dsk)
+	gate.logTargetChanges()
+	for _, sched := range gate.schedulers {
+		gate.configure(now, sched)
 	}
 }
 
-// mostNamed bounds how many targets one line names: a whole fleet may come at once.
-const mostNamed = 20
+// maxLoggedTargets bounds how many targets one log line names, because a whole fleet may
+// register at once.
+const maxLoggedTargets = 20
 
-// tellTargets tells which targets came, began anew, are leaving or went since it last did.
-func (gate *Gate) tellTargets() {
-	var came, reborn, leaving, gone []yuccaid.Target
-	now := make(map[yuccaid.Target]yuccaroster.Entry, len(gate.told))
+// logTargetChanges logs which targets were added, restarted, started to leave or were removed
+// since the last call.
+func (gate *Gate) logTargetChanges() {
+	var added, restarted, leaving, removed []yuccaid.Target
+	current := make(map[yuccaid.Target]yuccaroster.Entry, len(gate.loggedTargets))
 	for _, entry := range gate.roster.Entries() {
-		now[entry.Target] = entry
-		before, known := gate.told[entry.Target]
+		current[entry.Target] = entry
+		before, known := gate.loggedTargets[entry.Target]
 		switch {
 		case !known:
-			came = append(came, entry.Target)
+			added = append(added, entry.Target)
 		case before.ProcessStart != entry.ProcessStart:
-			reborn = append(reborn, entry.Target)
+			restarted = append(restarted, entry.Target)
 		}
 		if entry.Leaving && !before.Leaving {
 			leaving = append(leaving, entry.Target)
 		}
 	}
-	for name := range gate.told {
-		if _, known := now[name]; !known {
-			gone = append(gone, name)
+	for name := range gate.loggedTargets {
+		if _, known := current[name]; !known {
+			removed = append(removed, name)
 		}
 	}
-	slices.Sort(gone)
-	gate.told = now
-	if len(came)+len(reborn)+len(leaving)+len(gone) == 0 {
+	slices.Sort(removed)
+	gate.loggedTargets = current
+	if len(added)+len(restarted)+len(leaving)+len(removed) == 0 {
 		return
 	}
-	fields := []any{"known", len(now), "revision", gate.platformAt}
+	fields := []any{"known", len(current), "revision", gate.platformRevision}
 	for _, each := range []struct {
 		what  string
 		names []yuccaid.Target
-	}{{"came", came}, {"begunAnew", reborn}, {"leaving", leaving}, {"gone", gone}} {
+	}{{"came", added}, {"begunAnew", restarted}, {"leaving", leaving}, {"gone", removed}} {
 		if len(each.names) > 0 {
-			fields = append(fields, each.what, each.names[:min(len(each.names), mostNamed)])
+			fields = append(fields, each.what, each.names[:min(len(each.names), maxLoggedTargets)])
 		}
 	}
-	gate.log.belief("targets", fields...)
+	gate.log.stateChange("targets", fields...)
 }
 
-// targets returns a pool's targets as they look from this data centre.
-func (gate *Gate) targets(dsk *desk) []yuccagrant.Target {
-	usable := gate.roster.Usable(dsk.pool)
+// targetsOf returns a pool's targets as seen from this data centre.
+func (gate *Gate) targetsOf(sched *scheduler) []yuccagrant.Target {
+	usable := gate.roster.Usable(sched.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
 	for _, entry := range usable {
 		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), StartMillis: entry.ProcessStart}
 		if gate.settings.Regions[entry.Centre] != gate.settings.Regions[gate.settings.Centre] {
 			target.Remote = true
-			target.RoundTrip = betweenRegions
+			target.RoundTrip = regionRoundTrip
 		}
 		list = append(list, target)
 	}
 	return list
 }
 
-// sharers is how many daemons each use their part of a pool's places: where this daemon
-// decides without its leader, the others of its data centre do so too.
-func (gate *Gate) sharers(dsk *desk) int {
-	if dsk.leads {
+// deciderCount returns how many daemons decide on the pool's slots at the same time. If this
+// daemon decides without the leader, the other daemons of its data centre do so too, and each
+// uses its share of the slots.
+func (gate *Gate) deciderCount(sched *scheduler) int {
+	if sched.leads {
 		return 1
 	}
 	return max(len(gate.peers.Live(gate.settings.Centre)), 1)
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -9,126 +9,130 @@
 	"yuccacleat/core/yuccaroster"
 )
 
-// ticket is a request that waits for a target or runs on one. But for placed, it belongs to
-// the control goroutine.
-type ticket struct {
-	// req is the request; only what never changes of it may be read here.
-	req  *request
-	pool yuccaid.Pool
-	ask  yuccagrant.Request
-	// placed gets the one decision on the ask.
-	placed chan placed
+// placement is one request's wait for a target and its run there. Apart from the channel
+// decided, it belongs to the control goroutine.
+type placement struct {
+	// req is the request. Of its fields, the control goroutine may read only those that no
+	// longer change.
+	req          *request
+	pool         yuccaid.Pool
+	grantRequest yuccagrant.Request
+	// decided receives the one decision on the placement.
+	decided chan decision
 
-	// asked is when the pool's leader was asked, and word when it last said that the
-	// request waits; alone says that this daemon decides instead.
-	asked time.Time
-	word  time.Time
-	alone bool
+	// submittedAt is when the request was last sent to the pool's leader, and waitingAt when
+	// the leader last responded that it waits, zero if it hasn't. If decidedHere is set, this
+	// daemon decides instead.
+	submittedAt time.Time
+	waitingAt   time.Time
+	decidedHere bool
 
 	running bool
-	begun   bool
+	started bool
 	target  yuccaid.Target
-	sent    time.Time
+	sentAt  time.Time
 }
 
-// placed is a decision on a waiting request: a target, or a refusal.
-type placed struct {
+// decision is the decision on a waiting request: a target, a refusal or a problem.
+type decision struct {
 	target  yuccaid.Target
 	address string
-	// alone says that this daemon decided without the pool's leader.
-	alone   bool
-	refusal *yuccagrant.Refusal
-	problem *Problem
-	inputs  inputs
+	// withoutLeader reports whether this daemon decided although another one leads the pool.
+	withoutLeader bool
+	refusal       *yuccagrant.Refusal
+	problem       *Problem
+	inputs        decisionInputs
 }
 
-// inputs is what a decision on a request was made from, for the log.
-type inputs struct {
+// decisionInputs is what a decision on a request was made from, for the log.
+type decisionInputs struct {
 	leader yuccaid.VM
 	expect time.Duration
 	busy   int
-	// revision is how far the platform had been heard, and age how long ago it last spoke.
-	revision yuccaroster.Revision
-	age      time.Duration
+	// platformRevision is the revision up to which the platform had been read, and platformAge
+	// how long ago the platform had last responded.
+	platformRevision yuccaroster.Revision
+	platformAge      time.Duration
 }
 
-// acquire waits for a target. When the caller leaves meanwhile, the request is taken back.
-func (gate *Gate) acquire(ctx context.Context, req *request) (*ticket, placed, error) {
-	tkt := &ticket{req: req, pool: req.pool, ask: req.ask(), placed: make(chan placed, 1)}
-	tkt.ask.ID = yuccagrant.ID{Owner: gate.inc, Number: gate.numbers.Add(1)}
-	gate.control.Post(func(now time.Time) { gate.enter(now, req, tkt) })
+// acquire waits for a target. If the context ends meanwhile, the request is withdrawn.
+func (gate *Gate) acquire(ctx context.Context, req *request) (*placement, decision, error) {
+	plc := &placement{req: req, pool: req.pool, grantRequest: req.grantRequest(), decided: make(chan decision, 1)}
+	plc.grantRequest.ID = yuccagrant.ID{Owner: gate.incarnation, Number: gate.lastPlacement.Add(1)}
+	gate.control.Post(func(now time.Time) { gate.enter(now, req, plc) })
 	select {
-	case one := <-tkt.placed:
-		return tkt, one, nil
+	case dec := <-plc.decided:
+		return plc, dec, nil
 	case <-ctx.Done():
-		gate.control.Post(func(now time.Time) { gate.abandon(now, tkt) })
-		return tkt, placed{}, context.Cause(ctx)
+		gate.control.Post(func(now time.Time) { gate.abandon(now, plc) })
+		return plc, decision{}, context.Cause(ctx)
 	}
 }
 
-// enter counts a request against its account's quota, once, and asks for a target.
-func (gate *Gate) enter(now time.Time, req *request, tkt *ticket) {
-	if !req.entered {
-		req.entered = true
-		if prob := gate.admitted(now, req); prob != nil {
-			tkt.placed <- placed{problem: prob}
+// enter charges a request to its account's quota the first time, and requests a target.
+func (gate *Gate) enter(now time.Time, req *request, plc *placement) {
+	if !req.quotaChecked {
+		req.quotaChecked = true
+		if prob := gate.chargeQuota(now, req); prob != nil {
+			plc.decided <- decision{problem: prob}
 			return
 		}
-		req.counted = true
-		tkt.ask.OverQuota = req.over
-		gate.budget.CountRequest(now, req.pool)
+		req.charged = true
+		plc.grantRequest.OverQuota = req.overQuota
+		gate.resendBudget.CountRequest(now, req.pool)
 	}
-	gate.tickets[tkt.ask.ID.Number] = tkt
-	gate.ask(now, gate.desk(now, tkt.pool), tkt)
+	gate.placements[plc.grantRequest.ID.Number] = plc
+	gate.submit(now, gate.scheduler(now, plc.pool), plc)
 }
 
-// abandon takes back a request whose caller left before it was sent.
-func (gate *Gate) abandon(now time.Time, tkt *ticket) {
-	if gate.tickets[tkt.ask.ID.Number] != tkt {
+// abandon withdraws a placement whose request's context ended before it was sent.
+func (gate *Gate) abandon(now time.Time, plc *placement) {
+	if gate.placements[plc.grantRequest.ID.Number] != plc {
 		return
 	}
-	dsk := gate.desk(now, tkt.pool)
-	if !tkt.running {
-		gate.withdraw(now, dsk, tkt)
+	sched := gate.scheduler(now, plc.pool)
+	if !plc.running {
+		gate.withdraw(now, sched, plc)
 	}
-	gate.end(now, tkt, yuccagrant.Finished{Outcome: yuccagrant.Dropped})
+	gate.finish(now, plc, yuccagrant.Finished{Outcome: yuccagrant.Dropped})
 }
 
-// begun tells of a run's first event.
-func (gate *Gate) begun(tkt *ticket, took time.Duration, load yuccagrant.ReportedLoad) {
+// started reports a run's first event to the scheduler and the leader. The duration took is the
+// time from sending to that event.
+func (gate *Gate) started(plc *placement, took time.Duration, load yuccagrant.ReportedLoad) {
 	gate.control.Post(func(now time.Time) {
-		tkt.begun = true
-		dsk := gate.desk(now, tkt.pool)
-		gate.apply(now, dsk, dsk.own.RunStarted(now, tkt.ask.ID, took, load))
-		gate.tellBegun(dsk, tkt, took, load)
+		plc.started = true
+		sched := gate.scheduler(now, plc.pool)
+		gate.apply(now, sched, sched.local.RunStarted(now, plc.grantRequest.ID, took, load))
+		gate.sendStarted(sched, plc, took, load)
 	})
 }
 
-// ended gives a target's place back.
-func (gate *Gate) ended(tkt *ticket, end yuccagrant.Finished) {
-	gate.control.Post(func(now time.Time) { gate.end(now, tkt, end) })
+// finished frees the target's slot and reports how the run went.
+func (gate *Gate) finished(plc *placement, result yuccagrant.Finished) {
+	gate.control.Post(func(now time.Time) { gate.finish(now, plc, result) })
 }
 
-func (gate *Gate) end(now time.Time, tkt *ticket, end yuccagrant.Finished) {
-	delete(gate.tickets, tkt.ask.ID.Number)
-	end.ID = tkt.ask.ID
-	gate.giveBack(now, gate.desk(now, tkt.pool), end)
+func (gate *Gate) finish(now time.Time, plc *placement, result yuccagrant.Finished) {
+	delete(gate.placements, plc.grantRequest.ID.Number)
+	result.ID = plc.grantRequest.ID
+	gate.reportFinished(now, gate.scheduler(now, plc.pool), result)
 }
 
-// paysResend counts a resend of a request that has reached a target, and reports whether the
+// chargeResend counts a resend of a request that has reached a target, and reports whether the
 // budget allows it.
-func (gate *Gate) paysResend(pool yuccaid.Pool) bool {
+func (gate *Gate) chargeResend(pool yuccaid.Pool) bool {
 	allowed := false
 	gate.control.Call(func(now time.Time) {
-		_, daemons := gate.fleet(now)
-		allowed = gate.budget.AllowResend(now, pool, daemons)
+		_, daemons := gate.countDaemons(now)
+		allowed = gate.resendBudget.AllowResend(now, pool, daemons)
 	})
-	gate.metrics.resend(allowed)
+	gate.metrics.resendDecided(allowed)
 	return allowed
 }
 
-// mayResend reports whether the request may be sent to a further target, and counts it. A
-// sending that never arrived anywhere is none.
-func (gate *Gate) mayResend(req *request) bool {
-	return req.arrivals == 0 || gate.paysResend(req.pool)
+// allowResend reports whether the budget allows to send the request to another target, and
+// counts the resend. A request that has reached no target yet is not counted.
+func (gate *Gate) allowResend(req *request) bool {
+	return req.arrivals == 0 || gate.chargeResend(req.pool)
 }
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -9,151 +9,161 @@
 )
 
 const (
-	// useRole names the choice of the daemon that speaks for its data centre. No pool has
-	// the name, since names have no spaces.
-	useRole = yuccaid.Pool("use of quotas")
-	// useForPeer spaces the reports of use by how many peers get them: each report goes to
-	// all, so their number would else grow with the square of the daemons.
-	useForPeer = 10 * time.Millisecond
-	// useWay is what the way of a report to the other data centres adds: two ticks, three
-	// hops and the way between regions.
-	useWay = 100 * time.Millisecond
-	// wholeEvery is how often all that a data centre let in within the windows is told: casts
-	// are lost with the connections that break, and a change of speaker loses some.
-	wholeEvery = 2 * time.Second
-	// firstPart is the part of quotas that a daemon uses before it has heard from others, for
-	// some tenths of a second. What an account can be let in for meanwhile is bounded by what
-	// it asks for; callers who come back after an outage are refused with a smaller part.
-	firstPart = 0.15
-	// silentUsed is the part of the silent daemons' quota that the larger side of a cut uses.
-	silentUsed = 0.4
+	// usageRole is the key under which the data centre chooses the daemon that casts its usage
+	// to the others. No pool has this name, since names of pools have no spaces.
+	usageRole = yuccaid.Pool("use of quotas")
+	// usageIntervalPerPeer lengthens the time between reports of usage with the number of
+	// peers, because each report goes to all peers and their number would otherwise grow with
+	// the square of the number of daemons.
+	usageIntervalPerPeer = 10 * time.Millisecond
+	// remoteUsageDelay is the time that a report takes to the other data centres besides the
+	// intervals between reports: two ticks, three hops and the latency between regions.
+	remoteUsageDelay = 100 * time.Millisecond
+	// fullUsageInterval is the time between two casts of all usage of a data centre within the
+	// quotas' windows, because casts are lost when connections break and when another daemon
+	// takes over casting.
+	fullUsageInterval = 2 * time.Second
+	// startupShare is the share of quotas that a daemon uses before it has received the usage
+	// of others, for some tenths of a second. During that time an account's usage is bounded by
+	// what it requests. With a smaller share, callers that retry after an outage would be
+	// refused.
+	startupShare = 0.15
+	// silentShareUsed is the fraction of the unreachable daemons' share that the larger side of
+	// a network partition uses.
+	silentShareUsed = 0.4
 )
 
-// admitted counts a request against its account's quota.
-func (gate *Gate) admitted(now time.Time, req *request) *Problem {
+// chargeQuota charges a request to its account's quota, or returns the problem if the quota
+// refuses it.
+func (gate *Gate) chargeQuota(now time.Time, req *request) *Problem {
 	if req.account == nil {
 		return nil
 	}
-	cost := req.account.Quota.Cost(req.caller.Charged)
+	cost := req.account.Quota.Cost(req.info.Charged)
 	answer := gate.ledger.Admit(now, req.account.Name, cost, req.route.Rank)
-	req.over = answer.OverQuota
+	req.overQuota = answer.OverQuota
 	if answer.Verdict != yuccaquota.Admitted {
-		gate.metrics.quota(answer.Verdict)
-		req.told("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.UsedByDaemon, "asked", answer.Demand, "rush", answer.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
+		gate.metrics.quotaRefused(answer.Verdict)
+		req.logDecision("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.UsedByDaemon, "asked", answer.Demand, "rush", answer.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
 		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), RetryAfter: answer.RetryAfter}
 	}
 	return nil
 }
 
-// notRun gives back what a request counted that ran nowhere.
-func (gate *Gate) notRun(req *request) {
+// refundQuota returns the charge of a request that did not run.
+func (gate *Gate) refundQuota(req *request) {
 	if req.account == nil {
 		return
 	}
 	gate.control.Post(func(now time.Time) {
-		if !req.counted {
+		if !req.charged {
 			return
 		}
-		gate.ledger.Refund(now, req.account.Name, req.account.Quota.Cost(req.caller.Charged))
+		gate.ledger.Refund(now, req.account.Name, req.account.Quota.Cost(req.info.Charged))
 	})
 }
 
-// tickUse reports what accounts were let in for, and sets the part of the quotas that this
-// daemon may use.
-func (gate *Gate) tickUse(now time.Time) {
-	visible, total := gate.fleet(now)
-	part := gate.part(now, visible, total)
-	if part != gate.ledger.QuotaShare() {
-		gate.log.belief("part of the quotas", "part", part, "before", gate.ledger.QuotaShare(), "visible", visible, "total", total)
+// tickUsage reports usage of accounts to the other daemons, and sets the share of the quotas
+// that this daemon may use.
+func (gate *Gate) tickUsage(now time.Time) {
+	visible, total := gate.countDaemons(now)
+	share := gate.quotaShare(now, visible, total)
+	if share != gate.ledger.QuotaShare() {
+		gate.log.stateChange("part of the quotas", "part", share, "before", gate.ledger.QuotaShare(), "visible", visible, "total", total)
 	}
 	peers := len(gate.peers.Live(gate.settings.Centre)) - 1
-	every := time.Duration(peers) * useForPeer
+	interval := time.Duration(peers) * usageIntervalPerPeer
 	spacing := castSpacing(total)
-	gate.ledger.SetFleet(now, part, total, every+spacing+useWay)
-	if now.Sub(gate.useTold) < every {
+	gate.ledger.SetFleet(now, share, total, interval+spacing+remoteUsageDelay)
+	if now.Sub(gate.usageReportedAt) < interval {
 		return
 	}
-	gate.useTold = now
-	if spent := gate.ledger.Report(); len(spent) > 0 {
-		gate.nearby(yuccawire.KindUse, yuccawire.Use{Spent: spent})
+	gate.usageReportedAt = now
+	if usage := gate.ledger.Report(); len(usage) > 0 {
+		gate.sendLocal(yuccawire.KindUse, yuccawire.Use{Spent: usage})
 	}
-	gate.castUse(now, spacing)
+	gate.castUsage(now, spacing)
 }
 
-// part returns the part of the quotas that this daemon uses. One that comes back to a fleet
-// that goes on has been told what the others let in; with a first part it would refuse
-// accounts that have room until it has met everybody.
-func (gate *Gate) part(now time.Time, visible, total int) float64 {
+// quotaShare returns the share of the quotas that this daemon uses. A daemon that restarts in a
+// running fleet and has received the usage of the others uses the whole quota; with
+// startupShare it would refuse accounts within their quotas until it is connected to all
+// daemons.
+func (gate *Gate) quotaShare(now time.Time, visible, total int) float64 {
 	switch {
 	case gate.settled || len(gate.settings.Seeds) == 0:
-		return partOf(visible, total)
+		return shareOf(visible, total)
 	case !gate.settings.FirstStart && !gate.ledger.WithoutHistory(now):
 		return 1
 	}
-	return firstPart
+	return startupShare
 }
 
-// partOf returns the part of the quotas for a daemon that hears from so many of all.
+// shareOf returns the share of the quotas for a daemon that has recent state from the given
+// number of all daemons.
 //
-// Cut off from the others, a daemon can't know what they let in. If both sides of a cut used
-// the whole quota, an account would get twice as much; so a side uses its part. The larger
-// one also uses most of what belongs to the silent ones, since more daemons fall silent
-// because they died than because they were cut off.
-func partOf(visible, total int) float64 {
+// A daemon on one side of a network partition can't know what the other side admits. If both
+// sides used the whole quota, an account would get twice as much, so each side uses its share.
+// The larger side also uses silentShareUsed of the unreachable daemons' share, because more
+// daemons are unreachable because they died than because of a partition.
+func shareOf(visible, total int) float64 {
 	if 2*visible <= total {
 		return float64(visible) / float64(total)
 	}
-	return (float64(visible) + silentUsed*float64(total-visible)) / float64(total)
+	return (float64(visible) + silentShareUsed*float64(total-visible)) / float64(total)
 }
 
-// castUse tells the other data centres, if it is this daemon that speaks for its own.
-func (gate *Gate) castUse(now time.Time, spacing time.Duration) {
-	if now.Sub(gate.useCast) < spacing {
+// castUsage sends this data centre's usage to the others, if this daemon is the one that does
+// so.
+func (gate *Gate) castUsage(now time.Time, spacing time.Duration) {
+	if now.Sub(gate.usageCastAt) < spacing {
 		return
 	}
-	speaker, found := gate.peers.Leader(useRole)
-	if !found || speaker.Incarnation != gate.inc {
+	sender, found := gate.peers.Leader(usageRole)
+	if !found || sender.Incarnation != gate.incarnation {
 		return
 	}
-	spent := gate.ledger.RemoteReport()
-	quiet := max(castLatest, spacing)
-	if now.Sub(gate.began) < centreAwaited {
-		// Data centres that start together find one another by these.
-		quiet = spacing
+	usage := gate.ledger.RemoteReport()
+	maxInterval := max(castMaxInterval, spacing)
+	if now.Sub(gate.startedAt) < centreStartupWait {
+		// Data centres that start together learn of one another from these casts.
+		maxInterval = spacing
 	}
-	if len(spent) == 0 && !gate.wholeDue && now.Sub(gate.useCast) < quiet {
+	if len(usage) == 0 && !gate.fullUsageDue && now.Sub(gate.usageCastAt) < maxInterval {
 		return
 	}
-	gate.useCast = now
-	message := yuccawire.Cast{Topic: yuccawire.TopicUse, Use: spent, Daemons: len(gate.peers.Live(gate.settings.Centre))}
+	gate.usageCastAt = now
+	message := yuccawire.Cast{Topic: yuccawire.TopicUse, Use: usage, Daemons: len(gate.peers.Live(gate.settings.Centre))}
 	gate.cast(message)
-	if gate.wholeDue || len(spent) > 0 && now.Sub(gate.wholeAt) >= wholeEvery {
-		gate.wholeDue, gate.wholeAt = false, now
+	if gate.fullUsageDue || len(usage) > 0 && now.Sub(gate.fullUsageAt) >= fullUsageInterval {
+		gate.fullUsageDue, gate.fullUsageAt = false, now
 		message.Use, message.Whole = nil, gate.ledger.CentreTotals(now)
 		gate.cast(message)
 	}
 }
 
-// onUse takes a report of one daemon. What one nearby let in before the first connection to
-// it was reported to nobody here; if it has forgotten what was before, that is all it knows.
-// What another data centre lets in comes with casts, unless this one has forgotten it.
+// onUse handles a report of usage from one daemon. Totals come when a connection is opened,
+// since usage from before it was not reported here; from a local daemon without usage history
+// they are all that it knows. Usage of another data centre arrives with casts, so the totals of
+// its daemons count only if they have usage history.
 func (gate *Gate) onUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	peer, found := gate.peers.Find(from.VM)
-	away := found && peer.Centre != gate.settings.Centre
+	remote := found && peer.Centre != gate.settings.Centre
 	switch {
 	case !message.Totals:
 		gate.ledger.ApplyReport(now, from, message.Spent)
-	case away && message.Knows:
+	case remote && message.Knows:
 		gate.ledger.RaiseRemoteTotals(now, peer.Centre, message.All, message.Home)
-	case away:
+	case remote:
 	default:
-		gate.meetUse(now, from, message)
+		gate.mergeTotals(now, from, message)
 	}
 }
 
-// meetUse takes what a daemon nearby tells when a connection to it comes up. The totals of
-// one that remembers hold what it let in itself, and so may those that others told.
-func (gate *Gate) meetUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
+// mergeTotals merges the totals that a local daemon sends when a connection to it is opened. If
+// that daemon has usage history, its totals include its own usage, and may include usage that
+// other daemons have reported already.
+func (gate *Gate) mergeTotals(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	within := message.Mine
 	if message.Knows && !gate.ledger.ConnectedBefore(from) {
 		within = nil
@@ -165,11 +175,11 @@
 }
 
 func (gate *Gate) onCentreUse(now time.Time, message yuccawire.Cast) {
-	before := gate.centres[message.Centre]
-	if before == nil || now.Sub(before.heard) > centreFresh {
-		gate.wholeDue = true
+	before := gate.remoteCentres[message.Centre]
+	if before == nil || now.Sub(before.receivedAt) > centreFreshFor {
+		gate.fullUsageDue = true
 	}
-	gate.centres[message.Centre] = &centre{daemons: message.Daemons, heard: now}
+	gate.remoteCentres[message.Centre] = &remoteCentre{daemons: message.Daemons, receivedAt: now}
 	gate.ledger.ApplyRemoteReport(now, message.Centre, message.Use)
 	gate.ledger.ApplyRemoteTotals(now, message.Centre, message.Whole)
 }
