--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -29,8 +29,11 @@
 // the pool, it decides for the whole data centre; otherwise it decides for this daemon's own
 // requests while the leader can't be reached.
 type scheduler struct {
-	pool   yuccaid.Pool
-	local  *yuccagrant.Leader
+	pool yuccaid.Pool
+	// local makes this daemon's decisions, whether it leads the pool or not.
+	local *yuccagrant.Leader
+	// leads reports whether this daemon leads the pool, and leader is the daemon that does, or
+	// zero if none is known.
 	leads  bool
 	leader yuccaid.Incarnation
 	// suspectUntil is until when no requests are sent to the leader because it didn't respond
@@ -44,9 +47,9 @@
 	remoteReset   bool
 	// rosterVersion is the roster's version that local was configured with, or neverConfigured.
 	rosterVersion uint64
-	// sentLoads are the loads that were last sent to the other data centres. loadSentAt is when
+	// sent are the loads that were last sent to the other data centres. loadSentAt is when
 	// loads were last sent, and fullLoadSentAt when those of all targets were.
-	sentLoads      map[yuccaid.Target]yuccawire.TargetLoad
+	sent           map[yuccaid.Target]yuccawire.TargetLoad
 	loadSentAt     time.Time
 	fullLoadSentAt time.Time
 }
@@ -55,7 +58,7 @@
 	sched := gate.schedulers[pool]
 	if sched == nil {
 		seed := mathrand.NewPCG(mathrand.Uint64(), uint64(now.UnixNano()))
-		sched = &scheduler{pool: pool, local: yuccagrant.New(mathrand.New(seed)), remote: make(map[yuccaid.Centre]*remoteLoad), remoteChanged: make(map[yuccaid.Target]bool), sentLoads: make(map[yuccaid.Target]yuccawire.TargetLoad), rosterVersion: neverConfigured}
+		sched = &scheduler{pool: pool, local: yuccagrant.New(mathrand.New(seed)), remote: make(map[yuccaid.Centre]*remoteLoad), remoteChanged: make(map[yuccaid.Target]bool), sent: make(map[yuccaid.Target]yuccawire.TargetLoad), rosterVersion: neverConfigured}
 		gate.schedulers[pool] = sched
 		gate.followLeader(now, sched)
 	}
@@ -96,19 +99,19 @@
 
 func (gate *Gate) followLeader(now time.Time, sched *scheduler) {
 	leader, found := gate.peers.Leader(sched.pool)
-	inc := leader.Incarnation
+	incarnation := leader.Incarnation
 	if !found {
-		inc = yuccaid.Incarnation{}
+		incarnation = yuccaid.Incarnation{}
 	}
-	if inc == sched.leader {
+	if incarnation == sched.leader {
 		// The share of a daemon that decides without the leader follows the number of daemons.
 		gate.configure(now, sched)
 		return
 	}
-	sched.leader = inc
+	sched.leader = incarnation
 	sched.suspectUntil = time.Time{}
 	ledBefore := sched.leads
-	sched.leads = inc == gate.incarnation
+	sched.leads = incarnation == gate.incarnation
 	gate.log.stateChange("leader", "pool", sched.pool, "leader", leader.VM, "leads", sched.leads)
 	sched.remoteReset = true
 	if ledBefore && !sched.leads {
@@ -136,7 +139,7 @@
 // runs.
 func (gate *Gate) syncPlacement(now time.Time, sched *scheduler, plc *placement) {
 	if !plc.running {
-		gate.submit(now, sched, plc)
+		gate.request(now, sched, plc)
 		return
 	}
 	if sched.leads || sched.leader.IsZero() {
@@ -147,14 +150,14 @@
 	})
 }
 
-// submit passes a waiting request to whoever decides on it: the pool's leader, or this daemon
+// request passes a waiting request to whoever decides on it: the pool's leader, or this daemon
 // itself if it is the leader, there is none, or the leader is suspected.
-func (gate *Gate) submit(now time.Time, sched *scheduler, plc *placement) {
+func (gate *Gate) request(now time.Time, sched *scheduler, plc *placement) {
 	plc.submittedAt = now
 	plc.waitingAt = time.Time{}
 	if sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil) {
 		plc.decidedHere = true
-		gate.apply(now, sched, sched.local.Submit(now, plc.grantRequest))
+		gate.apply(now, sched, sched.local.Submit(now, plc.request))
 		return
 	}
 	plc.decidedHere = false
@@ -170,8 +173,8 @@
 		gate.log.stateChange("leader doubted", "pool", sched.pool, "leader", sched.leader.VM, "request", plc.req.info.ID, "silentMillis", now.Sub(plc.submittedAt).Milliseconds())
 	}
 	sched.suspectUntil = now.Add(suspectFor)
-	gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.grantRequest.ID.Number})
-	gate.submit(now, sched, plc)
+	gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.request.ID.Number})
+	gate.request(now, sched, plc)
 }
 
 // tickPlacements finds waiting requests whose leader hasn't responded in time, and those that
@@ -186,11 +189,11 @@
 		case plc.decidedHere && (sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil)):
 		case plc.decidedHere:
 			gate.withdraw(now, sched, plc)
-			gate.submit(now, sched, plc)
+			gate.request(now, sched, plc)
 		case plc.waitingAt.IsZero() && now.Sub(plc.submittedAt) > leaderTimeout:
 			gate.suspectLeader(now, sched, plc)
 		case !plc.waitingAt.IsZero() && now.Sub(plc.waitingAt) > waitingTimeout:
-			gate.submit(now, sched, plc)
+			gate.request(now, sched, plc)
 		}
 	}
 }
@@ -231,35 +234,35 @@
 	entry, found := gate.roster.Find(target)
 	if !found || entry.Leaving {
 		plc.req.logDecision("declined", "target", target, "known", found, "leader", sched.leader.VM, "revision", gate.platformRevision)
-		plc.grantRequest.FailedTargets = append(plc.grantRequest.FailedTargets, target)
-		gate.reportFinished(now, sched, yuccagrant.Finished{ID: plc.grantRequest.ID, Outcome: yuccagrant.Dropped})
-		gate.submit(now, sched, plc)
+		plc.request.FailedTargets = append(plc.request.FailedTargets, target)
+		gate.reportFinished(now, sched, yuccagrant.Finished{ID: plc.request.ID, Outcome: yuccagrant.Dropped})
+		gate.request(now, sched, plc)
 		return
 	}
 	plc.running = true
 	plc.target = target
 	plc.sentAt = now
 	if !plc.decidedHere {
-		sched.local.AddRunning(now, yuccagrant.Running{Request: plc.grantRequest, Target: target, Sent: now})
+		sched.local.AddRunning(now, yuccagrant.Running{Request: plc.request, Target: target, Sent: now})
 	} else {
 		gate.syncPlacement(now, sched, plc)
 	}
-	plc.decided <- decision{
-		target: target, address: entry.Address, withoutLeader: plc.decidedHere && !sched.leads,
-		inputs: gate.decisionInputs(now, sched, granted.ExpectedFirst, granted.Busy),
+	plc.decision <- decision{
+		target: target, address: entry.Address, decidedHere: plc.decidedHere && !sched.leads,
+		decisionInputs: gate.decisionInputs(now, sched, granted.ExpectedFirst, granted.Busy),
 	}
 }
 
 func (gate *Gate) refuse(refusal yuccagrant.Refusal) {
 	if plc := gate.placements[refusal.ID.Number]; plc != nil && !plc.running {
 		delete(gate.placements, refusal.ID.Number)
-		plc.decided <- decision{refusal: &refusal, inputs: gate.decisionInputs(time.Now(), gate.schedulers[plc.pool], 0, 0)}
+		plc.decision <- decision{refusal: &refusal, decisionInputs: gate.decisionInputs(time.Now(), gate.schedulers[plc.pool], 0, 0)}
 	}
 }
 
 // decisionInputs returns what a decision was made from, for the log.
 func (gate *Gate) decisionInputs(now time.Time, sched *scheduler, expect time.Duration, busy int) decisionInputs {
-	inputs := decisionInputs{leader: sched.leader.VM, expect: expect, busy: busy, platformRevision: gate.platformRevision, platformAge: gate.platformAge(now)}
+	inputs := decisionInputs{leader: sched.leader.VM, expect: expect, busy: busy, revision: gate.platformRevision, age: gate.platformAge(now)}
 	return inputs
 }
 
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -16,20 +16,20 @@
 }
 
 // receiveLoads passes a cast of a remote leader to the scheduler.
-func (sched *scheduler) receiveLoads(now time.Time, sequence uint64, part bool, loads ...yuccawire.TargetLoad) {
+func (sched *scheduler) receiveLoads(now time.Time, sequence uint64, part bool, targetLoads ...yuccawire.TargetLoad) {
 	if sched.remote["austin"] == nil {
 		sched.remote["austin"] = &remoteLoad{loads: make(map[yuccaid.Target]receivedLoad)}
 	}
 	sched.remote["austin"].receivedAt = now
-	sched.remote["austin"].merge(yuccawire.Cast{Origin: "entry-9", Sequence: sequence, Load: loads, Part: part}, sched.remoteChanged)
+	sched.remote["austin"].merge(yuccawire.Cast{Origin: "entry-9", Sequence: sequence, Load: targetLoads, Part: part}, sched.remoteChanged)
 }
 
 func (sched *scheduler) remoteRuns() map[yuccaid.Target]int {
-	runs := make(map[yuccaid.Target]int)
+	remoteRuns := make(map[yuccaid.Target]int)
 	for target, load := range sched.remoteTotals() {
-		runs[target] = load.Runs
+		remoteRuns[target] = load.Runs
 	}
-	return runs
+	return remoteRuns
 }
 
 // One of two connections between data centres lags. Its casts contain changes of some targets
@@ -97,7 +97,7 @@
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
 	sched.local = yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
-	sched.sentLoads = make(map[yuccaid.Target]yuccawire.TargetLoad)
+	sched.sent = make(map[yuccaid.Target]yuccawire.TargetLoad)
 	sched.local.Configure(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
 	running := uint64(0)
 	set := func(runs uint64) {
@@ -111,19 +111,19 @@
 	for _, step := range []struct {
 		runs  uint64
 		whole bool
-		told  []yuccawire.TargetLoad
+		sent  []yuccawire.TargetLoad
 	}{
-		{runs: 2, told: []yuccawire.TargetLoad{{Target: "a", Runs: 2}}},
+		{runs: 2, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 2}}},
 		{runs: 4},
-		{runs: 5, told: []yuccawire.TargetLoad{{Target: "a", Runs: 5}}},
-		{runs: 4, whole: true, told: []yuccawire.TargetLoad{{Target: "a", Runs: 4}}},
+		{runs: 5, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 5}}},
+		{runs: 4, whole: true, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 4}}},
 		{runs: 2},
-		{runs: 0, told: []yuccawire.TargetLoad{{Target: "a"}}},
+		{runs: 0, sent: []yuccawire.TargetLoad{{Target: "a"}}},
 		{runs: 0},
 	} {
 		set(step.runs)
-		if got := sched.changedLoads(step.whole, 3); !reflect.DeepEqual(got, step.told) {
-			t.Errorf("at %d runs told %v, want %v", step.runs, got, step.told)
+		if got := sched.changedLoads(step.whole, 3); !reflect.DeepEqual(got, step.sent) {
+			t.Errorf("at %d runs told %v, want %v", step.runs, got, step.sent)
 		}
 	}
 }
--- a/io/yuccagate/events.go
+++ b/io/yuccagate/events.go
@@ -34,8 +34,8 @@
 	err     error
 }
 
-func newEventReader(from io.Reader) *eventReader {
-	return &eventReader{source: from}
+func newEventReader(source io.Reader) *eventReader {
+	return &eventReader{source: source}
 }
 
 // next returns the events that have arrived, at least one, or an error when the stream ends.
--- a/io/yuccagate/failure_test.go
+++ b/io/yuccagate/failure_test.go
@@ -21,9 +21,9 @@
 
 var _ = Describe("a request whose target fails", func() {
 	failing := []failure{
-		{"rejects it", respondStatus(http.StatusServiceUnavailable, "X-Not-Run", "1")},
+		{"rejects it", status(http.StatusServiceUnavailable, "X-Not-Run", "1")},
 		{"hangs up", closeWithoutResponse},
-		{"answers with its own failure", respondStatus(http.StatusInternalServerError, "X-Signature", "bad")},
+		{"answers with its own failure", status(http.StatusInternalServerError, "X-Signature", "bad")},
 		{"answers another request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Id", "somebody else's")
 			fmt.Fprint(w, "foreign")
@@ -130,7 +130,7 @@
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
 			gt.OfferTargets(nil, []yuccaroster.Removal{{Target: "a", Revision: 9}}, false, 9, true)
 			Eventually(func() int { return len(gt.Status().Targets) }).Should(BeZero())
-			respondStatus(http.StatusInternalServerError)(w, r)
+			status(http.StatusInternalServerError)(w, r)
 		})
 		gt = newGate("entry-1")
 		gt.configure(1, config(), 4, eng)
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -105,12 +105,12 @@
 	maxRunning atomic.Int64
 
 	mu       sync.Mutex
-	received []receivedRequest
+	received []received
 	answer   http.HandlerFunc
 }
 
-// receivedRequest is a request as it arrived at a target.
-type receivedRequest struct {
+// received is a request as it arrived at a target.
+type received struct {
 	id, method, uri, host, body string
 	header                      http.Header
 }
@@ -133,11 +133,11 @@
 	}
 	running := eng.running.Add(1)
 	defer eng.running.Add(-1)
-	for most := eng.maxRunning.Load(); running > most && !eng.maxRunning.CompareAndSwap(most, running); most = eng.maxRunning.Load() {
+	for maxRunning := eng.maxRunning.Load(); running > maxRunning && !eng.maxRunning.CompareAndSwap(maxRunning, running); maxRunning = eng.maxRunning.Load() {
 	}
 	body, _ := io.ReadAll(r.Body)
 	eng.mu.Lock()
-	eng.received = append(eng.received, receivedRequest{r.Header.Get("X-Id"), r.Method, r.RequestURI, r.Host, string(body), r.Header.Clone()})
+	eng.received = append(eng.received, received{r.Header.Get("X-Id"), r.Method, r.RequestURI, r.Host, string(body), r.Header.Clone()})
 	answer := eng.answer
 	eng.mu.Unlock()
 	if answer == nil {
@@ -148,7 +148,7 @@
 	answer(w, r)
 }
 
-func (eng *engine) requests() []receivedRequest {
+func (eng *engine) requests() []received {
 	eng.mu.Lock()
 	defer eng.mu.Unlock()
 	return slices.Clone(eng.received)
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -80,7 +80,7 @@
 	targetsPulledAt     time.Time
 	platformRespondedAt time.Time
 	platformRevision    yuccaroster.Revision
-	platformReports     map[yuccaid.Incarnation]platformReport
+	platformReport      map[yuccaid.Incarnation]platformReport
 	platformReportedAt  time.Time
 
 	ledger          *yuccaquota.Ledger
@@ -101,8 +101,8 @@
 type Option func(*Gate)
 
 // WithLog sets the logger that the gateway writes to.
-func WithLog(target log.Logger) Option {
-	return func(gate *Gate) { gate.log = logger{inner: target} }
+func WithLog(inner log.Logger) Option {
+	return func(gate *Gate) { gate.log = logger{inner: inner} }
 }
 
 // New starts a gateway that accepts connections of other daemons on the listener peers. The
@@ -130,14 +130,14 @@
 		castWindows:   make(map[castKey]sequenceWindow),
 		remoteCentres: make(map[yuccaid.Centre]*remoteCentre),
 
-		connRefusedAt:   make(map[string]time.Time),
-		faultLoggedAt:   make(map[string]time.Time),
-		roster:          yuccaroster.New(),
-		platformReports: make(map[yuccaid.Incarnation]platformReport),
-		ledger:          yuccaquota.New(settings.Bounds.tolerance(), yuccaquota.WithSalt(mathrand.Uint64())),
-		resendBudget:    yuccabudget.New(settings.Bounds.resendBounds()),
-		schedulers:      make(map[yuccaid.Pool]*scheduler),
-		placements:      make(map[uint64]*placement),
+		connRefusedAt:  make(map[string]time.Time),
+		faultLoggedAt:  make(map[string]time.Time),
+		roster:         yuccaroster.New(),
+		platformReport: make(map[yuccaid.Incarnation]platformReport),
+		ledger:         yuccaquota.New(settings.Bounds.tolerance(), yuccaquota.WithSalt(mathrand.Uint64())),
+		resendBudget:   yuccabudget.New(settings.Bounds.resendBounds()),
+		schedulers:     make(map[yuccaid.Pool]*scheduler),
+		placements:     make(map[uint64]*placement),
 	}
 	for _, option := range options {
 		option(gate)
--- a/io/yuccagate/gate_test.go
+++ b/io/yuccagate/gate_test.go
@@ -17,7 +17,7 @@
 	"yuccacleat/core/yuccaroster"
 )
 
-func respondStatus(code int, fields ...string) http.HandlerFunc {
+func status(code int, fields ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for at := 0; at < len(fields); at += 2 {
 			w.Header().Set(fields[at], fields[at+1])
--- a/io/yuccagate/loads.go
+++ b/io/yuccagate/loads.go
@@ -82,9 +82,9 @@
 	if now.Sub(sched.loadSentAt) < loadInterval {
 		return
 	}
-	centres := len(gate.remoteCentres)
-	whole := now.Sub(sched.fullLoadSentAt) >= fullLoadSpacing(len(sched.sentLoads), centres)
-	loads := sched.changedLoads(whole, 1+centres/centresPerGrain)
+	remoteCentres := len(gate.remoteCentres)
+	whole := now.Sub(sched.fullLoadSentAt) >= fullLoadSpacing(len(sched.sent), remoteCentres)
+	loads := sched.changedLoads(whole, 1+remoteCentres/centresPerGrain)
 	if len(loads) == 0 && now.Sub(sched.loadSentAt) < loadMaxInterval {
 		return
 	}
@@ -108,18 +108,18 @@
 	var loads []yuccawire.TargetLoad
 	for target, load := range sched.local.Loads() {
 		current := wireTargetLoad(target, load)
-		previous, sentBefore := sched.sentLoads[target]
+		previous, sent := sched.sent[target]
 		delta := max(previous.Runs-current.Runs, current.Runs-previous.Runs)
-		changed := !sentBefore || delta >= grain || delta > 0 && current.Runs == 0 || paceChanged(previous.Pace, current.Pace)
+		changed := !sent || delta >= grain || delta > 0 && current.Runs == 0 || paceChanged(previous.Pace, current.Pace)
 		if whole || changed {
-			sched.sentLoads[target] = current
+			sched.sent[target] = current
 			loads = append(loads, current)
 		}
 	}
-	for target := range sched.sentLoads {
+	for target := range sched.sent {
 		if sched.local.Load(target) == (yuccagrant.TargetLoad{}) {
 			loads = append(loads, yuccawire.TargetLoad{Target: target})
-			delete(sched.sentLoads, target)
+			delete(sched.sent, target)
 		}
 	}
 	slices.SortFunc(loads, func(a, b yuccawire.TargetLoad) int { return cmp.Compare(a.Target, b.Target) })
@@ -186,15 +186,15 @@
 
 // remoteTotals returns the sum of the remote loads for each target.
 func (sched *scheduler) remoteTotals() map[yuccaid.Target]yuccagrant.TargetLoad {
-	totals := make(map[yuccaid.Target]yuccagrant.TargetLoad)
+	remoteTotals := make(map[yuccaid.Target]yuccagrant.TargetLoad)
 	for _, load := range sched.remote {
 		for target := range load.loads {
-			if _, known := totals[target]; !known {
-				totals[target] = sched.remoteTotal(target)
+			if _, known := remoteTotals[target]; !known {
+				remoteTotals[target] = sched.remoteTotal(target)
 			}
 		}
 	}
-	return totals
+	return remoteTotals
 }
 
 func (sched *scheduler) remoteTotal(target yuccaid.Target) yuccagrant.TargetLoad {
--- a/io/yuccagate/log.go
+++ b/io/yuccagate/log.go
@@ -20,13 +20,13 @@
 }
 
 // logStep logs a step of a request that went well.
-func (req *request) logStep(event string, fields ...any) {
+func (req *callerRequest) logStep(event string, fields ...any) {
 	_ = level.Debug(req.gate.log.inner).Log(append([]any{"event", event, "request", req.info.ID}, fields...)...)
 }
 
 // logDecision logs a decision on a request that its caller may ask about. Decisions on requests
 // of rank 0 are logged at the level that is left out last.
-func (req *request) logDecision(event string, fields ...any) {
+func (req *callerRequest) logDecision(event string, fields ...any) {
 	fields = append([]any{
 		"event", event, "request", req.info.ID, "account", req.accountName(), "route", req.routeName(),
 		"afterMillis", time.Since(req.arrivedAt).Milliseconds(),
@@ -38,7 +38,7 @@
 	_ = level.Info(req.gate.log.inner).Log(fields...)
 }
 
-func (req *request) routeName() string {
+func (req *callerRequest) routeName() string {
 	if req.route == nil {
 		return ""
 	}
--- a/io/yuccagate/metrics.go
+++ b/io/yuccagate/metrics.go
@@ -81,7 +81,7 @@
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_peers", uint64(len(status.Peers)))
 	vm.WriteGaugeFloat64(w, "yuccacleat_gate_quota_part", status.QuotaShare)
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_open_requests", uint64(max(status.OpenRequests, 0)))
-	vm.WriteGaugeUint64(w, "yuccacleat_gate_held_bytes", uint64(gate.memory.reserved()))
+	vm.WriteGaugeUint64(w, "yuccacleat_gate_held_bytes", uint64(gate.memory.allocated()))
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_ready", boolGauge(status.Ready))
 	vm.WriteGaugeFloat64(w, "yuccacleat_gate_control_lag_seconds", gate.control.Oldest().Seconds())
 	for _, pool := range status.Pools {
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -74,7 +74,7 @@
 	gate.control.Post(func(now time.Time) {
 		gate.log.stateChange("peer lost", "peer", member.VM, "centre", member.Centre)
 		gate.peers.HandleDisconnect(now, member.Incarnation)
-		delete(gate.platformReports, member.Incarnation)
+		delete(gate.platformReport, member.Incarnation)
 	})
 }
 
@@ -117,7 +117,7 @@
 func (gate *Gate) onChange(now time.Time, change yuccapeer.Change) {
 	if change.Resumed {
 		gate.log.stateChange("woken from a pause", "pauseMillis", change.PausedFor.Milliseconds())
-		clear(gate.platformReports)
+		clear(gate.platformReport)
 		clear(gate.remoteCentres)
 	}
 	for _, message := range change.Messages {
@@ -189,9 +189,9 @@
 func (gate *Gate) handle(now time.Time, from yuccaid.Incarnation, frame yuccawire.Frame) error {
 	switch frame.Kind {
 	case yuccawire.KindHeartbeat:
-		return decodeThen(frame, func(message yuccapeer.Heartbeat) {
-			if message.Incarnation == from {
-				gate.onChange(now, gate.peers.HandleHeartbeat(now, message))
+		return decodeThen(frame, func(heartbeat yuccapeer.Heartbeat) {
+			if heartbeat.Incarnation == from {
+				gate.onChange(now, gate.peers.HandleHeartbeat(now, heartbeat))
 			}
 		})
 	case yuccawire.KindPulse:
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -9,11 +9,11 @@
 )
 
 func wireRequest(now time.Time, plc *placement) yuccawire.Ask {
-	wanted := &plc.grantRequest
+	request := &plc.request
 	return yuccawire.Ask{
-		Pool: plc.pool, Number: wanted.ID.Number, Class: uint32(wanted.Class), Tier: wanted.Tier, Rank: wanted.Rank, Over: wanted.OverQuota, Prompt: wanted.Prompt, Answer: wanted.Answer,
-		AimMillis: wanted.SoftDeadline.Sub(now).Milliseconds(), UntilMillis: wanted.Deadline.Sub(now).Milliseconds(),
-		GapMillis: wanted.MaxGap.Milliseconds(), Tried: wanted.FailedTargets,
+		Pool: plc.pool, Number: request.ID.Number, Class: uint32(request.Class), Tier: request.Tier, Rank: request.Rank, Over: request.OverQuota, Prompt: request.Prompt, Answer: request.Answer,
+		AimMillis: request.SoftDeadline.Sub(now).Milliseconds(), UntilMillis: request.Deadline.Sub(now).Milliseconds(),
+		GapMillis: request.MaxGap.Milliseconds(), Tried: request.FailedTargets,
 	}
 }
 
@@ -69,9 +69,9 @@
 	if !sched.leads {
 		return
 	}
-	wanted := requestFromWire(now, from, message)
-	gate.apply(now, sched, sched.local.Submit(now, wanted))
-	if sched.local.IsWaiting(wanted.ID) {
+	request := requestFromWire(now, from, message)
+	gate.apply(now, sched, sched.local.Submit(now, request))
+	if sched.local.IsWaiting(request.ID) {
 		gate.send(from, yuccawire.KindPlaced, yuccawire.Placed{Pool: message.Pool, Number: message.Number})
 	}
 }
@@ -97,11 +97,11 @@
 	case !waits:
 	case message.Target != "":
 		gate.grant(now, gate.schedulers[plc.pool], yuccagrant.Grant{
-			ID: plc.grantRequest.ID, Target: message.Target, ExpectedFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
+			ID: plc.request.ID, Target: message.Target, ExpectedFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
 		})
 	case message.Reason != "":
 		gate.refuse(yuccagrant.Refusal{
-			ID: plc.grantRequest.ID, Reason: yuccagrant.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
+			ID: plc.request.ID, Reason: yuccagrant.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
 			QueueLength: message.Waiting, FreeSlots: message.Free, EstimatedWait: time.Duration(message.WaitMillis) * time.Millisecond,
 		})
 	default:
@@ -121,16 +121,16 @@
 
 // withdraw removes a waiting request from this daemon's scheduler and from the leader's queue.
 func (gate *Gate) withdraw(now time.Time, sched *scheduler, plc *placement) {
-	gate.apply(now, sched, sched.local.Withdraw(now, plc.grantRequest.ID))
+	gate.apply(now, sched, sched.local.Withdraw(now, plc.request.ID))
 	if !plc.decidedHere && !sched.leader.IsZero() {
-		gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.grantRequest.ID.Number})
+		gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.request.ID.Number})
 	}
 }
 
 func (gate *Gate) sendStarted(sched *scheduler, plc *placement, took time.Duration, load yuccagrant.ReportedLoad) {
 	if !sched.leads && !sched.leader.IsZero() {
 		gate.send(sched.leader, yuccawire.KindBegun, yuccawire.Begun{
-			Pool: sched.pool, Number: plc.grantRequest.ID.Number, TookMicro: took.Microseconds(), Load: wireLoad(load),
+			Pool: sched.pool, Number: plc.request.ID.Number, TookMicro: took.Microseconds(), Load: wireLoad(load),
 		})
 	}
 }
--- a/io/yuccagate/problem.go
+++ b/io/yuccagate/problem.go
@@ -59,8 +59,8 @@
 	Detail string
 	// RetryAfter is the time after which a retry may succeed, zero if unknown.
 	RetryAfter time.Duration
-	// logFields are further log fields that state what the decision was made from.
-	logFields []any
+	// decisionInputs are further log fields that state what the decision was made from.
+	decisionInputs []any
 }
 
 // Error returns the kind, the detail and the remedy.
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -30,14 +30,14 @@
 // relay copies a target's response to the caller, byte for byte. Once the head has been sent,
 // no other response can replace it. If the response breaks off and can't be resumed, the
 // caller's connection is closed, so that the caller doesn't take a part for the whole.
-func (req *request) relay(ctx context.Context, att *attempt) *Problem {
+func (req *callerRequest) relay(ctx context.Context, att *attempt) *Problem {
 	if !req.isStream(att) {
 		if err := req.relayBody(ctx, att); err != nil {
 			panic(http.ErrAbortHandler)
 		}
 		return nil
 	}
-	stream := &streamRelay{req: req, lastEventID: req.info.LastEventID}
+	stream := &stream{req: req, lastEventID: req.info.LastEventID}
 	err := stream.relay(ctx, att)
 	switch {
 	case err == nil:
@@ -53,7 +53,7 @@
 }
 
 // writeHead sends the head of a target's response to the caller.
-func (req *request) writeHead(att *attempt) {
+func (req *callerRequest) writeHead(att *attempt) {
 	header := req.w.Header()
 	for name, values := range forwardableHeader(att.answer.Header) {
 		header[name] = values
@@ -64,24 +64,24 @@
 	req.w.WriteHeader(att.answer.Status)
 }
 
-func (req *request) isStream(att *attempt) bool {
+func (req *callerRequest) isStream(att *attempt) bool {
 	kind := att.answer.Header.Get("Content-Type")
 	return req.route.Kind == yuccaroute.Stream && strings.HasPrefix(kind, "text/event-stream")
 }
 
 // finish frees the target's slot, and reports and logs how the response ended.
-func (req *request) finish(ctx context.Context, att *attempt, result yuccagrant.Finished, err error) {
+func (req *callerRequest) finish(ctx context.Context, att *attempt, result yuccagrant.Finished, err error) {
 	result.Load = att.report.Load
 	result.Outcome = outcomeOf(ctx, att, err)
 	att.close()
-	req.gate.finished(att.placement, result)
+	req.gate.finished(att.plc, result)
 	req.logAnswered(att, result, err)
 }
 
-func (req *request) logAnswered(att *attempt, result yuccagrant.Finished, err error) {
-	req.gate.metrics.answered(req.metricRank(), result.Outcome, att.sentAt.Add(result.TimeToFirst).Sub(req.arrivedAt), result.LongestGap)
+func (req *callerRequest) logAnswered(att *attempt, result yuccagrant.Finished, err error) {
+	req.gate.metrics.answered(req.metricRank(), result.Outcome, att.sent.Add(result.TimeToFirst).Sub(req.arrivedAt), result.LongestGap)
 	fields := []any{
-		"target", att.placement.target, "status", att.answer.Status, "outcome", result.Outcome.String(), "firstMillis", result.TimeToFirst.Milliseconds(),
+		"target", att.plc.target, "status", att.answer.Status, "outcome", result.Outcome.String(), "firstMillis", result.TimeToFirst.Milliseconds(),
 		"events", result.Events, "pauseMillis", result.LongestGap.Milliseconds(), "sends", req.sends, "runs", req.runs,
 	}
 	if err != nil || result.Outcome != yuccagrant.Served {
@@ -104,15 +104,15 @@
 	return yuccagrant.Served
 }
 
-func (req *request) relayBody(ctx context.Context, att *attempt) error {
-	att.watchdog.disarm()
-	result := yuccagrant.Finished{TimeToFirst: time.Since(att.sentAt)}
+func (req *callerRequest) relayBody(ctx context.Context, att *attempt) error {
+	att.watch.disarm()
+	result := yuccagrant.Finished{TimeToFirst: time.Since(att.sent)}
 	err := req.copyBody(att)
 	req.finish(ctx, att, result, err)
 	return err
 }
 
-func (req *request) copyBody(att *attempt) error {
+func (req *callerRequest) copyBody(att *attempt) error {
 	req.writeHead(att)
 	buf := make([]byte, copyBufferBytes)
 	for {
@@ -136,7 +136,7 @@
 //
 // Without it, the caller of a long response whose target crashes would lose the whole response,
 // or retry and have it generated again. Another target only has to read the prompt again.
-func (req *request) resume(ctx context.Context, stream *streamRelay, att *attempt) *attempt {
+func (req *callerRequest) resume(ctx context.Context, stream *stream, att *attempt) *attempt {
 	req.brokeAt = time.Now()
 	for req.shouldResend(yuccagrant.Broken, att) {
 		plc, dec, err := req.gate.acquire(ctx, req)
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// streamRelay copies a stream to its caller, from one target after another.
-type streamRelay struct {
-	req *request
+// stream copies a stream to its caller, from one target after another.
+type stream struct {
+	req *callerRequest
 	// lastEventID is the id of the last event that the caller has received.
 	lastEventID string
 	headSent    bool
@@ -175,10 +175,10 @@
 
 // relay copies the stream, and continues it from another target if the first one breaks off and
 // the route allows it.
-func (relay *streamRelay) relay(ctx context.Context, att *attempt) error {
+func (st *stream) relay(ctx context.Context, att *attempt) error {
 	for {
-		err := relay.forwardEvents(att)
-		relay.req.finish(ctx, att, relay.result, err)
+		err := st.forwardEvents(att)
+		st.req.finish(ctx, att, st.result, err)
 		if err == nil {
 			return nil
 		}
@@ -186,7 +186,7 @@
 		if ctx.Err() != nil || errors.As(err, &caller) {
 			return err
 		}
-		next := relay.req.resume(ctx, relay, att)
+		next := st.req.resume(ctx, st, att)
 		if next == nil {
 			return err
 		}
@@ -196,40 +196,40 @@
 
 // forwardEvents forwards the events of one target, each as soon as it is complete, until the
 // stream ends.
-func (relay *streamRelay) forwardEvents(att *attempt) error {
-	req := relay.req
+func (st *stream) forwardEvents(att *attempt) error {
+	req := st.req
 	control := http.NewResponseController(req.w)
 	reader := newEventReader(att.answer)
-	relay.result = yuccagrant.Finished{}
+	st.result = yuccagrant.Finished{}
 	var first time.Time
 	for {
 		list, err := reader.next()
 		now := time.Now()
 		if first.IsZero() && len(list) > 0 {
 			first = now
-			relay.result.TimeToFirst = now.Sub(att.sentAt)
-			req.gate.started(att.placement, relay.result.TimeToFirst, att.report.Load)
+			st.result.TimeToFirst = now.Sub(att.sent)
+			req.gate.started(att.plc, st.result.TimeToFirst, att.report.Load)
 		}
 		if len(list) > 0 || err == io.EOF {
-			relay.sendHead(att)
+			st.sendHead(att)
 		}
 		for _, ev := range list {
-			if relay.alreadySent(ev.id) {
+			if st.received(ev.id) {
 				continue
 			}
 			if _, writeErr := req.w.Write(ev.raw); writeErr != nil {
 				return &callerError{cause: writeErr}
 			}
 			if ev.id != "" {
-				relay.lastEventID = ev.id
+				st.lastEventID = ev.id
 			}
 		}
 		if len(list) > 0 {
-			att.watchdog.onEvent()
+			att.watch.onEvent()
 			if writeErr := control.Flush(); writeErr != nil {
 				return &callerError{cause: writeErr}
 			}
-			relay.recordEvents(now, first, len(list))
+			st.recordEvents(now, first, len(list))
 		}
 		if err == io.EOF {
 			if _, writeErr := req.w.Write(reader.remainder()); writeErr != nil {
@@ -243,35 +243,35 @@
 	}
 }
 
-// alreadySent reports whether the caller already has an event. A target that resumes a stream
+// received reports whether the caller already has an event. A target that resumes a stream
 // should start after the position that it was given; if it starts earlier, no event is sent
 // twice.
-func (relay *streamRelay) alreadySent(id string) bool {
-	if id == "" || relay.lastEventID == "" {
+func (st *stream) received(id string) bool {
+	if id == "" || st.lastEventID == "" {
 		return false
 	}
 	current, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return false
 	}
-	last, err := strconv.ParseInt(relay.lastEventID, 10, 64)
-	return err == nil && current <= last
+	received, err := strconv.ParseInt(st.lastEventID, 10, 64)
+	return err == nil && current <= received
 }
 
 // sendHead sends the head of the first target's response, which stays in effect when the stream
 // is resumed.
-func (relay *streamRelay) sendHead(att *attempt) {
-	if !relay.headSent {
-		relay.headSent = true
-		relay.req.writeHead(att)
+func (st *stream) sendHead(att *attempt) {
+	if !st.headSent {
+		st.headSent = true
+		st.req.writeHead(att)
 	}
 }
 
-func (relay *streamRelay) recordEvents(now, first time.Time, events int) {
-	if relay.result.Events > 0 {
-		relay.result.LongestGap = max(relay.result.LongestGap, now.Sub(relay.lastEventAt))
+func (st *stream) recordEvents(now, first time.Time, events int) {
+	if st.result.Events > 0 {
+		st.result.LongestGap = max(st.result.LongestGap, now.Sub(st.lastEventAt))
 	}
-	relay.result.Events += events
-	relay.result.Span = now.Sub(first)
-	relay.lastEventAt = now
+	st.result.Events += events
+	st.result.Span = now.Sub(first)
+	st.lastEventAt = now
 }
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -35,8 +35,8 @@
 
 var errTimeout = errors.New("the request's time is up")
 
-// request is one request of a caller, from its arrival to the end of its response.
-type request struct {
+// callerRequest is one request of a caller, from its arrival to the end of its response.
+type callerRequest struct {
 	gate          *Gate
 	w             http.ResponseWriter
 	info          RequestInfo
@@ -70,7 +70,7 @@
 
 // ServeHTTP serves one request of a caller.
 func (gate *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	req := &request{gate: gate, w: w, arrivedAt: time.Now()}
+	req := &callerRequest{gate: gate, w: w, arrivedAt: time.Now()}
 	req.setWriteDeadline(req.arrivedAt.Add(refusalWriteTimeout))
 	if gate.draining() {
 		w.Header().Set("Connection", "close")
@@ -102,16 +102,16 @@
 // When a caller stops reading, its connection's buffers fill up and writing blocks. Neither the
 // request's deadline nor the loss of the target unblocks the writer, so the target's slot and
 // the request's memory would be held for as long as the caller likes.
-func (req *request) setWriteDeadline(end time.Time) {
+func (req *callerRequest) setWriteDeadline(end time.Time) {
 	_ = http.NewResponseController(req.w).SetWriteDeadline(end)
 }
 
-func (req *request) refuse(prob *Problem) {
+func (req *callerRequest) refuse(prob *Problem) {
 	req.gate.metrics.problem(req.metricRank(), prob.Kind, prob.Detail)
 	fields := append([]any{
 		"kind", prob.Kind, "status", prob.Status(), "detail", prob.Detail, "backMillis", prob.RetryAfter.Milliseconds(),
 		"sends", req.sends, "runs", req.runs, "number", req.configurationNumber(),
-	}, prob.logFields...)
+	}, prob.decisionInputs...)
 	if prob.Kind == KindUnknownKey || prob.Kind == KindNoRoute {
 		// Anybody may send any number of such requests, so they are logged at debug level.
 		req.logStep("refused", fields...)
@@ -123,7 +123,7 @@
 
 // admit checks the request against the configuration, finds its route and account, and reads
 // its body.
-func (req *request) admit(r *http.Request) *Problem {
+func (req *callerRequest) admit(r *http.Request) *Problem {
 	req.table = req.gate.awaitTable(r.Context(), req.arrivedAt)
 	if req.table == nil {
 		return &Problem{Kind: KindNotReady, RetryAfter: notReadyRetryAfter}
@@ -136,11 +136,11 @@
 		return &Problem{Kind: KindNoRoute}
 	}
 	req.route = route
-	caller, err := req.gate.dialect.ReadRequest(r, route)
+	info, err := req.gate.dialect.ReadRequest(r, route)
 	if err != nil {
 		return &Problem{Kind: KindMalformed, Detail: err.Error()}
 	}
-	req.info = caller
+	req.info = info
 	if prob := req.identifyAccount(); prob != nil {
 		return prob
 	}
@@ -165,7 +165,7 @@
 }
 
 // identifyAccount finds the account that the request's key belongs to.
-func (req *request) identifyAccount() *Problem {
+func (req *callerRequest) identifyAccount() *Problem {
 	if !req.table.RequiresKeys() || req.route.AllowAnonymous {
 		return nil
 	}
@@ -179,7 +179,7 @@
 
 // timeout returns how long the request may take: the shorter of the caller's time and the
 // route's.
-func (req *request) timeout() time.Duration {
+func (req *callerRequest) timeout() time.Duration {
 	wait := defaultTimeout
 	if req.info.Remaining > 0 {
 		wait = req.info.Remaining
@@ -193,7 +193,7 @@
 // readBody reads the whole body before a target is requested, because a caller that sends
 // slowly must not occupy a target's slot, and a target that rejects the request must not cost
 // the caller a second upload.
-func (req *request) readBody(r *http.Request) *Problem {
+func (req *callerRequest) readBody(r *http.Request) *Problem {
 	limit := req.table.Config().Limits.Body
 	if limit > 0 && r.ContentLength > int64(limit) {
 		return &Problem{Kind: KindTooLarge}
@@ -251,33 +251,33 @@
 	return header
 }
 
-// ask returns the description of the request that schedulers decide on.
-func (req *request) grantRequest() yuccagrant.Request {
-	wanted := yuccagrant.Request{
+// request returns the description of the request that schedulers decide on.
+func (req *callerRequest) request() yuccagrant.Request {
+	request := yuccagrant.Request{
 		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, OverQuota: req.overQuota, Prompt: req.info.Prompt, Answer: req.info.Answer,
 		SoftDeadline: req.arrivedAt.Add(req.route.LatencyTarget), Deadline: req.deadline, FailedTargets: req.tried,
 	}
 	if req.route.LatencyTarget <= 0 {
-		wanted.SoftDeadline = req.deadline
+		request.SoftDeadline = req.deadline
 	}
 	if req.route.Kind == yuccaroute.Stream {
-		wanted.MaxGap = req.route.MaxGap
+		request.MaxGap = req.route.MaxGap
 	}
 	lastEvent := req.arrivedAt
 	if !req.brokeAt.IsZero() {
 		// When a stream is resumed, the caller notices the gap since the last event, not the
 		// time since the request's arrival.
 		lastEvent = req.brokeAt
-		wanted.SoftDeadline = req.brokeAt.Add(req.route.MaxGap)
+		request.SoftDeadline = req.brokeAt.Add(req.route.MaxGap)
 	}
-	if req.info.EventTimeout > 0 && lastEvent.Add(req.info.EventTimeout).Before(wanted.Deadline) {
-		wanted.Deadline = lastEvent.Add(req.info.EventTimeout)
+	if req.info.EventTimeout > 0 && lastEvent.Add(req.info.EventTimeout).Before(request.Deadline) {
+		request.Deadline = lastEvent.Add(req.info.EventTimeout)
 	}
-	return wanted
+	return request
 }
 
 // metricRank returns the route's rank for the labels of metrics, or -1 if there is no route.
-func (req *request) metricRank() int {
+func (req *callerRequest) metricRank() int {
 	if req.route == nil {
 		return -1
 	}
@@ -286,7 +286,7 @@
 
 // configurationNumber returns the number of the configuration that applies to the request, or
 // zero.
-func (req *request) configurationNumber() yuccaid.ConfigNumber {
+func (req *callerRequest) configurationNumber() yuccaid.ConfigNumber {
 	if req.table == nil {
 		return 0
 	}
@@ -297,7 +297,7 @@
 const maxMetricRank = 9
 
 // tier returns the account's rank, which takes precedence over the route's.
-func (req *request) tier() int {
+func (req *callerRequest) tier() int {
 	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
 	}
@@ -305,17 +305,17 @@
 }
 
 // class returns a hash of the request's account and route.
-func (req *request) class() yuccagrant.Class {
+func (req *callerRequest) class() yuccagrant.Class {
 	return yuccagrant.Class(xxhash.Sum64String(string(req.accountName()) + "\x00" + req.route.Name))
 }
 
-// targetHeader returns the header of the forwarded request.
-func (req *request) targetHeader(now time.Time, target yuccaid.Target, lastEventID string) http.Header {
-	header := req.forwardHeader.Clone()
-	forward := ForwardInfo{Target: target, Remaining: req.deadline.Sub(now), LastEventID: lastEventID}
+// forwarded returns the header of the forwarded request.
+func (req *callerRequest) forwarded(now time.Time, target yuccaid.Target, lastEventID string) http.Header {
+	forwardHeader := req.forwardHeader.Clone()
+	forwarded := ForwardInfo{Target: target, Remaining: req.deadline.Sub(now), LastEventID: lastEventID}
 	if req.account != nil {
-		forward.Account = req.account.Name
+		forwarded.Account = req.account.Name
 	}
-	req.gate.dialect.RewriteHeader(header, forward)
-	return header
+	req.gate.dialect.RewriteHeader(forwardHeader, forwarded)
+	return forwardHeader
 }
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -37,26 +37,26 @@
 	return &memory{space: yuccaspace.New(limit)}
 }
 
-func (mem *memory) reserve(rank int, size yuccaid.Bytes) bool {
+func (mem *memory) allocate(rank int, size yuccaid.Bytes) bool {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
 	return mem.space.Reserve(rank, size)
 }
 
-func (mem *memory) release(size yuccaid.Bytes) {
+func (mem *memory) free(size yuccaid.Bytes) {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
 	mem.space.Release(size)
 }
 
-func (mem *memory) reserved() yuccaid.Bytes {
+func (mem *memory) allocated() yuccaid.Bytes {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
 	return mem.space.Reserved()
 }
 
-// onConnRejected records that a caller's connection was rejected because the bound was reached.
-func (gate *Gate) onConnRejected(now time.Time) {
+// connRejected records that a caller's connection was rejected because the bound was reached.
+func (gate *Gate) connRejected(now time.Time) {
 	gate.metrics.connRejected()
 	if previous := gate.connRejectedAt.Swap(now.UnixNano()); now.Sub(time.Unix(0, previous)) > rejectedNotReadyFor {
 		gate.log.stateChange("callers turned away", "connections", gate.bounds.CallerConnections)
@@ -71,8 +71,8 @@
 }
 
 // reserve reserves memory for the request until release, and reports whether there was enough.
-func (req *request) reserve(size yuccaid.Bytes) bool {
-	if !req.gate.memory.reserve(req.memoryRank(), size) {
+func (req *callerRequest) reserve(size yuccaid.Bytes) bool {
+	if !req.gate.memory.allocate(req.memoryRank(), size) {
 		return false
 	}
 	req.reserved += size
@@ -80,14 +80,14 @@
 }
 
 // release frees all memory reserved for the request.
-func (req *request) release() {
-	req.gate.memory.release(req.reserved)
+func (req *callerRequest) release() {
+	req.gate.memory.free(req.reserved)
 	req.reserved = 0
 }
 
 // memoryRank returns the rank that decides how much of the memory the request may use: the
 // account's rank if it has one, else the route's.
-func (req *request) memoryRank() int {
+func (req *callerRequest) memoryRank() int {
 	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
 	}
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -22,11 +22,11 @@
 
 // attempt is one attempt to have a request served by one target.
 type attempt struct {
-	placement *placement
-	sentAt    time.Time
-	answer    *yuccahop.Answer
-	report    TargetReport
-	watchdog  *watchdog
+	plc    *placement
+	sent   time.Time
+	answer *yuccahop.Answer
+	report TargetReport
+	watch  *watchdog
 }
 
 // close ends the exchange with the target.
@@ -34,34 +34,34 @@
 	if att.answer != nil {
 		att.answer.Close()
 	}
-	att.watchdog.stop()
+	att.watch.stop()
 }
 
 // run sends the request to a target and relays the response. If the first target certainly
 // didn't run the request, or the request may be repeated, run tries another target.
-func (req *request) run(ctx context.Context) *Problem {
+func (req *callerRequest) run(ctx context.Context) *Problem {
 	// failure is an attempt that ended in an error response of a target, kept while another
 	// target is tried.
 	var failure *attempt
 	for {
-		plc, dec, prob := req.awaitTarget(ctx)
+		plc, grant, prob := req.grant(ctx)
 		if prob != nil && failure != nil && ctx.Err() == nil {
 			// The request ran, so responding that it didn't would be wrong. The target's own
 			// error response says more than one of the gateway's would.
-			req.logDecision("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.placement.target)
+			req.logDecision("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.plc.target)
 			return req.relay(ctx, failure)
 		}
 		if prob != nil {
 			return prob
 		}
 		failure.drop()
-		att, outcome := req.send(ctx, plc, dec, req.info.LastEventID)
+		att, outcome := req.send(ctx, plc, grant, req.info.LastEventID)
 		failure = nil
 		switch {
 		case outcome == yuccagrant.Served && att.answer.Status < http.StatusInternalServerError:
 			return req.relay(ctx, att)
 		case outcome == yuccagrant.Served:
-			att.watchdog.disarm()
+			att.watch.disarm()
 			if !req.shouldResend(yuccagrant.Failed, att) {
 				return req.relay(ctx, att)
 			}
@@ -84,30 +84,30 @@
 	}
 }
 
-// awaitTarget waits for a target. If the request has run before, the returned problem never
+// grant waits for a target. If the request has run before, the returned problem never
 // states that it hasn't.
-func (req *request) awaitTarget(ctx context.Context) (*placement, decision, *Problem) {
-	plc, dec, err := req.gate.acquire(ctx, req)
+func (req *callerRequest) grant(ctx context.Context) (*placement, decision, *Problem) {
+	plc, grant, err := req.gate.acquire(ctx, req)
 	var prob *Problem
 	switch {
 	case err != nil:
 		prob = req.problemUnsent(err)
-	case dec.problem != nil:
-		prob = dec.problem
-	case dec.refusal != nil:
-		prob = refusalProblem(dec)
+	case grant.problem != nil:
+		prob = grant.problem
+	case grant.refusal != nil:
+		prob = refusalProblem(grant)
 	}
 	if prob != nil && req.runs > 0 && prob.promisesNotRun() {
-		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), logFields: prob.logFields}
+		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), decisionInputs: prob.decisionInputs}
 	}
-	return plc, dec, prob
+	return plc, grant, prob
 }
 
 // shouldResend reports whether the request may be sent to another target after an outcome, and
 // counts the resend against the budget.
-func (req *request) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
+func (req *callerRequest) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
 	may, why := req.mayRepeat(outcome)
-	if may && !att.watchdog.charged.Load() && !req.gate.allowResend(req) {
+	if may && !att.watch.charged.Load() && !req.gate.allowResend(req) {
 		may, why = false, "budget of resends"
 	}
 	req.logDecision("again", "outcome", outcome.String(), "may", may, "why", why, "sends", req.sends, "runs", req.runs)
@@ -115,7 +115,7 @@
 }
 
 // mayRepeat reports whether the outcome and the route allow another attempt, and why.
-func (req *request) mayRepeat(outcome yuccagrant.Outcome) (may bool, why string) {
+func (req *callerRequest) mayRepeat(outcome yuccagrant.Outcome) (may bool, why string) {
 	switch outcome {
 	case yuccagrant.Rejected, yuccagrant.Misdirected, yuccagrant.Unreachable:
 		return req.sends < maxSends, "not run"
@@ -128,7 +128,7 @@
 
 // problemUnsent returns the problem of a request that got no target before its context ended
 // with the cause.
-func (req *request) problemUnsent(cause error) *Problem {
+func (req *callerRequest) problemUnsent(cause error) *Problem {
 	if errors.Is(cause, errTimeout) && req.runs > 0 {
 		return &Problem{Kind: KindTimeout}
 	}
@@ -141,7 +141,7 @@
 
 // problemAfterFailure returns the problem of a request whose last attempt ended with the
 // outcome.
-func (req *request) problemAfterFailure(ctx context.Context, outcome yuccagrant.Outcome) *Problem {
+func (req *callerRequest) problemAfterFailure(ctx context.Context, outcome yuccagrant.Outcome) *Problem {
 	switch {
 	case req.runs == 0:
 		return &Problem{Kind: KindRejected, Detail: outcome.String(), RetryAfter: unservedRetryAfter}
@@ -161,25 +161,25 @@
 	case yuccagrant.ReasonQueueFull:
 		kind = KindBusy
 	}
-	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, logFields: []any{
-		"leader", dec.inputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
-		"revision", dec.inputs.platformRevision, "newsAgeMillis", dec.inputs.platformAge.Milliseconds(),
+	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, decisionInputs: []any{
+		"leader", dec.decisionInputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
+		"revision", dec.decisionInputs.revision, "newsAgeMillis", dec.decisionInputs.age.Milliseconds(),
 	}}
 }
 
 // send sends the request to the granted target, which continues after the event lastEventID,
 // and waits for the head of the response.
-func (req *request) send(ctx context.Context, plc *placement, dec decision, lastEventID string) (*attempt, yuccagrant.Outcome) {
-	att := &attempt{placement: plc, sentAt: time.Now()}
+func (req *callerRequest) send(ctx context.Context, plc *placement, dec decision, lastEventID string) (*attempt, yuccagrant.Outcome) {
+	att := &attempt{plc: plc, sent: time.Now()}
 	req.sends++
 	req.tried = append(req.tried, dec.target)
-	out := req.outgoing
-	out.Header = req.targetHeader(att.sentAt, dec.target, lastEventID)
+	outgoing := req.outgoing
+	outgoing.Header = req.forwarded(att.sent, dec.target, lastEventID)
 	matches := func(header http.Header) bool { return req.gate.dialect.MatchesRequest(header, req.info.ID) }
-	ctx, att.watchdog = req.startWatchdog(ctx, dec.inputs.expect)
-	req.gate.metrics.sent(req.metricRank(), dec.withoutLeader, att.sentAt.Sub(req.arrivedAt))
+	ctx, att.watch = req.startWatchdog(ctx, dec.decisionInputs.expect)
+	req.gate.metrics.sent(req.metricRank(), dec.decidedHere, att.sent.Sub(req.arrivedAt))
 	req.logSent(att, dec)
-	answer, err := req.gate.targetClient.Send(ctx, dec.address, &out, matches)
+	answer, err := req.gate.targetClient.Send(ctx, dec.address, &outgoing, matches)
 	if err != nil {
 		req.logDecision("unanswered", "target", dec.target, "send", req.sends, "error", err)
 		var unsent *yuccahop.UnsentError
@@ -209,17 +209,17 @@
 
 // logSent logs an attempt and what its decision was made from, before the outcome is known. So
 // an attempt without a further line points to a target that hangs.
-func (req *request) logSent(att *attempt, dec decision) {
+func (req *callerRequest) logSent(att *attempt, dec decision) {
 	req.logStep("sent",
 		"account", req.accountName(), "route", req.routeName(),
-		"target", dec.target, "send", req.sends, "waitedMillis", att.sentAt.Sub(req.arrivedAt).Milliseconds(),
-		"leader", dec.inputs.leader, "alone", dec.withoutLeader, "expectMillis", dec.inputs.expect.Milliseconds(), "busy", dec.inputs.busy,
-		"number", req.table.Number(), "revision", dec.inputs.platformRevision, "newsAgeMillis", dec.inputs.platformAge.Milliseconds(),
+		"target", dec.target, "send", req.sends, "waitedMillis", att.sent.Sub(req.arrivedAt).Milliseconds(),
+		"leader", dec.decisionInputs.leader, "alone", dec.decidedHere, "expectMillis", dec.decisionInputs.expect.Milliseconds(), "busy", dec.decisionInputs.busy,
+		"number", req.table.Number(), "revision", dec.decisionInputs.revision, "newsAgeMillis", dec.decisionInputs.age.Milliseconds(),
 		"charged", req.info.Charged, "over", req.overQuota, "prompt", req.info.Prompt, "answer", req.info.Answer,
 	)
 }
 
-func (req *request) accountName() yuccaid.Account {
+func (req *callerRequest) accountName() yuccaid.Account {
 	if req.account == nil {
 		return ""
 	}
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -37,7 +37,7 @@
 
 // Serve starts serving callers on the listener.
 func (gate *Gate) Serve(inner net.Listener) *Server {
-	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.onConnRejected), errs: make(chan error, 1), stop: make(chan struct{})}
+	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.connRejected), errs: make(chan error, 1), stop: make(chan struct{})}
 	srv.http = &http.Server{
 		Handler:           gate,
 		ReadHeaderTimeout: headTimeout,
--- a/io/yuccagate/silence.go
+++ b/io/yuccagate/silence.go
@@ -28,7 +28,7 @@
 // the request would wait there until its caller leaves, although another target could have
 // served it in time.
 type watchdog struct {
-	req    *request
+	req    *callerRequest
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 	// charged reports whether the resend that follows has been counted against the resend
@@ -39,7 +39,7 @@
 // startWatchdog returns the context of an attempt, and a watchdog that cancels it unless the
 // target sends something in time. Attempts of requests that may not be sent to another target
 // have no timer.
-func (req *request) startWatchdog(ctx context.Context, expect time.Duration) (context.Context, *watchdog) {
+func (req *callerRequest) startWatchdog(ctx context.Context, expect time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	dog := &watchdog{req: req, cancel: cancel}
 	if req.route.Repeatable() && req.runs+1 < req.route.Attempts {
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -76,7 +76,7 @@
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
 		Number: gate.configurationNumber(), SkipsPlatformReads: gate.skipsPlatformReads.Load(), PlatformAgeMillis: -1,
-		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.reserved(),
+		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.allocated(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
 		status.PlatformAgeMillis = age.Milliseconds()
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -75,7 +75,7 @@
 	if !gate.platformRespondedAt.IsZero() {
 		age = now.Sub(gate.platformRespondedAt)
 	}
-	for _, report := range gate.platformReports {
+	for _, report := range gate.platformReport {
 		if reportedAge := now.Sub(report.receivedAt) + report.age; age < 0 || reportedAge < age {
 			age = reportedAge
 		}
@@ -101,22 +101,22 @@
 // connection to the platform, its report grows old, and then all daemons read the platform
 // themselves.
 func (gate *Gate) tickReader(now time.Time) {
-	reads := gate.isReader(now)
-	if reads && now.Sub(gate.platformReportedAt) >= platformReportInterval && !gate.platformRespondedAt.IsZero() {
+	isReader := gate.isReader(now)
+	if isReader && now.Sub(gate.platformReportedAt) >= platformReportInterval && !gate.platformRespondedAt.IsZero() {
 		gate.platformReportedAt = now
 		gate.sendLocal(yuccawire.KindFresh, yuccawire.Fresh{AgeMillis: now.Sub(gate.platformRespondedAt).Milliseconds(), At: gate.platformRevision})
 	}
 	gate.pullFromAnyPeer(now)
-	rests := !reads && gate.tables.Load() != nil && now.Sub(gate.startedAt) > startupReadTime && gate.hasFreshReport(now)
-	if rests != gate.skipsPlatformReads.Load() {
-		gate.skipsPlatformReads.Store(rests)
-		gate.log.stateChange("reading the platform", "rests", rests, "reader", reads)
+	skipsPlatformReads := !isReader && gate.tables.Load() != nil && now.Sub(gate.startedAt) > startupReadTime && gate.hasFreshReport(now)
+	if skipsPlatformReads != gate.skipsPlatformReads.Load() {
+		gate.skipsPlatformReads.Store(skipsPlatformReads)
+		gate.log.stateChange("reading the platform", "rests", skipsPlatformReads, "reader", isReader)
 	}
 }
 
 // hasFreshReport reports whether a peer has read the platform within platformStaleAfter.
 func (gate *Gate) hasFreshReport(now time.Time) bool {
-	for _, report := range gate.platformReports {
+	for _, report := range gate.platformReport {
 		if now.Sub(report.receivedAt)+report.age < platformStaleAfter {
 			return true
 		}
@@ -125,7 +125,7 @@
 }
 
 func (gate *Gate) onFresh(now time.Time, from yuccaid.Incarnation, message yuccawire.Fresh) {
-	gate.platformReports[from] = platformReport{revision: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, receivedAt: now}
+	gate.platformReport[from] = platformReport{revision: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, receivedAt: now}
 	if message.At > gate.platformRevision && now.Sub(gate.targetsPulledAt) > pullInterval {
 		gate.pullTargets(now, from)
 	}
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -10,15 +10,16 @@
 )
 
 // placement is one request's wait for a target and its run there. Apart from the channel
-// decided, it belongs to the control goroutine.
+// decision, it belongs to the control goroutine.
 type placement struct {
-	// req is the request. Of its fields, the control goroutine may read only those that no
-	// longer change.
-	req          *request
-	pool         yuccaid.Pool
-	grantRequest yuccagrant.Request
-	// decided receives the one decision on the placement.
-	decided chan decision
+	// req is the caller's request. Of its fields, the control goroutine may read only those
+	// that no longer change.
+	req  *callerRequest
+	pool yuccaid.Pool
+	// request is the description of req that schedulers decide on.
+	request yuccagrant.Request
+	// decision receives the one decision on the placement.
+	decision chan decision
 
 	// submittedAt is when the request was last sent to the pool's leader, and waitingAt when
 	// the leader last responded that it waits, zero if it hasn't. If decidedHere is set, this
@@ -37,31 +38,33 @@
 type decision struct {
 	target  yuccaid.Target
 	address string
-	// withoutLeader reports whether this daemon decided although another one leads the pool.
-	withoutLeader bool
-	refusal       *yuccagrant.Refusal
-	problem       *Problem
-	inputs        decisionInputs
+	// decidedHere reports whether this daemon decided although another one leads the pool.
+	decidedHere    bool
+	refusal        *yuccagrant.Refusal
+	problem        *Problem
+	decisionInputs decisionInputs
 }
 
 // decisionInputs is what a decision on a request was made from, for the log.
 type decisionInputs struct {
 	leader yuccaid.VM
+	// expect is the predicted time from sending to the first event, and busy the number of runs
+	// that the target had before.
 	expect time.Duration
 	busy   int
-	// platformRevision is the revision up to which the platform had been read, and platformAge
-	// how long ago the platform had last responded.
-	platformRevision yuccaroster.Revision
-	platformAge      time.Duration
+	// revision is the revision up to which the platform had been read, and age how long ago the
+	// platform had last responded.
+	revision yuccaroster.Revision
+	age      time.Duration
 }
 
 // acquire waits for a target. If the context ends meanwhile, the request is withdrawn.
-func (gate *Gate) acquire(ctx context.Context, req *request) (*placement, decision, error) {
-	plc := &placement{req: req, pool: req.pool, grantRequest: req.grantRequest(), decided: make(chan decision, 1)}
-	plc.grantRequest.ID = yuccagrant.ID{Owner: gate.incarnation, Number: gate.lastPlacement.Add(1)}
+func (gate *Gate) acquire(ctx context.Context, req *callerRequest) (*placement, decision, error) {
+	plc := &placement{req: req, pool: req.pool, request: req.request(), decision: make(chan decision, 1)}
+	plc.request.ID = yuccagrant.ID{Owner: gate.incarnation, Number: gate.lastPlacement.Add(1)}
 	gate.control.Post(func(now time.Time) { gate.enter(now, req, plc) })
 	select {
-	case dec := <-plc.decided:
+	case dec := <-plc.decision:
 		return plc, dec, nil
 	case <-ctx.Done():
 		gate.control.Post(func(now time.Time) { gate.abandon(now, plc) })
@@ -70,24 +73,24 @@
 }
 
 // enter charges a request to its account's quota the first time, and requests a target.
-func (gate *Gate) enter(now time.Time, req *request, plc *placement) {
+func (gate *Gate) enter(now time.Time, req *callerRequest, plc *placement) {
 	if !req.quotaChecked {
 		req.quotaChecked = true
 		if prob := gate.chargeQuota(now, req); prob != nil {
-			plc.decided <- decision{problem: prob}
+			plc.decision <- decision{problem: prob}
 			return
 		}
 		req.charged = true
-		plc.grantRequest.OverQuota = req.overQuota
+		plc.request.OverQuota = req.overQuota
 		gate.resendBudget.CountRequest(now, req.pool)
 	}
-	gate.placements[plc.grantRequest.ID.Number] = plc
-	gate.submit(now, gate.scheduler(now, plc.pool), plc)
+	gate.placements[plc.request.ID.Number] = plc
+	gate.request(now, gate.scheduler(now, plc.pool), plc)
 }
 
 // abandon withdraws a placement whose request's context ended before it was sent.
 func (gate *Gate) abandon(now time.Time, plc *placement) {
-	if gate.placements[plc.grantRequest.ID.Number] != plc {
+	if gate.placements[plc.request.ID.Number] != plc {
 		return
 	}
 	sched := gate.scheduler(now, plc.pool)
@@ -103,20 +106,20 @@
 	gate.control.Post(func(now time.Time) {
 		plc.started = true
 		sched := gate.scheduler(now, plc.pool)
-		gate.apply(now, sched, sched.local.RunStarted(now, plc.grantRequest.ID, took, load))
+		gate.apply(now, sched, sched.local.RunStarted(now, plc.request.ID, took, load))
 		gate.sendStarted(sched, plc, took, load)
 	})
 }
 
 // finished frees the target's slot and reports how the run went.
-func (gate *Gate) finished(plc *placement, result yuccagrant.Finished) {
-	gate.control.Post(func(now time.Time) { gate.finish(now, plc, result) })
+func (gate *Gate) finished(plc *placement, finish yuccagrant.Finished) {
+	gate.control.Post(func(now time.Time) { gate.finish(now, plc, finish) })
 }
 
-func (gate *Gate) finish(now time.Time, plc *placement, result yuccagrant.Finished) {
-	delete(gate.placements, plc.grantRequest.ID.Number)
-	result.ID = plc.grantRequest.ID
-	gate.reportFinished(now, gate.scheduler(now, plc.pool), result)
+func (gate *Gate) finish(now time.Time, plc *placement, finish yuccagrant.Finished) {
+	delete(gate.placements, plc.request.ID.Number)
+	finish.ID = plc.request.ID
+	gate.reportFinished(now, gate.scheduler(now, plc.pool), finish)
 }
 
 // chargeResend counts a resend of a request that has reached a target, and reports whether the
@@ -133,6 +136,6 @@
 
 // allowResend reports whether the budget allows to send the request to another target, and
 // counts the resend. A request that has reached no target yet is not counted.
-func (gate *Gate) allowResend(req *request) bool {
+func (gate *Gate) allowResend(req *callerRequest) bool {
 	return req.arrivals == 0 || gate.chargeResend(req.pool)
 }
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -35,7 +35,7 @@
 
 // chargeQuota charges a request to its account's quota, or returns the problem if the quota
 // refuses it.
-func (gate *Gate) chargeQuota(now time.Time, req *request) *Problem {
+func (gate *Gate) chargeQuota(now time.Time, req *callerRequest) *Problem {
 	if req.account == nil {
 		return nil
 	}
@@ -51,7 +51,7 @@
 }
 
 // refundQuota returns the charge of a request that did not run.
-func (gate *Gate) refundQuota(req *request) {
+func (gate *Gate) refundQuota(req *callerRequest) {
 	if req.account == nil {
 		return
 	}
@@ -67,14 +67,14 @@
 // that this daemon may use.
 func (gate *Gate) tickUsage(now time.Time) {
 	visible, total := gate.countDaemons(now)
-	share := gate.quotaShare(now, visible, total)
-	if share != gate.ledger.QuotaShare() {
-		gate.log.stateChange("part of the quotas", "part", share, "before", gate.ledger.QuotaShare(), "visible", visible, "total", total)
+	quotaShare := gate.quotaShare(now, visible, total)
+	if quotaShare != gate.ledger.QuotaShare() {
+		gate.log.stateChange("part of the quotas", "part", quotaShare, "before", gate.ledger.QuotaShare(), "visible", visible, "total", total)
 	}
 	peers := len(gate.peers.Live(gate.settings.Centre)) - 1
 	interval := time.Duration(peers) * usageIntervalPerPeer
 	spacing := castSpacing(total)
-	gate.ledger.SetFleet(now, share, total, interval+spacing+remoteUsageDelay)
+	gate.ledger.SetFleet(now, quotaShare, total, interval+spacing+remoteUsageDelay)
 	if now.Sub(gate.usageReportedAt) < interval {
 		return
 	}
