--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -40,6 +40,7 @@
 	gate.onChange(now, gate.peers.SetConfig(now, table.Number(), ""))
 }
 
+// configurationNumber returns the number of the configuration in force, or zero.
 func (gate *Gate) configurationNumber() yuccaid.ConfigNumber {
 	if table := gate.tables.Load(); table != nil {
 		return table.Number()
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -253,6 +253,7 @@
 	}
 }
 
+// refuse delivers a refusal to one of this daemon's requests.
 func (gate *Gate) refuse(refusal yuccagrant.Refusal) {
 	if plc := gate.placements[refusal.ID.Number]; plc != nil && !plc.running {
 		delete(gate.placements, refusal.ID.Number)
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -57,11 +57,11 @@
 	sched.receiveLoads(now, 1, false, yuccawire.TargetLoad{Target: "a", Runs: 6})
 	sched.dropSilentCentres(now.Add(centreFreshFor))
 	if got := sched.remoteRuns(); got["a"] != 6 {
-		t.Errorf("forgotten too soon: %v", got)
+		t.Errorf("dropped too soon: %v", got)
 	}
 	sched.dropSilentCentres(now.Add(centreFreshFor + time.Millisecond))
 	if got := sched.remoteRuns(); len(got) != 0 || !sched.remoteReset {
-		t.Errorf("got %v, news %t", got, sched.remoteReset)
+		t.Errorf("got %v, remoteReset %t", got, sched.remoteReset)
 	}
 }
 
@@ -123,7 +123,7 @@
 	} {
 		set(step.runs)
 		if got := sched.changedLoads(step.whole, 3); !reflect.DeepEqual(got, step.sent) {
-			t.Errorf("at %d runs told %v, want %v", step.runs, got, step.sent)
+			t.Errorf("at %d runs sent %v, want %v", step.runs, got, step.sent)
 		}
 	}
 }
--- a/io/yuccagate/drain_test.go
+++ b/io/yuccagate/drain_test.go
@@ -100,9 +100,9 @@
 		mu.Lock()
 		defer mu.Unlock()
 		var lost []string
-		for _, one := range eng.requests() {
-			if !answers[one.id] {
-				lost = append(lost, one.id)
+		for _, req := range eng.requests() {
+			if !answers[req.id] {
+				lost = append(lost, req.id)
 			}
 		}
 		Expect(lost).To(BeEmpty(), "they ran, and their callers got no answer")
--- a/io/yuccagate/failure_test.go
+++ b/io/yuccagate/failure_test.go
@@ -61,8 +61,8 @@
 			}
 			runs := make(map[string]int)
 			for _, eng := range []*engine{bad, good} {
-				for _, one := range eng.requests() {
-					runs[one.id]++
+				for _, req := range eng.requests() {
+					runs[req.id]++
 				}
 			}
 			for id, count := range runs {
@@ -193,7 +193,7 @@
 		Expect(append(first.requests(), second.requests()...)).To(HaveLen(1))
 	})
 
-	It("loses the rest of a stream that may be resumed to another target", func() {
+	It("has its stream continued by another target if that may be resumed", func() {
 		var calls atomic.Int64
 		events := func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -29,17 +29,19 @@
 
 // Gate is one running gateway.
 type Gate struct {
-	settings     Settings
-	dialect      Dialect
-	decode       func([]byte) (*yuccaroute.Table, error)
+	settings Settings
+	dialect  Dialect
+	decode   func([]byte) (*yuccaroute.Table, error)
+	// incarnation identifies this run of the daemon.
 	incarnation  yuccaid.Incarnation
 	log          logger
 	metrics      *metrics
 	targetClient *yuccahop.Client
 	memory       *memory
 	bounds       yuccaspace.Bounds
-	control      *yuccaloop.Loop
-	tables       yuccaroute.Holder
+	// control runs the control goroutine, and tables holds the configuration in force.
+	control *yuccaloop.Loop
+	tables  yuccaroute.Holder
 	// startedAt is when the gateway started. configured is closed once a configuration is in
 	// force.
 	startedAt  time.Time
@@ -47,7 +49,8 @@
 	// drainStartedAt is when the daemon began to drain, in Unix nanoseconds, or zero.
 	drainStartedAt atomic.Int64
 	openRequests   atomic.Int64
-	lastPlacement  atomic.Uint64
+	// lastPlacement is the number of the latest placement.
+	lastPlacement atomic.Uint64
 	// connRejectedAt is when a caller's connection was last rejected, in Unix nanoseconds, or
 	// zero.
 	connRejectedAt atomic.Int64
@@ -56,28 +59,38 @@
 	stopTraffic context.CancelFunc
 	workers     sync.WaitGroup
 
+	// hub holds the connections to other daemons.
 	hub *yuccalink.Hub
 	// skipsPlatformReads reports whether another daemon reads the platform for this one.
 	skipsPlatformReads atomic.Bool
 
 	// The fields below belong to the control goroutine.
-	peers          *yuccapeer.Peers
+	peers *yuccapeer.Peers
+	// settled reports whether this daemon has listened to its peers for long enough to choose
+	// leaders.
 	settled        bool
 	peersCheckedAt time.Time
 	dialledAt      time.Time
 	castSequence   uint64
 	castWindows    map[castKey]sequenceWindow
 	remoteCentres  map[yuccaid.Centre]*remoteCentre
-	connRefusedAt  map[string]time.Time
-	faultLoggedAt  map[string]time.Time
-	tableRaw       []byte
-	tablePulledAt  time.Time
+	// connRefusedAt and faultLoggedAt hold, for each address, when it last refused a connection
+	// and when a failed connection to it was last logged.
+	connRefusedAt map[string]time.Time
+	faultLoggedAt map[string]time.Time
+	// tableRaw is the text of the configuration in force, for peers that request it.
+	tableRaw      []byte
+	tablePulledAt time.Time
 
 	roster *yuccaroster.Roster
 	// loggedTargets are the targets as the log last reported them.
-	loggedTargets       map[yuccaid.Target]yuccaroster.Entry
-	rosterVersion       uint64
-	targetsPulledAt     time.Time
+	loggedTargets map[yuccaid.Target]yuccaroster.Entry
+	// rosterVersion is the roster's version that was last passed to the schedulers.
+	rosterVersion   uint64
+	targetsPulledAt time.Time
+	// platformRespondedAt is when the platform last responded to this daemon, platformRevision
+	// the revision up to which its targets are known here, and platformReport the last report
+	// of each peer that reads the platform.
 	platformRespondedAt time.Time
 	platformRevision    yuccaroster.Revision
 	platformReport      map[yuccaid.Incarnation]platformReport
@@ -92,7 +105,8 @@
 	fullUsageAt  time.Time
 	resendBudget *yuccabudget.Budget
 
-	schedulers  map[yuccaid.Pool]*scheduler
+	schedulers map[yuccaid.Pool]*scheduler
+	// placements are this daemon's placements that wait or run, by their numbers.
 	placements  map[uint64]*placement
 	idleSweptAt time.Time
 }
--- a/io/yuccagate/gate_test.go
+++ b/io/yuccagate/gate_test.go
@@ -89,7 +89,7 @@
 	// All daemons were killed and have restarted. While they still read their configuration,
 	// the balancer already sends them callers. A caller that is told to retry later gets its
 	// response late.
-	It("serves requests that arrive while it reads its first configuration", func() {
+	It("serves who comes while it reads its first configuration", func() {
 		eng := newEngine("a", nil)
 		gt := newGate("entry-1")
 		got := make(chan response, 1)
@@ -102,7 +102,7 @@
 	})
 
 	// A pool has lost targets, and an operator who looks for the reason has only the logs.
-	It("logs which targets were added, are leaving and were removed", func() {
+	It("tells which targets came, are leaving and went", func() {
 		eng, other := newEngine("a", nil), newEngine("b", nil)
 		gt := newGate("entry-1")
 		gt.configure(1, config(), 4, eng, other)
@@ -132,7 +132,7 @@
 var _ = Describe("callers that wait", func() {
 	// A target has two slots, and eight callers send at once. What a target gets beyond its
 	// slots waits there in no defined order, so it gets a quarter more and no further.
-	It("are served in turn, and targets get little more runs than they have slots", func() {
+	It("are served in turn, and targets get only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(30 * time.Millisecond)
 			fmt.Fprint(w, "done")
@@ -190,7 +190,7 @@
 	})
 })
 
-var _ = Describe("malformed and ambiguous requests", func() {
+var _ = Describe("bytes that are no proper request", func() {
 	// Request smuggling: an attacker wants the gateway and a target to see different requests
 	// in the same bytes, so that the second one runs without a check of its key.
 	DescribeTable("reach a target as a single request or not at all",
--- a/io/yuccagate/peers_test.go
+++ b/io/yuccagate/peers_test.go
@@ -29,7 +29,7 @@
 
 	// Each daemon gets half of the requests. If each filled the targets by its own count only,
 	// they would get twice as many runs as they have slots.
-	It("together give targets little more runs than they have slots", func() {
+	It("together give targets only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(40 * time.Millisecond)
 			fmt.Fprint(w, "done")
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -8,6 +8,8 @@
 	"yuccacleat/io/yuccawire"
 )
 
+// wireRequest returns the message that describes a placement's request to the leader. It holds
+// deadlines as durations from now.
 func wireRequest(now time.Time, plc *placement) yuccawire.Ask {
 	request := &plc.request
 	return yuccawire.Ask{
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -64,7 +64,7 @@
 	return changed
 }
 
-var _ = Describe("a gateway with little memory or few descriptors", func() {
+var _ = Describe("a gateway on a small machine", func() {
 	// A caller requests a long response and never reads it. The connection's buffers fill up
 	// and the gateway's writes block. Without a bound, the target's slot would be occupied for
 	// as long as the caller likes, and a few such callers would occupy all slots.
--- a/io/yuccagate/seen_test.go
+++ b/io/yuccagate/seen_test.go
@@ -13,15 +13,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 200), 1, 60, rapid.ID[uint64]).Draw(t, "sent")
 		var window sequenceWindow
-		had := make(map[uint64]bool)
+		accepted := make(map[uint64]bool)
 		latest := uint64(0)
 		for range 3 * len(sent) {
 			sequence := rapid.SampledFrom(sent).Draw(t, "arrives")
-			want := !had[sequence] && (sequence > latest || latest-sequence <= sequenceWindowSize)
+			want := !accepted[sequence] && (sequence > latest || latest-sequence <= sequenceWindowSize)
 			if got := window.accept(sequence); got != want {
-				t.Fatalf("cast %d behind %d: news is %t", sequence, latest, got)
+				t.Fatalf("cast %d behind %d: new is %t", sequence, latest, got)
 			}
-			had[sequence] = true
+			accepted[sequence] = true
 			latest = max(latest, sequence)
 		}
 	})
--- a/io/yuccagate/stream_test.go
+++ b/io/yuccagate/stream_test.go
@@ -55,7 +55,7 @@
 
 	// A target's response breaks off in the middle of an event. A caller that took the part for
 	// the whole would act on half a note.
-	It("does not look complete when it broke off", func() {
+	It("never looks whole when it broke off", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			writeEvents(w, 1, 2, 0)
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -142,10 +142,11 @@
 	}
 }
 
-// onUse handles a report of usage from one daemon. Totals come when a connection is opened,
-// since usage from before it was not reported here; from a local daemon without usage history
-// they are all that it knows. Usage of another data centre arrives with casts, so the totals of
-// its daemons count only if they have usage history.
+// onUse handles a report of usage from one daemon. A daemon of this data centre sends totals
+// when a connection to it is opened, because what it admitted before was not reported here; if
+// it has no usage history, that is all it knows. Usage of another data centre arrives with
+// casts. The totals of its daemons are only needed for what this daemon lost in a restart, so
+// they are used only if the sender has usage history.
 func (gate *Gate) onUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	peer, found := gate.peers.Find(from.VM)
 	remote := found && peer.Centre != gate.settings.Centre
