--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -267,7 +267,7 @@
 	return inputs
 }
 
-// reportFinished tells this daemon's scheduler and the pool's leader that a run has finished.
+// reportFinished reports the end of a run to this daemon's scheduler and to the pool's leader.
 func (gate *Gate) reportFinished(now time.Time, sched *scheduler, result yuccagrant.Finished) {
 	gate.apply(now, sched, sched.local.RunFinished(now, result))
 	if !sched.leads && !sched.leader.IsZero() {
--- a/io/yuccagate/failure_test.go
+++ b/io/yuccagate/failure_test.go
@@ -61,8 +61,8 @@
 			}
 			runs := make(map[string]int)
 			for _, eng := range []*engine{bad, good} {
-				for _, req := range eng.requests() {
-					runs[req.id]++
+				for _, one := range eng.requests() {
+					runs[one.id]++
 				}
 			}
 			for id, count := range runs {
--- a/io/yuccagate/log.go
+++ b/io/yuccagate/log.go
@@ -9,7 +9,7 @@
 
 // logger writes the log lines that operators search by field. Its levels define what may be
 // left out under load: first the steps that went well (debug), then decisions on requests
-// (info), and last refusals of rank 0 requests and changes of this daemon's state (warn).
+// (info), and last decisions on requests of rank 0 and changes of this daemon's state (warn).
 type logger struct {
 	inner log.Logger
 }
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -244,7 +244,7 @@
 }
 
 // received reports whether the caller already has an event. A target that resumes a stream
-// should start after the position that it was given; if it starts earlier, no event is sent
+// should start after the event whose id it was given; if it starts earlier, no event is sent
 // twice.
 func (st *stream) received(id string) bool {
 	if id == "" || st.lastEventID == "" {
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -102,8 +102,8 @@
 // When a caller stops reading, its connection's buffers fill up and writing blocks. Neither the
 // request's deadline nor the loss of the target unblocks the writer, so the target's slot and
 // the request's memory would be held for as long as the caller likes.
-func (req *callerRequest) setWriteDeadline(end time.Time) {
-	_ = http.NewResponseController(req.w).SetWriteDeadline(end)
+func (req *callerRequest) setWriteDeadline(deadline time.Time) {
+	_ = http.NewResponseController(req.w).SetWriteDeadline(deadline)
 }
 
 func (req *callerRequest) refuse(prob *Problem) {
@@ -178,7 +178,7 @@
 }
 
 // timeout returns how long the request may take: the shorter of the caller's time and the
-// route's.
+// route's, or the route's and defaultTimeout if the caller states none.
 func (req *callerRequest) timeout() time.Duration {
 	wait := defaultTimeout
 	if req.info.Remaining > 0 {
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -21,7 +21,7 @@
 	// connection: the balancer checks once a second and takes a daemon out after two failed
 	// checks.
 	rejectedNotReadyFor = 3 * time.Second
-	// detailMemory tells a refusal for lack of memory from one for a full queue.
+	// detailMemory distinguishes a refusal for lack of memory from one for a full queue.
 	detailMemory = "memory"
 )
 
--- a/io/yuccagate/startup.go
+++ b/io/yuccagate/startup.go
@@ -14,10 +14,10 @@
 // awaitTable returns the configuration in force, or nil if there is none.
 //
 // After all daemons were killed, the balancer sends callers to daemons that have just started.
-// Refused callers would retry half a second later, too late for most latency targets, although
-// they could have been served within a millisecond. So requests that arrive while the daemon
-// reads its first configuration wait for it. A daemon that has tried for longer than
-// firstConfigurationWait refuses at once.
+// Without a wait, even a request that arrives a millisecond before the configuration would be
+// refused and retried half a second later, too late for most latency targets. So requests that
+// arrive while the daemon reads its first configuration wait for it. A daemon that has tried
+// for longer than firstConfigurationWait refuses at once.
 func (gate *Gate) awaitTable(ctx context.Context, now time.Time) *yuccaroute.Table {
 	left := firstConfigurationWait - now.Sub(gate.startedAt)
 	if table := gate.tables.Load(); table != nil || left <= 0 {
