--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -9,12 +9,13 @@
 	"yuccacleat/io/yuccawire"
 )
 
-// pullInterval is the shortest time between two requests for a configuration or for targets, so
-// that a daemon doesn't ask again before the peer could respond.
+// pullInterval is the shortest time between two requests to peers for a configuration, and
+// between two for targets, so that a daemon doesn't repeat a request before the peer could
+// respond.
 const pullInterval = 300 * time.Millisecond
 
 // OfferConfiguration takes the text of a configuration from the named source, and puts it in
-// force if its number is higher than that of the present one. Text that can't be decoded
+// force if its number is higher than that of the configuration in force. Text that can't be decoded
 // returns an error and changes nothing.
 func (gate *Gate) OfferConfiguration(raw []byte, source string) error {
 	table, err := gate.decode(raw)
@@ -57,15 +58,16 @@
 	gate.send(source.Peer, yuccawire.KindTablePull, yuccawire.TablePull{Have: gate.configurationNumber()})
 }
 
+// onTablePull sends the configuration to a peer whose own has a lower number.
 func (gate *Gate) onTablePull(from yuccaid.Incarnation, pull yuccawire.TablePull) {
 	if gate.configurationNumber() > pull.Have {
 		gate.send(from, yuccawire.KindTable, yuccawire.Table{Raw: gate.tableRaw})
 	}
 }
 
-// readTable decodes a peer's configuration on the connection's goroutine, because decoding a
-// megabyte would delay every decision on the control goroutine.
-func (gate *Gate) readTable(message yuccawire.Table) {
+// onTable handles a configuration from a peer. It runs on the connection's goroutine, because
+// decoding a megabyte on the control goroutine would delay every decision.
+func (gate *Gate) onTable(message yuccawire.Table) {
 	if err := gate.OfferConfiguration(message.Raw, "peer"); err != nil {
 		gate.log.stateChange("configuration refused", "source", "peer", "error", err)
 	}
--- a/io/yuccagate/cast.go
+++ b/io/yuccagate/cast.go
@@ -15,25 +15,26 @@
 	// centreExpectedFor is how long a data centre that no longer sends anything still counts in
 	// the fleet's size.
 	centreExpectedFor = time.Minute
-	// centreStartupWait is how long after the start a data centre of the settings counts in the
-	// fleet's size before anything was received from it. Afterwards it may have no daemons.
+	// centreStartupWait is how long after this daemon's start a data centre named in the settings
+	// counts in the fleet's size although nothing has been received from it yet. After that time,
+	// such a data centre is taken to have no daemons.
 	centreStartupWait = 5 * time.Second
-	// connRefusedFor is how long after a refused connection a daemon counts as stopped: redials
-	// are less than a second apart.
-	connRefusedFor = 1500 * time.Millisecond
+	// peerRefusedFor is how long after it refused a connection a daemon counts as stopped. It is
+	// longer than the time between two dials, which is less than a second.
+	peerRefusedFor = 1500 * time.Millisecond
 	// castInterval is the shortest time between two casts of this data centre's usage when it
-	// has changed. castMaxInterval is the longest time between two casts, which also show that
-	// the data centre is up.
+	// has changed. castMaxInterval is the time between two casts while usage doesn't change; they
+	// show that the data centre is up. In large fleets castSpacing is longer and replaces both.
 	castInterval    = 100 * time.Millisecond
 	castMaxInterval = 500 * time.Millisecond
-	// castIntervalPerDaemon lengthens castInterval with the number of daemons, because each
-	// cast goes to all of them, so that the cost would otherwise grow with the fleet. Up to 160
-	// daemons, castInterval is the longer of the two. With four hundred, casts are sent every
-	// quarter of a second, and each daemon's share of what is left of a quota is smaller for
-	// it.
+	// castIntervalPerDaemon, multiplied by the number of daemons, is the time between casts in
+	// fleets of more than 160 daemons, where it exceeds castInterval. Each cast goes to all
+	// daemons, so with a fixed interval the cost would grow with the fleet. With four hundred
+	// daemons, casts are sent every quarter of a second. Since daemons then learn of one
+	// another's usage later, each may use a smaller share of what is left of a quota.
 	castIntervalPerDaemon = 600 * time.Microsecond
-	// castIntervalLimit keeps the time between casts below centreFreshFor in fleets of any
-	// size.
+	// castIntervalLimit bounds castSpacing in fleets of any size. It is below centreFreshFor, so
+	// that a data centre's state doesn't expire between casts.
 	castIntervalLimit = time.Second
 )
 
@@ -43,14 +44,15 @@
 	return min(max(castInterval, time.Duration(daemons)*castIntervalPerDaemon), castIntervalLimit)
 }
 
-// castKey identifies a series of casts, in which later ones replace earlier ones.
+// castKey identifies a series of casts from one daemon, whose sequence numbers are compared.
 type castKey struct {
 	origin string
 	topic  yuccawire.Topic
 	pool   yuccaid.Pool
 }
 
-// remoteCentre is what is known about another data centre.
+// remoteCentre is what is known about another data centre: the number of its daemons as of the
+// last cast of usage, which was received at receivedAt.
 type remoteCentre struct {
 	daemons    int
 	receivedAt time.Time
@@ -77,6 +79,7 @@
 	gate.sendLocal(yuccawire.KindCast, message)
 }
 
+// sendTo sends a cast to the members, except this daemon itself.
 func (gate *Gate) sendTo(members []yuccapeer.Member, message yuccawire.Cast) {
 	for _, member := range members {
 		if member.Incarnation != gate.incarnation {
@@ -106,8 +109,10 @@
 	}
 }
 
-// onCast handles a cast and forwards it if this daemon is on its way. Two connections lead to
-// each other data centre, so most casts arrive twice, and not always in order.
+// onCast handles a cast the first time that it arrives. A cast of this data centre is forwarded
+// to the other data centres, and a cast that another data centre sent directly to this daemon is
+// forwarded within this one. Two connections lead to each other data centre, so most casts
+// arrive twice, and not always in order.
 func (gate *Gate) onCast(now time.Time, from yuccaid.Incarnation, message yuccawire.Cast) {
 	key := castKey{origin: message.Origin, topic: message.Topic, pool: message.Pool}
 	window := gate.castWindows[key]
@@ -139,7 +144,7 @@
 func (gate *Gate) expectedDaemons(now time.Time) int {
 	count := 0
 	for _, listing := range gate.peers.Candidates(gate.settings.Centre) {
-		if now.Sub(gate.connRefusedAt[listing.Address]) > connRefusedFor {
+		if now.Sub(gate.peerRefusedAt[listing.Address]) > peerRefusedFor {
 			count++
 		}
 	}
@@ -148,8 +153,8 @@
 
 // countDaemons returns how many daemons the fleet seems to have, and from how many of them
 // there is recent state. The total is at least the number of seeds, for a daemon that has not
-// connected to any other yet. A data centre from which nothing has been received since the
-// start counts for as many daemons as this one has.
+// connected to any other yet. Until centreStartupWait has passed, a data centre from which nothing
+// has been received counts for as many daemons as this one has.
 func (gate *Gate) countDaemons(now time.Time) (visible, total int) {
 	visible = len(gate.peers.Live(gate.settings.Centre))
 	total = max(gate.expectedDaemons(now), visible)
@@ -157,15 +162,15 @@
 		silentCentres := len(gate.settings.Regions) - 1 - len(gate.remoteCentres)
 		total += total * max(silentCentres, 0)
 	}
-	for name, other := range gate.remoteCentres {
-		age := now.Sub(other.receivedAt)
+	for name, centre := range gate.remoteCentres {
+		age := now.Sub(centre.receivedAt)
 		if age > centreExpectedFor {
 			delete(gate.remoteCentres, name)
 			continue
 		}
-		total += other.daemons
+		total += centre.daemons
 		if age < centreFreshFor {
-			visible += other.daemons
+			visible += centre.daemons
 		}
 	}
 	return visible, max(total, len(gate.settings.Seeds))
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// leaderTimeout is how long a daemon waits for a leader's first message on a request.
-	// Within one data centre it takes a millisecond; a busy small VM may take some tens.
+	// leaderTimeout is how long a daemon waits for a leader's first message on a request. Within
+	// one data centre that message takes a millisecond; on a small VM that is busy it may take
+	// some tens of milliseconds.
 	leaderTimeout = 60 * time.Millisecond
-	// waitingTimeout is how long a leader's message that a request waits is taken as true
-	// before the leader is asked again.
+	// waitingTimeout is how long after the leader's message that a request waits the request is
+	// submitted to the leader again, in case the leader no longer knows it.
 	waitingTimeout = 400 * time.Millisecond
 	// suspectFor is how long no requests are sent to a leader that didn't respond in time.
 	suspectFor = 500 * time.Millisecond
 )
 
-// neverConfigured stands for the roster's version before the targets were set for the first
-// time.
+// neverConfigured is the rosterVersion of a scheduler to which no targets have been passed yet.
+// No roster reaches this version.
 const neverConfigured = math.MaxUint64
 
 // scheduler decides which requests of one pool are sent to which target. If this daemon leads
@@ -30,44 +31,45 @@
 // requests while the leader can't be reached.
 type scheduler struct {
 	pool yuccaid.Pool
-	// local makes this daemon's decisions, whether it leads the pool or not.
+	// local makes the decisions of this daemon, whether it leads the pool or not.
 	local *yuccagrant.Leader
 	// leads reports whether this daemon leads the pool, and leader is the daemon that does, or
 	// zero if none is known.
 	leads  bool
 	leader yuccaid.Incarnation
-	// suspectUntil is until when no requests are sent to the leader because it didn't respond
-	// in time.
+	// suspectUntil is the time until which no requests are sent to the leader, because it didn't
+	// respond in time.
 	suspectUntil time.Time
-	// remote holds what the leaders of other data centres have running on the targets.
-	remote map[yuccaid.Centre]*remoteLoad
+	// remoteLoads holds what the leaders of other data centres have running on the targets.
+	remoteLoads map[yuccaid.Centre]*centreLoads
 	// remoteChanged are the targets whose remote loads have changed since they were last passed
 	// to local. If remoteReset is set, the remote loads of all targets have to be passed.
 	remoteChanged map[yuccaid.Target]bool
 	remoteReset   bool
 	// rosterVersion is the roster's version that local was configured with, or neverConfigured.
 	rosterVersion uint64
-	// sent are the loads that were last sent to the other data centres. loadSentAt is when
+	// sentLoads are the loads that were last sent to the other data centres. loadSentAt is when
 	// loads were last sent, and fullLoadSentAt when those of all targets were.
-	sent           map[yuccaid.Target]yuccawire.TargetLoad
+	sentLoads      map[yuccaid.Target]yuccawire.TargetLoad
 	loadSentAt     time.Time
 	fullLoadSentAt time.Time
 }
 
+// scheduler returns the pool's scheduler, and creates it if there is none yet.
 func (gate *Gate) scheduler(now time.Time, pool yuccaid.Pool) *scheduler {
 	sched := gate.schedulers[pool]
 	if sched == nil {
 		seed := mathrand.NewPCG(mathrand.Uint64(), uint64(now.UnixNano()))
-		sched = &scheduler{pool: pool, local: yuccagrant.New(mathrand.New(seed)), remote: make(map[yuccaid.Centre]*remoteLoad), remoteChanged: make(map[yuccaid.Target]bool), sent: make(map[yuccaid.Target]yuccawire.TargetLoad), rosterVersion: neverConfigured}
+		sched = &scheduler{pool: pool, local: yuccagrant.New(mathrand.New(seed)), remoteLoads: make(map[yuccaid.Centre]*centreLoads), remoteChanged: make(map[yuccaid.Target]bool), sentLoads: make(map[yuccaid.Target]yuccawire.TargetLoad), rosterVersion: neverConfigured}
 		gate.schedulers[pool] = sched
 		gate.followLeader(now, sched)
 	}
 	return sched
 }
 
-// configure passes the targets to a scheduler if they have changed, and the number of daemons
-// that decide on them. The check keeps a starting fleet cheap, in which the members change as
-// often as there are daemons.
+// configure passes to a scheduler the number of daemons that decide on the pool's targets, and
+// the targets if they have changed. While a fleet starts, configure is called once for each
+// daemon that joins, and passing all targets each time would be expensive.
 func (gate *Gate) configure(now time.Time, sched *scheduler) {
 	gate.apply(now, sched, sched.local.SetLeaderCount(now, gate.deciderCount(sched)))
 	if version := gate.roster.Version(); sched.rosterVersion != version {
@@ -97,6 +99,8 @@
 	}
 }
 
+// followLeader determines which daemon leads the pool. If that has changed, it reports this
+// daemon's requests to the new leader.
 func (gate *Gate) followLeader(now time.Time, sched *scheduler) {
 	leader, found := gate.peers.Leader(sched.pool)
 	incarnation := leader.Incarnation
@@ -104,7 +108,8 @@
 		incarnation = yuccaid.Incarnation{}
 	}
 	if incarnation == sched.leader {
-		// The share of a daemon that decides without the leader follows the number of daemons.
+		// The share of the slots that a daemon uses if it decides without the leader depends on
+		// the number of daemons, which may have changed.
 		gate.configure(now, sched)
 		return
 	}
@@ -126,7 +131,8 @@
 	}
 }
 
-// resync sends a leader again what it may have missed while there was no connection.
+// resync reports this daemon's requests again to a leader that may have missed reports while
+// there was no connection to it.
 func (gate *Gate) resync(now time.Time, peer yuccaid.Incarnation) {
 	for _, plc := range gate.placements {
 		if sched := gate.schedulers[plc.pool]; sched != nil && sched.leader == peer {
@@ -139,7 +145,7 @@
 // runs.
 func (gate *Gate) syncPlacement(now time.Time, sched *scheduler, plc *placement) {
 	if !plc.running {
-		gate.request(now, sched, plc)
+		gate.submit(now, sched, plc)
 		return
 	}
 	if sched.leads || sched.leader.IsZero() {
@@ -150,17 +156,17 @@
 	})
 }
 
-// request passes a waiting request to whoever decides on it: the pool's leader, or this daemon
-// itself if it is the leader, there is none, or the leader is suspected.
-func (gate *Gate) request(now time.Time, sched *scheduler, plc *placement) {
+// submit passes a waiting request to the daemon that decides on it: the pool's leader, or this
+// daemon itself if it is the leader, no leader is known, or the leader is suspected.
+func (gate *Gate) submit(now time.Time, sched *scheduler, plc *placement) {
 	plc.submittedAt = now
-	plc.waitingAt = time.Time{}
+	plc.waitConfirmedAt = time.Time{}
 	if sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil) {
-		plc.decidedHere = true
+		plc.decidedLocally = true
 		gate.apply(now, sched, sched.local.Submit(now, plc.request))
 		return
 	}
-	plc.decidedHere = false
+	plc.decidedLocally = false
 	if err := gate.hub.Send(sched.leader, yuccawire.KindAsk, wireRequest(now, plc)); err != nil {
 		gate.suspectLeader(now, sched, plc)
 	}
@@ -174,7 +180,7 @@
 	}
 	sched.suspectUntil = now.Add(suspectFor)
 	gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.request.ID.Number})
-	gate.request(now, sched, plc)
+	gate.submit(now, sched, plc)
 }
 
 // tickPlacements finds waiting requests whose leader hasn't responded in time, and those that
@@ -186,31 +192,32 @@
 		}
 		sched := gate.schedulers[plc.pool]
 		switch {
-		case plc.decidedHere && (sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil)):
-		case plc.decidedHere:
+		case plc.decidedLocally && (sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil)):
+			// This daemon still is the one to decide.
+		case plc.decidedLocally:
 			gate.withdraw(now, sched, plc)
-			gate.request(now, sched, plc)
-		case plc.waitingAt.IsZero() && now.Sub(plc.submittedAt) > leaderTimeout:
+			gate.submit(now, sched, plc)
+		case plc.waitConfirmedAt.IsZero() && now.Sub(plc.submittedAt) > leaderTimeout:
 			gate.suspectLeader(now, sched, plc)
-		case !plc.waitingAt.IsZero() && now.Sub(plc.waitingAt) > waitingTimeout:
-			gate.request(now, sched, plc)
+		case !plc.waitConfirmedAt.IsZero() && now.Sub(plc.waitConfirmedAt) > waitingTimeout:
+			gate.submit(now, sched, plc)
 		}
 	}
 }
 
-// apply delivers a scheduler's decisions, to this daemon's own requests and to those of other
-// daemons.
-func (gate *Gate) apply(now time.Time, sched *scheduler, dec yuccagrant.Decisions) {
-	for _, grant := range dec.Grants {
+// apply delivers a scheduler's decisions: directly to this daemon's own requests, and by message
+// to the daemons that own the others.
+func (gate *Gate) apply(now time.Time, sched *scheduler, decisions yuccagrant.Decisions) {
+	for _, grant := range decisions.Grants {
 		if grant.ID.Owner != gate.incarnation {
 			gate.send(grant.ID.Owner, yuccawire.KindPlaced, yuccawire.Placed{
 				Pool: sched.pool, Number: grant.ID.Number, Target: grant.Target, ExpectMillis: grant.ExpectedFirst.Milliseconds(), Busy: grant.Busy,
 			})
 			continue
 		}
-		gate.grant(now, sched, grant)
+		gate.acceptGrant(now, sched, grant)
 	}
-	for _, refusal := range dec.Refusals {
+	for _, refusal := range decisions.Refusals {
 		if refusal.ID.Owner != gate.incarnation {
 			gate.send(refusal.ID.Owner, yuccawire.KindPlaced, yuccawire.Placed{
 				Pool: sched.pool, Number: refusal.ID.Number, Reason: string(refusal.Reason), BackMillis: refusal.RetryAfter.Milliseconds(),
@@ -218,14 +225,14 @@
 			})
 			continue
 		}
-		gate.refuse(refusal)
+		gate.deliverRefusal(refusal)
 	}
 }
 
-// grant accepts a decision that sends one of this daemon's requests to a target. The leader may
-// have decided with an older roster, so the target is checked again: a target that is leaving
-// gets no request.
-func (gate *Gate) grant(now time.Time, sched *scheduler, granted yuccagrant.Grant) {
+// acceptGrant accepts a decision that sends one of this daemon's requests to a target. The leader
+// may have decided with an older roster, so the target is checked again. If it is leaving or no
+// longer registered, the grant is returned and the request is submitted again.
+func (gate *Gate) acceptGrant(now time.Time, sched *scheduler, granted yuccagrant.Grant) {
 	target := granted.Target
 	plc := gate.placements[granted.ID.Number]
 	if plc == nil || plc.running {
@@ -236,38 +243,40 @@
 		plc.req.logDecision("declined", "target", target, "known", found, "leader", sched.leader.VM, "revision", gate.platformRevision)
 		plc.request.FailedTargets = append(plc.request.FailedTargets, target)
 		gate.reportFinished(now, sched, yuccagrant.Finished{ID: plc.request.ID, Outcome: yuccagrant.Dropped})
-		gate.request(now, sched, plc)
+		gate.submit(now, sched, plc)
 		return
 	}
 	plc.running = true
 	plc.target = target
 	plc.sentAt = now
-	if !plc.decidedHere {
+	if !plc.decidedLocally {
 		sched.local.AddRunning(now, yuccagrant.Running{Request: plc.request, Target: target, Sent: now})
 	} else {
 		gate.syncPlacement(now, sched, plc)
 	}
 	plc.decision <- decision{
-		target: target, address: entry.Address, decidedHere: plc.decidedHere && !sched.leads,
+		target: target, address: entry.Address, withoutLeader: plc.decidedLocally && !sched.leads,
 		decisionInputs: gate.decisionInputs(now, sched, granted.ExpectedFirst, granted.Busy),
 	}
 }
 
-// refuse delivers a refusal to one of this daemon's requests.
-func (gate *Gate) refuse(refusal yuccagrant.Refusal) {
+// deliverRefusal delivers a refusal to one of this daemon's requests if it still waits.
+func (gate *Gate) deliverRefusal(refusal yuccagrant.Refusal) {
 	if plc := gate.placements[refusal.ID.Number]; plc != nil && !plc.running {
 		delete(gate.placements, refusal.ID.Number)
 		plc.decision <- decision{refusal: &refusal, decisionInputs: gate.decisionInputs(time.Now(), gate.schedulers[plc.pool], 0, 0)}
 	}
 }
 
-// decisionInputs returns what a decision was made from, for the log.
-func (gate *Gate) decisionInputs(now time.Time, sched *scheduler, expect time.Duration, busy int) decisionInputs {
-	inputs := decisionInputs{leader: sched.leader.VM, expect: expect, busy: busy, revision: gate.platformRevision, age: gate.platformAge(now)}
+// decisionInputs returns what a decision was made from, for the log: the predicted time to the
+// first event, the number of runs that the target had, and this daemon's present state.
+func (gate *Gate) decisionInputs(now time.Time, sched *scheduler, expectedFirst time.Duration, busy int) decisionInputs {
+	inputs := decisionInputs{leader: sched.leader.VM, expectedFirst: expectedFirst, busy: busy, platformRevision: gate.platformRevision, platformAge: gate.platformAge(now)}
 	return inputs
 }
 
-// reportFinished reports the end of a run to this daemon's scheduler and to the pool's leader.
+// reportFinished reports the end of a run, or a grant that isn't used, to this daemon's scheduler
+// and to the pool's leader.
 func (gate *Gate) reportFinished(now time.Time, sched *scheduler, result yuccagrant.Finished) {
 	gate.apply(now, sched, sched.local.RunFinished(now, result))
 	if !sched.leads && !sched.leader.IsZero() {
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -12,18 +12,20 @@
 )
 
 func newRemoteScheduler() *scheduler {
-	return &scheduler{remote: make(map[yuccaid.Centre]*remoteLoad), remoteChanged: make(map[yuccaid.Target]bool)}
+	return &scheduler{remoteLoads: make(map[yuccaid.Centre]*centreLoads), remoteChanged: make(map[yuccaid.Target]bool)}
 }
 
-// receiveLoads passes a cast of a remote leader to the scheduler.
-func (sched *scheduler) receiveLoads(now time.Time, sequence uint64, part bool, targetLoads ...yuccawire.TargetLoad) {
-	if sched.remote["austin"] == nil {
-		sched.remote["austin"] = &remoteLoad{loads: make(map[yuccaid.Target]receivedLoad)}
+// receiveLoads passes a cast of the leader in the data centre austin to the scheduler. If partial
+// is set, the cast contains only changed loads.
+func (sched *scheduler) receiveLoads(now time.Time, sequence uint64, partial bool, targetLoads ...yuccawire.TargetLoad) {
+	if sched.remoteLoads["austin"] == nil {
+		sched.remoteLoads["austin"] = &centreLoads{loads: make(map[yuccaid.Target]receivedLoad)}
 	}
-	sched.remote["austin"].receivedAt = now
-	sched.remote["austin"].merge(yuccawire.Cast{Origin: "entry-9", Sequence: sequence, Load: targetLoads, Part: part}, sched.remoteChanged)
+	sched.remoteLoads["austin"].receivedAt = now
+	sched.remoteLoads["austin"].merge(yuccawire.Cast{Origin: "entry-9", Sequence: sequence, Load: targetLoads, Part: partial}, sched.remoteChanged)
 }
 
+// remoteRuns returns how many runs other data centres have on each target.
 func (sched *scheduler) remoteRuns() map[yuccaid.Target]int {
 	remoteRuns := make(map[yuccaid.Target]int)
 	for target, load := range sched.remoteTotals() {
@@ -32,10 +34,10 @@
 	return remoteRuns
 }
 
-// One of two connections between data centres lags. Its casts contain changes of some targets
-// that no later cast has contained, and outdated loads of others. If the first were ignored,
-// the targets would look free for seconds; if the second were accepted, newer loads would be
-// overwritten.
+// One of two connections between data centres lags. Its casts contain changes that no later cast
+// has contained, and loads that later casts have replaced. If such changes were ignored, targets
+// that are occupied would look free for seconds; if replaced loads were accepted, newer ones would
+// be overwritten.
 func TestMergeOrdersCastsByTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
@@ -65,8 +67,9 @@
 	}
 }
 
-// A daemon that doesn't lead a pool receives loads from daemons that take it for the leader. It
-// keeps no list of changes, but passes all loads to its scheduler when it becomes the leader.
+// A daemon that doesn't lead a pool receives loads from daemons that take it for the leader. A list
+// of the changes would grow without bound, so it keeps none, and passes all loads to its scheduler
+// when it becomes the leader.
 func TestRemoteLoadsAreKeptByLeadersOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
@@ -97,10 +100,10 @@
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
 	sched.local = yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
-	sched.sent = make(map[yuccaid.Target]yuccawire.TargetLoad)
+	sched.sentLoads = make(map[yuccaid.Target]yuccawire.TargetLoad)
 	sched.local.Configure(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
 	running := uint64(0)
-	set := func(runs uint64) {
+	setRuns := func(runs uint64) {
 		for ; running < runs; running++ {
 			sched.local.AddRunning(now, yuccagrant.Running{Request: yuccagrant.Request{ID: yuccagrant.ID{Number: running}}, Target: "a", Sent: now})
 		}
@@ -109,20 +112,20 @@
 		}
 	}
 	for _, step := range []struct {
-		runs  uint64
-		whole bool
-		sent  []yuccawire.TargetLoad
+		runs uint64
+		full bool
+		sent []yuccawire.TargetLoad
 	}{
 		{runs: 2, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 2}}},
 		{runs: 4},
 		{runs: 5, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 5}}},
-		{runs: 4, whole: true, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 4}}},
+		{runs: 4, full: true, sent: []yuccawire.TargetLoad{{Target: "a", Runs: 4}}},
 		{runs: 2},
 		{runs: 0, sent: []yuccawire.TargetLoad{{Target: "a"}}},
 		{runs: 0},
 	} {
-		set(step.runs)
-		if got := sched.changedLoads(step.whole, 3); !reflect.DeepEqual(got, step.sent) {
+		setRuns(step.runs)
+		if got := sched.changedLoads(step.full, 3); !reflect.DeepEqual(got, step.sent) {
 			t.Errorf("at %d runs sent %v, want %v", step.runs, got, step.sent)
 		}
 	}
--- a/io/yuccagate/dialect.go
+++ b/io/yuccagate/dialect.go
@@ -17,8 +17,8 @@
 	// and removes fields that callers may not pass to a target. Fields that concern one
 	// connection only are already removed.
 	RewriteHeader func(header http.Header, forward ForwardInfo)
-	// MatchesRequest reports whether the header of a response belongs to the request with the
-	// id.
+	// MatchesRequest reports whether a response with this header is the response to the request
+	// with the id.
 	MatchesRequest func(header http.Header, id string) bool
 	// ReadReport extracts what a target reports along with its response.
 	ReadReport func(status int, header http.Header) TargetReport
@@ -27,7 +27,8 @@
 // RequestInfo is what a request states about itself.
 type RequestInfo struct {
 	// ID identifies the request to callers and targets and in logs.
-	ID  string
+	ID string
+	// Key is the caller's key, which identifies its account.
 	Key string
 	// Remaining is how long the caller waits for the end of the response. EventTimeout is how
 	// long it waits for the first event, and for each further one. Both are zero if the request
@@ -39,18 +40,20 @@
 	Prompt  yuccaid.Tokens
 	Answer  yuccaid.Tokens
 	Charged yuccaid.Tokens
-	// LastEventID is the id of the last event that the caller has received before, empty for
-	// none.
+	// LastEventID is the id of the last event of this stream that the caller received in an
+	// earlier response, empty if it received none.
 	LastEventID string
 }
 
 // ForwardInfo is what a forwarded request tells its target.
 type ForwardInfo struct {
-	Target    yuccaid.Target
-	Account   yuccaid.Account
+	Target yuccaid.Target
+	// Account is empty if the request belongs to none.
+	Account yuccaid.Account
+	// Remaining is the time until the request's deadline.
 	Remaining time.Duration
-	// LastEventID is the id of the last event that the target need not send again, empty for
-	// none.
+	// LastEventID is the id of the last event that the caller already has: the target continues
+	// after it. It is empty if the target has to send all events.
 	LastEventID string
 }
 
@@ -61,5 +64,6 @@
 	// whether the request was meant for another target.
 	NotRun      bool
 	Misdirected bool
-	Load        yuccagrant.ReportedLoad
+	// Load is the target's own count of its running and waiting requests, if it reports one.
+	Load yuccagrant.ReportedLoad
 }
--- a/io/yuccagate/doc.go
+++ b/io/yuccagate/doc.go
@@ -6,8 +6,13 @@
 // as long as its caller's connection lasts. If that connection breaks, no other daemon takes
 // the request over. The route says whether a request may be sent to a second target.
 //
-// The core packages make the decisions. One control goroutine owns the state that they work on,
-// and each request has its own goroutine.
+// The core packages make the decisions: which request goes to which target, what quotas admit,
+// which daemon leads a pool. One control goroutine owns the state that they work on, and each
+// request has its own goroutine.
+//
+// Each pool has a leader, one daemon of the data centre that decides which of the pool's
+// requests go to which target. A cast is a message from one daemon to the daemons of all other
+// data centres, with the loads of targets or the usage of accounts.
 //
 // A Dialect defines how callers and targets express what the gateway needs to know, such as a
 // deadline or a target's load.
--- a/io/yuccagate/drain.go
+++ b/io/yuccagate/drain.go
@@ -6,11 +6,12 @@
 )
 
 const (
+	// drainPollInterval is the time between two checks whether requests are still open.
 	drainPollInterval = 20 * time.Millisecond
 	// minDrainTime is how long a draining daemon still accepts requests, because the balancer
-	// checks once a second and takes a daemon out after two failed checks. Later requests are
-	// refused, because a response that starts so late might be cut off when the grace period
-	// ends.
+	// checks once a second whether a daemon is ready and takes it out after two failed checks.
+	// Later requests are refused, because a response that starts so late might be cut off when
+	// the grace period ends.
 	minDrainTime = 2500 * time.Millisecond
 )
 
--- a/io/yuccagate/events.go
+++ b/io/yuccagate/events.go
@@ -27,8 +27,8 @@
 type eventReader struct {
 	source   io.Reader
 	buffered []byte
-	// scanned is the length of the part of buffered that is known to contain no end of an
-	// event.
+	// scanned is the length of the part of buffered that has been searched without finding the
+	// end of an event.
 	scanned int
 	chunk   [4 << 10]byte
 	err     error
@@ -38,12 +38,13 @@
 	return &eventReader{source: source}
 }
 
-// next returns the events that have arrived, at least one, or an error when the stream ends.
-// Afterwards, remainder returns the bytes that belong to no complete event.
+// next waits for at least one complete event and returns those that have arrived, or an error
+// when the stream ends. After an error, remainder returns the bytes that belong to no complete
+// event.
 func (reader *eventReader) next() ([]event, error) {
 	for {
-		if list := reader.split(); len(list) > 0 {
-			return list, nil
+		if events := reader.split(); len(events) > 0 {
+			return events, nil
 		}
 		if reader.err != nil {
 			return nil, reader.err
@@ -61,38 +62,42 @@
 
 // split removes the complete events from the buffer and returns them.
 func (reader *eventReader) split() []event {
-	var list []event
+	var events []event
 	for {
 		length := eventLength(reader.buffered, reader.scanned)
 		if length == 0 {
+			// An event's end may have arrived only in part, so the last three bytes, as many as
+			// the longest end has, are searched again.
 			reader.scanned = max(len(reader.buffered)-3, 0)
-			return list
+			return events
 		}
 		raw := bytes.Clone(reader.buffered[:length])
 		reader.buffered = reader.buffered[length:]
 		reader.scanned = 0
-		list = append(list, event{raw: raw, id: eventID(raw)})
+		events = append(events, event{raw: raw, id: eventID(raw)})
 	}
 }
 
-// eventLength returns the length of the first event including the empty line after it, or zero
-// if it isn't complete. Lines end with a line feed, which a carriage return may precede.
-func eventLength(held []byte, from int) int {
-	for at := from; at < len(held); at++ {
-		if held[at] != '\n' {
+// eventLength returns the length of the first event in the buffer including the empty line after
+// it, or zero if it isn't complete. The search for its end starts at the index from. Lines end
+// with a line feed, which a carriage return may precede.
+func eventLength(buffered []byte, from int) int {
+	for i := from; i < len(buffered); i++ {
+		if buffered[i] != '\n' {
 			continue
 		}
-		rest := held[at+1:]
+		rest := buffered[i+1:]
 		if len(rest) >= 1 && rest[0] == '\n' {
-			return at + 2
+			return i + 2
 		}
 		if len(rest) >= 2 && rest[0] == '\r' && rest[1] == '\n' {
-			return at + 3
+			return i + 3
 		}
 	}
 	return 0
 }
 
+// eventID returns the value of an event's id field, or the empty string if it has none.
 func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if id, found := bytes.CutPrefix(line, []byte("id:")); found {
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -31,14 +31,18 @@
 type Gate struct {
 	settings Settings
 	dialect  Dialect
-	decode   func([]byte) (*yuccaroute.Table, error)
+	// decode parses the text of a configuration.
+	decode func([]byte) (*yuccaroute.Table, error)
 	// incarnation identifies this run of the daemon.
-	incarnation  yuccaid.Incarnation
-	log          logger
-	metrics      *metrics
+	incarnation yuccaid.Incarnation
+	log         logger
+	metrics     *metrics
+	// targetClient sends requests to targets.
 	targetClient *yuccahop.Client
-	memory       *memory
-	bounds       yuccaspace.Bounds
+	// memory is what open requests may use.
+	memory *memory
+	// processBounds are the bounds that follow from the process's memory and file descriptors.
+	processBounds yuccaspace.Bounds
 	// control runs the control goroutine, and tables holds the configuration in force.
 	control *yuccaloop.Loop
 	tables  yuccaroute.Holder
@@ -49,19 +53,22 @@
 	// drainStartedAt is when the daemon began to drain, in Unix nanoseconds, or zero.
 	drainStartedAt atomic.Int64
 	openRequests   atomic.Int64
-	// lastPlacement is the number of the latest placement.
+	// lastPlacement is the number of the latest placement: one request's wait for a target and its
+	// run there.
 	lastPlacement atomic.Uint64
-	// connRejectedAt is when a caller's connection was last rejected, in Unix nanoseconds, or
+	// callerRejectedAt is when a caller's connection was last rejected, in Unix nanoseconds, or
 	// zero.
-	connRejectedAt atomic.Int64
+	callerRejectedAt atomic.Int64
 
+	// traffic ends when the gateway is closed.
 	traffic     context.Context
 	stopTraffic context.CancelFunc
 	workers     sync.WaitGroup
 
 	// hub holds the connections to other daemons.
 	hub *yuccalink.Hub
-	// skipsPlatformReads reports whether another daemon reads the platform for this one.
+	// skipsPlatformReads reports whether another daemon of the data centre reads the platform's
+	// registrations of targets for this one.
 	skipsPlatformReads atomic.Bool
 
 	// The fields below belong to the control goroutine.
@@ -70,44 +77,55 @@
 	// leaders.
 	settled        bool
 	peersCheckedAt time.Time
-	dialledAt      time.Time
-	castSequence   uint64
-	castWindows    map[castKey]sequenceWindow
-	remoteCentres  map[yuccaid.Centre]*remoteCentre
-	// connRefusedAt and faultLoggedAt hold, for each address, when it last refused a connection
-	// and when a failed connection to it was last logged.
-	connRefusedAt map[string]time.Time
-	faultLoggedAt map[string]time.Time
+	// connsComparedAt is when the connections to other daemons were last compared with those that
+	// should exist.
+	connsComparedAt time.Time
+	// castSequence is the number of this daemon's latest cast, and castWindows records which casts
+	// of each series have arrived.
+	castSequence  uint64
+	castWindows   map[castKey]sequenceWindow
+	remoteCentres map[yuccaid.Centre]*remoteCentre
+	// peerRefusedAt and connFailureLoggedAt hold, for each address of a daemon, when it last
+	// refused a connection and when a failed connection to it was last logged.
+	peerRefusedAt       map[string]time.Time
+	connFailureLoggedAt map[string]time.Time
 	// tableRaw is the text of the configuration in force, for peers that request it.
-	tableRaw      []byte
+	tableRaw []byte
+	// tablePulledAt is when a peer was last asked for its configuration.
 	tablePulledAt time.Time
 
+	// roster holds the registered targets.
 	roster *yuccaroster.Roster
 	// loggedTargets are the targets as the log last reported them.
 	loggedTargets map[yuccaid.Target]yuccaroster.Entry
-	// rosterVersion is the roster's version that was last passed to the schedulers.
+	// rosterVersion is the roster's version that was last passed to the schedulers, and
+	// targetsPulledAt when a peer was last asked for its targets.
 	rosterVersion   uint64
 	targetsPulledAt time.Time
 	// platformRespondedAt is when the platform last responded to this daemon, platformRevision
-	// the revision up to which its targets are known here, and platformReport the last report
-	// of each peer that reads the platform.
+	// the revision up to which this daemon knows its targets, and platformReports the last report of
+	// each peer that reads the platform. platformReportedAt is when this daemon last reported.
 	platformRespondedAt time.Time
 	platformRevision    yuccaroster.Revision
-	platformReport      map[yuccaid.Incarnation]platformReport
+	platformReports     map[yuccaid.Incarnation]platformReport
 	platformReportedAt  time.Time
 
+	// ledger counts the usage of accounts. usageReportedAt is when this daemon last reported
+	// usage to the daemons of its data centre, and usageCastAt when it last cast usage.
 	ledger          *yuccaquota.Ledger
 	usageReportedAt time.Time
 	usageCastAt     time.Time
 	// fullUsageDue reports whether another data centre may have missed usage of this one, so
-	// that all of it has to be sent again.
+	// that all of it has to be cast again. fullUsageAt is when all usage was last cast.
 	fullUsageDue bool
 	fullUsageAt  time.Time
+	// resendBudget bounds how many requests are sent to a second target.
 	resendBudget *yuccabudget.Budget
 
 	schedulers map[yuccaid.Pool]*scheduler
 	// placements are this daemon's placements that wait or run, by their numbers.
-	placements  map[uint64]*placement
+	placements map[uint64]*placement
+	// idleSweptAt is when idle connections to targets were last closed.
 	idleSweptAt time.Time
 }
 
@@ -128,30 +146,30 @@
 	}
 	bounds := yuccaspace.BoundsOf(settings.Machine)
 	gate := &Gate{
-		settings:     settings,
-		dialect:      dialect,
-		decode:       decode,
-		incarnation:  yuccaid.NewIncarnation(settings.VM, nonce),
-		log:          logger{inner: log.NewNopLogger()},
-		metrics:      newMetrics(),
-		targetClient: newTargetClient(bounds),
-		memory:       newMemory(bounds.RequestMemory),
-		bounds:       bounds,
-		startedAt:    time.Now(),
+		settings:      settings,
+		dialect:       dialect,
+		decode:        decode,
+		incarnation:   yuccaid.NewIncarnation(settings.VM, nonce),
+		log:           logger{inner: log.NewNopLogger()},
+		metrics:       newMetrics(),
+		targetClient:  newTargetClient(bounds),
+		memory:        newMemory(bounds.RequestMemory),
+		processBounds: bounds,
+		startedAt:     time.Now(),
 
 		configured: make(chan struct{}),
 
 		castWindows:   make(map[castKey]sequenceWindow),
 		remoteCentres: make(map[yuccaid.Centre]*remoteCentre),
 
-		connRefusedAt:  make(map[string]time.Time),
-		faultLoggedAt:  make(map[string]time.Time),
-		roster:         yuccaroster.New(),
-		platformReport: make(map[yuccaid.Incarnation]platformReport),
-		ledger:         yuccaquota.New(settings.Bounds.tolerance(), yuccaquota.WithSalt(mathrand.Uint64())),
-		resendBudget:   yuccabudget.New(settings.Bounds.resendBounds()),
-		schedulers:     make(map[yuccaid.Pool]*scheduler),
-		placements:     make(map[uint64]*placement),
+		peerRefusedAt:       make(map[string]time.Time),
+		connFailureLoggedAt: make(map[string]time.Time),
+		roster:              yuccaroster.New(),
+		platformReports:     make(map[yuccaid.Incarnation]platformReport),
+		ledger:              yuccaquota.New(settings.Bounds.tolerance(), yuccaquota.WithSalt(mathrand.Uint64())),
+		resendBudget:        yuccabudget.New(settings.Bounds.resendBounds()),
+		schedulers:          make(map[yuccaid.Pool]*scheduler),
+		placements:          make(map[uint64]*placement),
 	}
 	for _, option := range options {
 		option(gate)
@@ -184,9 +202,9 @@
 }
 
 // Ready reports whether the daemon has a configuration, isn't draining and has not rejected a
-// caller's connection recently.
+// caller's connection within rejectedNotReadyFor.
 func (gate *Gate) Ready() bool {
-	return gate.tables.Load() != nil && !gate.draining() && !gate.rejectedRecently(time.Now())
+	return gate.tables.Load() != nil && !gate.draining() && !gate.rejectedCallerRecently(time.Now())
 }
 
 // Close stops the gateway at once and cuts off open requests. Call Server.Drain first to let
--- a/io/yuccagate/listener.go
+++ b/io/yuccagate/listener.go
@@ -12,16 +12,16 @@
 // Listener accepts callers' connections for an http.Server, and can close idle ones without
 // losing a request.
 //
-// The server may close an idle connection by itself between the arrival of a request's first
-// bytes and the moment when it notices them. The request would then be forwarded to a target,
-// and its caller would get no response. Here one lock covers both: either the bytes arrive
-// first and the connection stays open, or the connection is closed first and the bytes are
-// dropped unread.
+// If http.Server closed idle connections itself, it could close one after a request's first bytes
+// had been read and before it noticed them. The request would then be forwarded to a target, and
+// its caller would get no response. Here a connection's lock covers both: either the bytes are
+// read first and the connection stays open, or the connection is closed first and the bytes are
+// dropped without being served.
 type Listener struct {
 	net.Listener
-	// maxConns bounds the open connections; zero means no bound.
+	// maxConns bounds the number of open connections; zero means no bound.
 	maxConns int
-	// onRejected is called after a connection was rejected.
+	// onRejected is called when a connection is rejected, before it is closed.
 	onRejected func(time.Time)
 
 	mu    sync.Mutex
@@ -37,9 +37,10 @@
 
 // Accept returns the next connection.
 //
-// Without a bound, connections use up the file descriptors. Then the daemon reaches neither
-// targets nor other daemons, and all of its requests fail instead of a few. If a connection is
-// closed before anything was read from it, its caller knows that the request did not run.
+// Without a bound, callers' connections could use up the file descriptors. Then the daemon would
+// reach neither targets nor other daemons, and all of its requests would fail instead of a few.
+// A rejected connection is closed before anything is read from it, so its caller knows that the
+// request did not run.
 func (lis *Listener) Accept() (net.Conn, error) {
 	for {
 		raw, err := lis.Listener.Accept()
@@ -74,8 +75,8 @@
 	var longest *callerConn
 	var since time.Time
 	for _, conn := range lis.openConns() {
-		if idle := conn.idleStart(); !idle.IsZero() && (longest == nil || idle.Before(since)) {
-			longest, since = conn, idle
+		if idleSince := conn.idleStart(); !idleSince.IsZero() && (longest == nil || idleSince.Before(since)) {
+			longest, since = conn, idleSince
 		}
 	}
 	if longest != nil {
@@ -83,13 +84,14 @@
 	}
 }
 
+// openConns returns the open connections.
 func (lis *Listener) openConns() []*callerConn {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
 	return slices.Collect(maps.Keys(lis.conns))
 }
 
-// ConnState is the hook that tells the listener when a connection becomes idle.
+// ConnState is the http.Server hook that reports to the listener when a connection becomes idle.
 func (lis *Listener) ConnState(raw net.Conn, state http.ConnState) {
 	if conn, ok := raw.(*callerConn); ok && state == http.StateIdle {
 		conn.markIdle(time.Now())
@@ -118,7 +120,8 @@
 	mu sync.Mutex
 	// idleSince is when the last response ended, zero while a request is being read or served.
 	idleSince time.Time
-	closed    bool
+	// closed reports whether closeIdle has closed the connection.
+	closed bool
 }
 
 // Read marks the connection as in use once a byte arrives, unless the connection was closed
@@ -144,9 +147,10 @@
 	return conn.Conn.Close()
 }
 
+// markIdle records that the connection is idle as of now.
 func (conn *callerConn) markIdle(now time.Time) {
-	// The write deadline of the last response must not apply to the next one, which may be an
-	// error for an unreadable head and then sets no deadline of its own.
+	// The write deadline of the last response must not apply to the next response. That one may
+	// be the server's error for an unreadable head, for which no deadline is set.
 	_ = conn.Conn.SetWriteDeadline(time.Time{})
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -160,6 +164,7 @@
 	return conn.idleSince
 }
 
+// closeIdle closes the connection if it has been idle since the given time or for longer.
 func (conn *callerConn) closeIdle(since time.Time) {
 	conn.mu.Lock()
 	if conn.idleSince.IsZero() || conn.idleSince.After(since) {
--- a/io/yuccagate/loads.go
+++ b/io/yuccagate/loads.go
@@ -11,29 +11,32 @@
 )
 
 const (
-	// loadInterval is the shortest time between two casts of a leader's loads when they have
-	// changed, and loadMaxInterval the longest time when they haven't.
+	// loadInterval is the shortest time between two casts of a leader's loads, and
+	// loadMaxInterval the longest, which applies while loads don't change.
 	loadInterval    = 100 * time.Millisecond
 	loadMaxInterval = time.Second
-	// fullLoadInterval is the shortest time between two casts of the loads of all targets, and
-	// fullLoadPerTarget lengthens it for each target and data centre. Full casts are needed
-	// because casts are lost when connections break, and a new leader elsewhere starts without
-	// any loads. In large pools their size would otherwise exceed that of all changes.
+	// fullLoadInterval is the shortest time between two casts of the loads of all targets. In
+	// large pools the time is longer, half of fullLoadPerTarget for each pair of a target and
+	// another data centre, because full casts would otherwise be larger than all casts of changes
+	// together. Full casts are needed because casts are lost when connections break, and because
+	// a new leader in another data centre starts without any loads.
 	fullLoadInterval  = 2 * time.Second
 	fullLoadPerTarget = 10 * time.Millisecond
-	// centresPerGrain is the number of other data centres for which changes by one more run are
-	// left out. Each change goes to all of them over two connections, so that with fourteen
-	// data centres loads took twelve times the processor time that a daemon may spend on
-	// control. A leader sends to remote targets what its local ones can't take, and has the
-	// more targets to choose from the more data centres there are. It needs to know which
-	// targets are free, but not exactly how many slots are.
-	centresPerGrain = 4
-	// paceScale is the number of units per 1.0 in which paces are sent.
+	// centresPerMinDelta is the number of other data centres per unit of minDelta, the change in
+	// a target's number of runs from which on its load is cast. Each change goes to all other
+	// data centres over two connections, so that with fourteen data centres loads took twelve
+	// times the processor time that a daemon may spend on control. A leader sends to remote
+	// targets what its local ones can't take, and has the more targets to choose from the more
+	// data centres there are. It needs to know which targets are free, but not exactly how many
+	// free slots they have.
+	centresPerMinDelta = 4
+	// paceScale is the number that stands for a pace of 1.0 in messages.
 	paceScale = 100
 )
 
-// remoteLoad is what another data centre has running on a pool's targets.
-type remoteLoad struct {
+// centreLoads is what one other data centre has running on a pool's targets, and when its last
+// cast of loads was received.
+type centreLoads struct {
 	loads      map[yuccaid.Target]receivedLoad
 	receivedAt time.Time
 }
@@ -47,30 +50,31 @@
 }
 
 // merge takes over the loads of a cast, except for targets for which a later cast of the same
-// daemon has already arrived, because one of the two connections may lag. It adds the targets
-// whose load has changed to the set changed.
-func (load *remoteLoad) merge(message yuccawire.Cast, changed map[yuccaid.Target]bool) {
+// daemon has already arrived, because one of the two connections may lag. A full cast also
+// removes the loads of targets that it doesn't list. The targets whose load has changed are added
+// to the set changed.
+func (centre *centreLoads) merge(message yuccawire.Cast, changed map[yuccaid.Target]bool) {
 	superseded := func(target yuccaid.Target) bool {
-		last, known := load.loads[target]
+		last, known := centre.loads[target]
 		return known && last.origin == message.Origin && last.sequence > message.Sequence
 	}
-	named := make(map[yuccaid.Target]bool, len(message.Load))
+	listed := make(map[yuccaid.Target]bool, len(message.Load))
 	for _, entry := range message.Load {
-		named[entry.Target] = true
+		listed[entry.Target] = true
 		if superseded(entry.Target) {
 			continue
 		}
-		if load.loads[entry.Target].load != entry {
+		if centre.loads[entry.Target].load != entry {
 			changed[entry.Target] = true
 		}
-		load.loads[entry.Target] = receivedLoad{load: entry, origin: message.Origin, sequence: message.Sequence}
+		centre.loads[entry.Target] = receivedLoad{load: entry, origin: message.Origin, sequence: message.Sequence}
 	}
 	if message.Part {
 		return
 	}
-	for target := range load.loads {
-		if !named[target] && !superseded(target) {
-			delete(load.loads, target)
+	for target := range centre.loads {
+		if !listed[target] && !superseded(target) {
+			delete(centre.loads, target)
 			changed[target] = true
 		}
 	}
@@ -82,17 +86,17 @@
 	if now.Sub(sched.loadSentAt) < loadInterval {
 		return
 	}
-	remoteCentres := len(gate.remoteCentres)
-	whole := now.Sub(sched.fullLoadSentAt) >= fullLoadSpacing(len(sched.sent), remoteCentres)
-	loads := sched.changedLoads(whole, 1+remoteCentres/centresPerGrain)
+	centres := len(gate.remoteCentres)
+	full := now.Sub(sched.fullLoadSentAt) >= fullLoadSpacing(len(sched.sentLoads), centres)
+	loads := sched.changedLoads(full, 1+centres/centresPerMinDelta)
 	if len(loads) == 0 && now.Sub(sched.loadSentAt) < loadMaxInterval {
 		return
 	}
 	sched.loadSentAt = now
-	if whole {
+	if full {
 		sched.fullLoadSentAt = now
 	}
-	gate.cast(yuccawire.Cast{Topic: yuccawire.TopicLoad, Pool: sched.pool, Load: loads, Part: !whole})
+	gate.cast(yuccawire.Cast{Topic: yuccawire.TopicLoad, Pool: sched.pool, Load: loads, Part: !full})
 }
 
 // fullLoadSpacing returns the shortest time between two casts of the loads of all targets, for
@@ -101,25 +105,25 @@
 	return max(fullLoadInterval, time.Duration(targets*centres)*fullLoadPerTarget/2)
 }
 
-// changedLoads returns the loads to send: of all targets that have any, or of those whose runs
-// have changed by the grain or whose pace has changed. That a target has become idle is always
-// sent.
-func (sched *scheduler) changedLoads(whole bool, grain int) []yuccawire.TargetLoad {
+// changedLoads returns the loads to send. If full is set, these are the loads of all targets that
+// have any, and otherwise of those whose number of runs has changed by at least minDelta or whose
+// pace has changed. That a target has become idle is always sent.
+func (sched *scheduler) changedLoads(full bool, minDelta int) []yuccawire.TargetLoad {
 	var loads []yuccawire.TargetLoad
 	for target, load := range sched.local.Loads() {
 		current := wireTargetLoad(target, load)
-		previous, sent := sched.sent[target]
+		previous, sent := sched.sentLoads[target]
 		delta := max(previous.Runs-current.Runs, current.Runs-previous.Runs)
-		changed := !sent || delta >= grain || delta > 0 && current.Runs == 0 || paceChanged(previous.Pace, current.Pace)
-		if whole || changed {
-			sched.sent[target] = current
+		changed := !sent || delta >= minDelta || delta > 0 && current.Runs == 0 || paceChanged(previous.Pace, current.Pace)
+		if full || changed {
+			sched.sentLoads[target] = current
 			loads = append(loads, current)
 		}
 	}
-	for target := range sched.sent {
+	for target := range sched.sentLoads {
 		if sched.local.Load(target) == (yuccagrant.TargetLoad{}) {
 			loads = append(loads, yuccawire.TargetLoad{Target: target})
-			delete(sched.sent, target)
+			delete(sched.sentLoads, target)
 		}
 	}
 	slices.SortFunc(loads, func(a, b yuccawire.TargetLoad) int { return cmp.Compare(a.Target, b.Target) })
@@ -130,37 +134,38 @@
 	return yuccawire.TargetLoad{Target: target, Runs: load.Runs, Pace: int(load.Pace * paceScale)}
 }
 
-// paceChanged reports whether a pace has changed by more than a tenth, because answers differ
-// by less than that even if the target's pace stays the same.
+// paceChanged reports whether a pace has changed by more than a tenth. Smaller differences occur
+// from one response to the next even if the target's speed stays the same.
 func paceChanged(previous, current int) bool {
 	return 10*max(previous-current, current-previous) > max(previous, current)
 }
 
+// onCentreLoad handles a cast of loads from a leader in another data centre.
 func (gate *Gate) onCentreLoad(now time.Time, message yuccawire.Cast) {
 	sched := gate.scheduler(now, message.Pool)
-	remote := sched.remote[message.Centre]
-	if remote == nil {
-		remote = &remoteLoad{loads: make(map[yuccaid.Target]receivedLoad, len(message.Load))}
-		sched.remote[message.Centre] = remote
+	centre := sched.remoteLoads[message.Centre]
+	if centre == nil {
+		centre = &centreLoads{loads: make(map[yuccaid.Target]receivedLoad, len(message.Load))}
+		sched.remoteLoads[message.Centre] = centre
 	}
-	remote.receivedAt = now
-	remote.merge(message, sched.remoteChanged)
+	centre.receivedAt = now
+	centre.merge(message, sched.remoteChanged)
 }
 
 // dropSilentCentres drops the loads of data centres from which nothing has been received for
 // centreFreshFor. Otherwise their runs would count against the targets' slots for ever, above
-// all if there is no third data centre whose updates would cause a new count.
+// all if there is no third data centre whose casts would cause the loads to be summed again.
 func (sched *scheduler) dropSilentCentres(now time.Time) {
-	for name, load := range sched.remote {
-		if now.Sub(load.receivedAt) > centreFreshFor {
-			delete(sched.remote, name)
+	for name, loads := range sched.remoteLoads {
+		if now.Sub(loads.receivedAt) > centreFreshFor {
+			delete(sched.remoteLoads, name)
 			sched.remoteReset = true
 		}
 	}
 }
 
 // passRemoteLoads passes the remote loads to local: only those that have changed, since a pool
-// may have thousands of targets.
+// may have thousands of targets, unless remoteReset is set.
 func (sched *scheduler) passRemoteLoads(now time.Time) yuccagrant.Decisions {
 	var dec yuccagrant.Decisions
 	switch {
@@ -186,21 +191,23 @@
 
 // remoteTotals returns the sum of the remote loads for each target.
 func (sched *scheduler) remoteTotals() map[yuccaid.Target]yuccagrant.TargetLoad {
-	remoteTotals := make(map[yuccaid.Target]yuccagrant.TargetLoad)
-	for _, load := range sched.remote {
-		for target := range load.loads {
-			if _, known := remoteTotals[target]; !known {
-				remoteTotals[target] = sched.remoteTotal(target)
+	totals := make(map[yuccaid.Target]yuccagrant.TargetLoad)
+	for _, centre := range sched.remoteLoads {
+		for target := range centre.loads {
+			if _, known := totals[target]; !known {
+				totals[target] = sched.remoteTotal(target)
 			}
 		}
 	}
-	return remoteTotals
+	return totals
 }
 
+// remoteTotal returns the sum of the runs that other data centres have on a target, and the
+// highest pace that any of them reports.
 func (sched *scheduler) remoteTotal(target yuccaid.Target) yuccagrant.TargetLoad {
 	var sum yuccagrant.TargetLoad
-	for _, load := range sched.remote {
-		entry := load.loads[target].load
+	for _, centre := range sched.remoteLoads {
+		entry := centre.loads[target].load
 		sum.Runs += entry.Runs
 		sum.Pace = max(sum.Pace, float64(entry.Pace)/paceScale)
 	}
--- a/io/yuccagate/log.go
+++ b/io/yuccagate/log.go
@@ -14,12 +14,13 @@
 	inner log.Logger
 }
 
-// stateChange logs that this daemon's view of the fleet, or its own state, has changed.
+// stateChange logs that this daemon's view of the fleet, or its own state, has changed. Operators'
+// tools search for its event name.
 func (lg logger) stateChange(what string, fields ...any) {
 	_ = level.Warn(lg.inner).Log(append([]any{"event", "belief", "what", what}, fields...)...)
 }
 
-// logStep logs a step of a request that went well.
+// logStep logs a step of a request that went well, or a refusal that anybody can cause at will.
 func (req *callerRequest) logStep(event string, fields ...any) {
 	_ = level.Debug(req.gate.log.inner).Log(append([]any{"event", event, "request", req.info.ID}, fields...)...)
 }
@@ -38,6 +39,7 @@
 	_ = level.Info(req.gate.log.inner).Log(fields...)
 }
 
+// routeName returns the route's name, empty if no route was found.
 func (req *callerRequest) routeName() string {
 	if req.route == nil {
 		return ""
--- a/io/yuccagate/metrics.go
+++ b/io/yuccagate/metrics.go
@@ -22,40 +22,44 @@
 	return &metrics{set: vm.NewSet()}
 }
 
-// tierLabel returns the label of a tier; requests without a route have the label "none".
-func tierLabel(tier int) string {
-	if tier < 0 {
+// rankLabel returns the value of the label tier, which holds a route's rank; requests without a
+// route have the value "none".
+func rankLabel(rank int) string {
+	if rank < 0 {
 		return "none"
 	}
-	return strconv.Itoa(tier)
+	return strconv.Itoa(rank)
 }
 
-func (met *metrics) problem(tier int, kind Kind, detail string) {
+// problem counts a response that the gateway itself gave.
+func (met *metrics) problem(rank int, kind Kind, detail string) {
 	if kind != KindQuota && kind != KindLate && kind != KindBusy && kind != KindRejected {
 		// Details of other kinds are free text, which would create a metric for each text.
 		detail = ""
 	}
-	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_problems_total{tier=%q,kind=%q,reason=%q}", tierLabel(tier), kind, detail)).Inc()
+	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_problems_total{tier=%q,kind=%q,reason=%q}", rankLabel(rank), kind, detail)).Inc()
 }
 
-// answered counts a target's response. The duration first is the time from the request's
-// arrival to the first event, and pause the longest gap between two events.
-func (met *metrics) answered(tier int, outcome yuccagrant.Outcome, first, pause time.Duration) {
-	label := tierLabel(tier)
+// answered counts a target's response. The duration timeToFirst is the time from the request's
+// arrival to the first event.
+func (met *metrics) answered(rank int, outcome yuccagrant.Outcome, timeToFirst, longestGap time.Duration) {
+	label := rankLabel(rank)
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_answers_total{tier=%q,outcome=%q}", label, outcome)).Inc()
 	if outcome != yuccagrant.Served {
 		return
 	}
-	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_first_event_seconds{tier=%q}", label)).Update(first.Seconds())
-	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_pause_seconds{tier=%q}", label)).Update(pause.Seconds())
+	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_first_event_seconds{tier=%q}", label)).Update(timeToFirst.Seconds())
+	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_pause_seconds{tier=%q}", label)).Update(longestGap.Seconds())
 }
 
-// sent counts a request that was sent to a target, and how long it had waited until then.
-func (met *metrics) sent(tier int, withoutLeader bool, waited time.Duration) {
-	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_sends_total{tier=%q,alone=\"%t\"}", tierLabel(tier), withoutLeader)).Inc()
-	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_wait_seconds{tier=%q}", tierLabel(tier))).Update(waited.Seconds())
+// sent counts an attempt that was sent to a target, and records how long ago its request arrived.
+// Attempts that this daemon decided on although another daemon leads the pool count as alone.
+func (met *metrics) sent(rank int, withoutLeader bool, waited time.Duration) {
+	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_sends_total{tier=%q,alone=\"%t\"}", rankLabel(rank), withoutLeader)).Inc()
+	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_wait_seconds{tier=%q}", rankLabel(rank))).Update(waited.Seconds())
 }
 
+// resendDecided counts a decision of the resend budget.
 func (met *metrics) resendDecided(allowed bool) {
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_resends_total{allowed=\"%t\"}", allowed)).Inc()
 }
@@ -68,6 +72,7 @@
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_quota_refusals_total{verdict=%q}", verdict)).Inc()
 }
 
+// unsent counts a message to another daemon that could not be queued.
 func (met *metrics) unsent(kind yuccawire.Kind) {
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_messages_unsent_total{kind=%q}", kind)).Inc()
 }
@@ -81,7 +86,7 @@
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_peers", uint64(len(status.Peers)))
 	vm.WriteGaugeFloat64(w, "yuccacleat_gate_quota_part", status.QuotaShare)
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_open_requests", uint64(max(status.OpenRequests, 0)))
-	vm.WriteGaugeUint64(w, "yuccacleat_gate_held_bytes", uint64(gate.memory.allocated()))
+	vm.WriteGaugeUint64(w, "yuccacleat_gate_held_bytes", uint64(gate.memory.reserved()))
 	vm.WriteGaugeUint64(w, "yuccacleat_gate_ready", boolGauge(status.Ready))
 	vm.WriteGaugeFloat64(w, "yuccacleat_gate_control_lag_seconds", gate.control.Oldest().Seconds())
 	for _, pool := range status.Pools {
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -11,9 +11,9 @@
 	"yuccacleat/io/yuccawire"
 )
 
-// peerTiming sets the timing of heartbeats so that a leader that stopped responding is noticed
-// within a second and a half, and one whose process ended within a third of a second. Until
-// then the other daemons decide without it, with less information.
+// peerTiming sets the timing of heartbeats so that a leader that stops responding is noticed
+// within a second and a half, and a leader whose process ends within a third of a second. Until
+// then the other daemons decide without the leader, with less information.
 func peerTiming() yuccapeer.Timing {
 	timing := yuccapeer.DefaultTiming()
 	timing.HeartbeatEvery = 400 * time.Millisecond
@@ -35,8 +35,8 @@
 	limits.Write = 1100 * time.Millisecond
 	limits.Handshake = time.Second
 	limits.Dial = time.Second
-	// After all daemons were killed they start within some tenths of a second. Until they are
-	// connected, each decides without the others.
+	// If all daemons were killed, they restart within some tenths of a second of one another. Until
+	// they are connected, each decides without the other daemons, so they dial again soon.
 	limits.FirstBackoff = 30 * time.Millisecond
 	limits.LastBackoff = 250 * time.Millisecond
 	limits.Linger = 300 * time.Millisecond
@@ -44,15 +44,15 @@
 	return limits
 }
 
-// dialInterval is the time between two comparisons of the connections that should exist with
-// those that do.
-const dialInterval = 200 * time.Millisecond
+// connCompareInterval is the time between two comparisons of the connections to other daemons that
+// should exist with those that do.
+const connCompareInterval = 200 * time.Millisecond
 
-// faultLogInterval is the shortest time between two log lines on failed connections to one
+// connFailureLogInterval is the shortest time between two log lines on failed connections to one
 // address.
-const faultLogInterval = 5 * time.Second
+const connFailureLogInterval = 5 * time.Second
 
-// peerListings is the message that tells a peer the addresses of daemons.
+// peerListings is the message that sends a peer the addresses of the known daemons.
 type peerListings struct {
 	Listings []yuccapeer.Listing `msgpack:"listings"`
 }
@@ -70,27 +70,30 @@
 	})
 }
 
+// onDown handles the loss of a peer's connection.
 func (gate *Gate) onDown(member yuccapeer.Member) {
 	gate.control.Post(func(now time.Time) {
 		gate.log.stateChange("peer lost", "peer", member.VM, "centre", member.Centre)
 		gate.peers.HandleDisconnect(now, member.Incarnation)
-		delete(gate.platformReport, member.Incarnation)
+		delete(gate.platformReports, member.Incarnation)
 	})
 }
 
+// onFault handles a failed connection to the daemon at the address.
 func (gate *Gate) onFault(address string, err error) {
 	gate.control.Post(func(now time.Time) {
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			gate.connRefusedAt[address] = now
+			gate.peerRefusedAt[address] = now
 		}
-		if now.Sub(gate.faultLoggedAt[address]) >= faultLogInterval {
-			gate.faultLoggedAt[address] = now
+		if now.Sub(gate.connFailureLoggedAt[address]) >= connFailureLogInterval {
+			gate.connFailureLoggedAt[address] = now
 			gate.log.stateChange("connection to peer failed", "address", address, "error", err)
 		}
 	})
 }
 
-// tickPeers checks heartbeats, and whether this process was paused.
+// tickPeers checks heartbeats and whether this process was paused, and dials daemons to which
+// there should be a connection.
 func (gate *Gate) tickPeers(now time.Time) {
 	gate.onChange(now, gate.peers.Tick(now))
 	gate.onChange(now, gate.peers.CheckClocks(now, now.Sub(gate.peersCheckedAt), wallSince(now, gate.peersCheckedAt)))
@@ -99,29 +102,29 @@
 		gate.settled = settled
 		gate.followLeaders(now)
 	}
-	// Which daemons of other data centres to dial changes with time too, not only with the
-	// members.
-	if now.Sub(gate.dialledAt) >= dialInterval {
-		gate.dialledAt = now
+	// The daemons of other data centres to which connections should exist change not only when
+	// daemons join or are removed, but also with time.
+	if now.Sub(gate.connsComparedAt) >= connCompareInterval {
+		gate.connsComparedAt = now
 		gate.hub.Connect(gate.peers.Dial())
 	}
 }
 
-// wallSince returns the time that has passed by the wall clock, which continues while a VM is
-// suspended.
+// wallSince returns the time that has passed by the wall clock. Unlike the monotonic clock, it
+// continues while a VM is suspended.
 func wallSince(now, then time.Time) time.Duration {
 	return now.Round(0).Sub(then.Round(0))
 }
 
-// onChange acts on a change in the view of the other daemons.
+// onChange acts on a change in this daemon's view of its peers.
 func (gate *Gate) onChange(now time.Time, change yuccapeer.Change) {
 	if change.Resumed {
 		gate.log.stateChange("woken from a pause", "pauseMillis", change.PausedFor.Milliseconds())
-		clear(gate.platformReport)
+		clear(gate.platformReports)
 		clear(gate.remoteCentres)
 	}
 	for _, message := range change.Messages {
-		gate.sendBeat(message)
+		gate.sendHeartbeat(message)
 	}
 	for _, peer := range change.RosterRecipients {
 		gate.send(peer, yuccawire.KindRoster, peerListings{Listings: gate.peers.Roster()})
@@ -140,7 +143,8 @@
 	gate.followLeaders(now)
 }
 
-func (gate *Gate) sendBeat(message yuccapeer.Message) {
+// sendHeartbeat sends a peer a full heartbeat, or a pulse if the message holds no heartbeat.
+func (gate *Gate) sendHeartbeat(message yuccapeer.Message) {
 	if message.Heartbeat != nil {
 		gate.send(message.To, yuccawire.KindHeartbeat, *message.Heartbeat)
 		return
@@ -148,8 +152,8 @@
 	gate.send(message.To, yuccawire.KindPulse, message.Pulse)
 }
 
-// send queues a message for a peer. A message that can't be queued is lost, as if its
-// connection had broken; whoever needs a response asks again.
+// send queues a message for a peer. A message that can't be queued is lost, as if its connection
+// had broken. Messages that need a response are sent again when none arrives in time.
 func (gate *Gate) send(to yuccaid.Incarnation, kind yuccawire.Kind, body any) {
 	if err := gate.hub.Send(to, kind, body); err != nil {
 		gate.metrics.unsent(kind)
@@ -165,6 +169,7 @@
 	}
 }
 
+// onRoster adds the addresses of daemons that a peer has sent.
 func (gate *Gate) onRoster(_ time.Time, message peerListings) {
 	gate.peers.AddListings(time.Now(), message.Listings)
 	gate.hub.Connect(gate.peers.Dial())
@@ -174,7 +179,7 @@
 // goroutine, so that messages of one peer keep their order.
 func (gate *Gate) onFrame(from yuccaid.Incarnation, frame yuccawire.Frame) {
 	if frame.Kind == yuccawire.KindTable {
-		if err := decodeThen(frame, gate.readTable); err != nil {
+		if err := decodeThen(frame, gate.onTable); err != nil {
 			gate.log.stateChange("message refused", "peer", from.VM, "kind", frame.Kind, "error", err)
 		}
 		return
@@ -186,6 +191,7 @@
 	})
 }
 
+// handle handles one message on the control goroutine. Messages of unknown kinds are ignored.
 func (gate *Gate) handle(now time.Time, from yuccaid.Incarnation, frame yuccawire.Frame) error {
 	switch frame.Kind {
 	case yuccawire.KindHeartbeat:
@@ -226,11 +232,12 @@
 	return nil
 }
 
-func decodeThen[T any](frame yuccawire.Frame, use func(T)) error {
+// decodeThen decodes a message's body and passes it to the handler.
+func decodeThen[T any](frame yuccawire.Frame, handler func(T)) error {
 	var body T
 	if err := frame.Decode(&body); err != nil {
 		return err
 	}
-	use(body)
+	handler(body)
 	return nil
 }
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -19,6 +19,7 @@
 	}
 }
 
+// requestFromWire returns the request that the owner's message describes.
 func requestFromWire(now time.Time, owner yuccaid.Incarnation, message yuccawire.Ask) yuccagrant.Request {
 	return yuccagrant.Request{
 		ID: yuccagrant.ID{Owner: owner, Number: message.Number}, Class: yuccagrant.Class(message.Class), Tier: message.Tier, Rank: message.Rank, OverQuota: message.Over, Prompt: message.Prompt, Answer: message.Answer,
@@ -37,6 +38,8 @@
 	return message
 }
 
+// wireLoad returns the message form of a target's reported load: its numbers of running and of
+// waiting requests, or nil if it reported none.
 func wireLoad(load yuccagrant.ReportedLoad) []int {
 	if !load.Known {
 		return nil
@@ -65,7 +68,8 @@
 }
 
 // onAsk decides on another daemon's request, and responds if the request has to wait. A daemon
-// that doesn't lead the pool doesn't respond, so that the other one decides by itself.
+// that doesn't lead the pool doesn't respond, and the daemon that owns the request then decides on
+// it itself.
 func (gate *Gate) onAsk(now time.Time, from yuccaid.Incarnation, message yuccawire.Ask) {
 	sched := gate.scheduler(now, message.Pool)
 	if !sched.leads {
@@ -78,42 +82,44 @@
 	}
 }
 
+// onWithdrawn removes another daemon's request from the queue.
 func (gate *Gate) onWithdrawn(now time.Time, from yuccaid.Incarnation, message yuccawire.Withdrawn) {
 	sched := gate.scheduler(now, message.Pool)
 	gate.apply(now, sched, sched.local.Withdraw(now, yuccagrant.ID{Owner: from, Number: message.Number}))
 }
 
-// onPlaced handles the leader's message on one of this daemon's requests. A grant that arrives
-// after the request was decided otherwise is returned.
+// onPlaced handles the leader's message on one of this daemon's requests: a grant, a refusal, or
+// neither if the request has to wait. A grant for a request that no longer waits for the leader's
+// decision is returned.
 func (gate *Gate) onPlaced(now time.Time, from yuccaid.Incarnation, message yuccawire.Placed) {
 	plc := gate.placements[message.Number]
-	waits := plc != nil && !plc.running && !plc.decidedHere
+	awaitsLeader := plc != nil && !plc.running && !plc.decidedLocally
 	if plc != nil {
 		if sched := gate.schedulers[plc.pool]; sched.leader == from {
 			sched.suspectUntil = time.Time{}
 		}
 	}
 	switch {
-	case message.Target != "" && !waits:
+	case message.Target != "" && !awaitsLeader:
 		gate.returnLateGrant(now, from, plc, message)
-	case !waits:
+	case !awaitsLeader:
 	case message.Target != "":
-		gate.grant(now, gate.schedulers[plc.pool], yuccagrant.Grant{
+		gate.acceptGrant(now, gate.schedulers[plc.pool], yuccagrant.Grant{
 			ID: plc.request.ID, Target: message.Target, ExpectedFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
 		})
 	case message.Reason != "":
-		gate.refuse(yuccagrant.Refusal{
+		gate.deliverRefusal(yuccagrant.Refusal{
 			ID: plc.request.ID, Reason: yuccagrant.Reason(message.Reason), RetryAfter: time.Duration(message.BackMillis) * time.Millisecond,
 			QueueLength: message.Waiting, FreeSlots: message.Free, EstimatedWait: time.Duration(message.WaitMillis) * time.Millisecond,
 		})
 	default:
-		plc.waitingAt = now
+		plc.waitConfirmedAt = now
 	}
 }
 
-// returnLateGrant returns a slot that no request waits for any more. The leader then counts no
-// run for the request, so if the request runs on another target the leader is told of that run
-// again.
+// returnLateGrant returns the slot of a grant that arrived too late to the leader. The leader then
+// counts no run for the request. If the request runs on another target by now, that run is
+// reported to the leader again.
 func (gate *Gate) returnLateGrant(now time.Time, from yuccaid.Incarnation, plc *placement, message yuccawire.Placed) {
 	gate.send(from, yuccawire.KindEnded, yuccawire.Ended{Pool: message.Pool, Number: message.Number, Outcome: uint8(yuccagrant.Dropped)})
 	if plc != nil && plc.running {
@@ -124,29 +130,33 @@
 // withdraw removes a waiting request from this daemon's scheduler and from the leader's queue.
 func (gate *Gate) withdraw(now time.Time, sched *scheduler, plc *placement) {
 	gate.apply(now, sched, sched.local.Withdraw(now, plc.request.ID))
-	if !plc.decidedHere && !sched.leader.IsZero() {
+	if !plc.decidedLocally && !sched.leader.IsZero() {
 		gate.send(sched.leader, yuccawire.KindWithdrawn, yuccawire.Withdrawn{Pool: sched.pool, Number: plc.request.ID.Number})
 	}
 }
 
-func (gate *Gate) sendStarted(sched *scheduler, plc *placement, took time.Duration, load yuccagrant.ReportedLoad) {
+// sendStarted reports a run's first event, and the time from sending to that event, to the leader.
+func (gate *Gate) sendStarted(sched *scheduler, plc *placement, timeToFirst time.Duration, load yuccagrant.ReportedLoad) {
 	if !sched.leads && !sched.leader.IsZero() {
 		gate.send(sched.leader, yuccawire.KindBegun, yuccawire.Begun{
-			Pool: sched.pool, Number: plc.request.ID.Number, TookMicro: took.Microseconds(), Load: wireLoad(load),
+			Pool: sched.pool, Number: plc.request.ID.Number, TookMicro: timeToFirst.Microseconds(), Load: wireLoad(load),
 		})
 	}
 }
 
+// onBegun handles another daemon's report of a run's first event.
 func (gate *Gate) onBegun(now time.Time, from yuccaid.Incarnation, message yuccawire.Begun) {
 	sched := gate.scheduler(now, message.Pool)
 	gate.apply(now, sched, sched.local.RunStarted(now, yuccagrant.ID{Owner: from, Number: message.Number}, micros(message.TookMicro), loadFromWire(message.Load)))
 }
 
+// onEnded handles another daemon's report that a run finished or a grant isn't used.
 func (gate *Gate) onEnded(now time.Time, from yuccaid.Incarnation, message yuccawire.Ended) {
 	sched := gate.scheduler(now, message.Pool)
 	gate.apply(now, sched, sched.local.RunFinished(now, finishedFromWire(from, message)))
 }
 
+// onHolding handles another daemon's report of a run that the leader may not know.
 func (gate *Gate) onHolding(now time.Time, from yuccaid.Incarnation, message yuccawire.Holding) {
 	sched := gate.scheduler(now, message.Ask.Pool)
 	if !sched.leads {
--- a/io/yuccagate/problem.go
+++ b/io/yuccagate/problem.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind is the reason why the gateway itself responds to a request.
+// Kind is the reason why the gateway itself responds to a request instead of a target.
 type Kind string
 
 // The kinds of problems. Up to KindLeaving, the request has not run and will not run.
@@ -18,15 +18,24 @@
 	KindTooLarge   Kind = "tooLarge"
 	KindLargeHead  Kind = "largeHead"
 	KindSlowBody   Kind = "slowBody"
-	KindQuota      Kind = "quota"
-	KindNotReady   Kind = "notReady"
-	KindBusy       Kind = "busy"
-	KindLate       Kind = "late"
-	KindNoTarget   Kind = "noTarget"
-	KindRejected   Kind = "rejected"
-	KindLeaving    Kind = "leaving"
-	KindLost       Kind = "lost"
-	KindTimeout    Kind = "timeout"
+	// KindQuota: the account's quota is used up.
+	KindQuota Kind = "quota"
+	// KindNotReady: the daemon has no configuration yet.
+	KindNotReady Kind = "notReady"
+	// KindBusy: the daemon's memory or the pool's queue is full.
+	KindBusy Kind = "busy"
+	// KindLate: the request could not be sent to a target in time, or its caller left first.
+	KindLate Kind = "late"
+	// KindNoTarget: the pool has no target.
+	KindNoTarget Kind = "noTarget"
+	// KindRejected: the request was sent to targets, and none of them ran it.
+	KindRejected Kind = "rejected"
+	// KindLeaving: the daemon is draining.
+	KindLeaving Kind = "leaving"
+	// KindLost: a target may have run the request, but there is no response to pass on.
+	KindLost Kind = "lost"
+	// KindTimeout: the deadline passed after a target may have run the request.
+	KindTimeout Kind = "timeout"
 )
 
 // kindInfo is the HTTP status of a kind and the remedy that its response text names.
@@ -59,8 +68,8 @@
 	Detail string
 	// RetryAfter is the time after which a retry may succeed, zero if unknown.
 	RetryAfter time.Duration
-	// decisionInputs are further log fields that state what the decision was made from.
-	decisionInputs []any
+	// logFields are further log fields that state what the decision was made from.
+	logFields []any
 }
 
 // Error returns the kind, the detail and the remedy.
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -16,7 +16,7 @@
 // copyBufferBytes is the size of the buffer through which a response is copied.
 const copyBufferBytes = 16 << 10
 
-// callerError reports that writing a response to its caller failed.
+// callerError is the error of a failed write of a response to its caller.
 type callerError struct {
 	cause error
 }
@@ -29,7 +29,8 @@
 
 // relay copies a target's response to the caller, byte for byte. Once the head has been sent,
 // no other response can replace it. If the response breaks off and can't be resumed, the
-// caller's connection is closed, so that the caller doesn't take a part for the whole.
+// caller's connection is closed, so that the caller doesn't take a truncated response for a
+// complete one.
 func (req *callerRequest) relay(ctx context.Context, att *attempt) *Problem {
 	if !req.isStream(att) {
 		if err := req.relayBody(ctx, att); err != nil {
@@ -37,18 +38,18 @@
 		}
 		return nil
 	}
-	stream := &stream{req: req, lastEventID: req.info.LastEventID}
-	err := stream.relay(ctx, att)
+	st := &stream{req: req, lastEventID: req.info.LastEventID}
+	err := st.relay(ctx, att)
 	switch {
 	case err == nil:
 		return nil
-	case stream.headSent:
+	case st.headSent:
 		panic(http.ErrAbortHandler)
 	case errors.Is(context.Cause(ctx), errTimeout):
 		return &Problem{Kind: KindTimeout}
 	}
-	// Nothing has been sent to the caller yet, and a response tells it more than a closed
-	// connection.
+	// Nothing has been sent to the caller yet, so the gateway can still respond itself. That tells
+	// the caller more than a closed connection.
 	return &Problem{Kind: KindLost, Detail: "the stream broke off before its first event"}
 }
 
@@ -64,22 +65,25 @@
 	req.w.WriteHeader(att.answer.Status)
 }
 
+// isStream reports whether the target's response is a stream of events that the route forwards as
+// such.
 func (req *callerRequest) isStream(att *attempt) bool {
-	kind := att.answer.Header.Get("Content-Type")
-	return req.route.Kind == yuccaroute.Stream && strings.HasPrefix(kind, "text/event-stream")
+	contentType := att.answer.Header.Get("Content-Type")
+	return req.route.Kind == yuccaroute.Stream && strings.HasPrefix(contentType, "text/event-stream")
 }
 
-// finish frees the target's slot, and reports and logs how the response ended.
-func (req *callerRequest) finish(ctx context.Context, att *attempt, result yuccagrant.Finished, err error) {
+// finishAttempt frees the target's slot, and reports and logs how the response ended.
+func (req *callerRequest) finishAttempt(ctx context.Context, att *attempt, result yuccagrant.Finished, err error) {
 	result.Load = att.report.Load
 	result.Outcome = outcomeOf(ctx, att, err)
 	att.close()
-	req.gate.finished(att.plc, result)
+	req.gate.postFinished(att.plc, result)
 	req.logAnswered(att, result, err)
 }
 
+// logAnswered logs and counts how a target's response ended.
 func (req *callerRequest) logAnswered(att *attempt, result yuccagrant.Finished, err error) {
-	req.gate.metrics.answered(req.metricRank(), result.Outcome, att.sent.Add(result.TimeToFirst).Sub(req.arrivedAt), result.LongestGap)
+	req.gate.metrics.answered(req.metricRank(), result.Outcome, att.sentAt.Add(result.TimeToFirst).Sub(req.arrivedAt), result.LongestGap)
 	fields := []any{
 		"target", att.plc.target, "status", att.answer.Status, "outcome", result.Outcome.String(), "firstMillis", result.TimeToFirst.Milliseconds(),
 		"events", result.Events, "pauseMillis", result.LongestGap.Milliseconds(), "sends", req.sends, "runs", req.runs,
@@ -91,10 +95,12 @@
 	req.logStep("answered", append(fields, "afterMillis", time.Since(req.arrivedAt).Milliseconds())...)
 }
 
+// outcomeOf returns the outcome of a response that ended with the error, which is nil if it is
+// complete.
 func outcomeOf(ctx context.Context, att *attempt, err error) yuccagrant.Outcome {
-	var caller *callerError
+	var writeFailed *callerError
 	switch {
-	case ctx.Err() != nil || errors.As(err, &caller):
+	case ctx.Err() != nil || errors.As(err, &writeFailed):
 		return yuccagrant.Dropped
 	case err != nil:
 		return yuccagrant.Broken
@@ -104,11 +110,12 @@
 	return yuccagrant.Served
 }
 
+// relayBody relays a response that is not a stream of events.
 func (req *callerRequest) relayBody(ctx context.Context, att *attempt) error {
-	att.watch.disarm()
-	result := yuccagrant.Finished{TimeToFirst: time.Since(att.sent)}
+	att.watchdog.disarm()
+	result := yuccagrant.Finished{TimeToFirst: time.Since(att.sentAt)}
 	err := req.copyBody(att)
-	req.finish(ctx, att, result, err)
+	req.finishAttempt(ctx, att, result, err)
 	return err
 }
 
@@ -131,29 +138,31 @@
 	}
 }
 
-// resume sends the request to another target, which continues after the last event that the
-// caller has received. It returns nil if that isn't possible.
+// resume sends the request of a stream that broke off to another target, which continues after the
+// last event that the caller has received. It returns the new attempt, or nil if the stream can't
+// be resumed.
 //
-// Without it, the caller of a long response whose target crashes would lose the whole response,
-// or retry and have it generated again. Another target only has to read the prompt again.
-func (req *callerRequest) resume(ctx context.Context, stream *stream, att *attempt) *attempt {
-	req.brokeAt = time.Now()
+// If streams weren't resumed, the caller of a long response whose target crashes would lose the
+// whole response, or retry and have it generated again. A target that resumes it only has to read
+// the prompt again.
+func (req *callerRequest) resume(ctx context.Context, st *stream, att *attempt) *attempt {
+	req.streamBrokeAt = time.Now()
 	for req.shouldResend(yuccagrant.Broken, att) {
 		plc, dec, err := req.gate.acquire(ctx, req)
 		if err != nil || dec.refusal != nil || dec.problem != nil {
 			return nil
 		}
-		next, outcome := req.send(ctx, plc, dec, stream.lastEventID)
+		next, outcome := req.send(ctx, plc, dec, st.lastEventID)
 		att = next
 		if outcome == yuccagrant.Served && att.answer.Status == http.StatusOK && req.isStream(att) {
-			req.logDecision("resumed", "target", dec.target, "position", stream.lastEventID)
+			req.logDecision("resumed", "target", dec.target, "position", st.lastEventID)
 			return att
 		}
 		att.close()
 		if outcome == yuccagrant.Served {
 			outcome = yuccagrant.Failed
 		}
-		req.gate.finished(plc, yuccagrant.Finished{Outcome: outcome, Load: att.report.Load})
+		req.gate.postFinished(plc, yuccagrant.Finished{Outcome: outcome, Load: att.report.Load})
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -161,29 +170,30 @@
 	return nil
 }
 
-// stream copies a stream to its caller, from one target after another.
+// stream is a stream that is copied to its caller, from one target after another if it is resumed.
 type stream struct {
 	req *callerRequest
 	// lastEventID is the id of the last event that the caller has received.
 	lastEventID string
-	headSent    bool
+	// headSent reports whether the response's head has been sent to the caller.
+	headSent bool
 	// lastEventAt is when the last event was received from a target.
 	lastEventAt time.Time
-	// result is how the run on the present target has gone so far.
+	// result describes the run on the present target as far as it has got.
 	result yuccagrant.Finished
 }
 
-// relay copies the stream, and continues it from another target if the first one breaks off and
+// relay copies the stream, and resumes it from another target if the present one breaks off and
 // the route allows it.
 func (st *stream) relay(ctx context.Context, att *attempt) error {
 	for {
 		err := st.forwardEvents(att)
-		st.req.finish(ctx, att, st.result, err)
+		st.req.finishAttempt(ctx, att, st.result, err)
 		if err == nil {
 			return nil
 		}
-		var caller *callerError
-		if ctx.Err() != nil || errors.As(err, &caller) {
+		var writeFailed *callerError
+		if ctx.Err() != nil || errors.As(err, &writeFailed) {
 			return err
 		}
 		next := st.req.resume(ctx, st, att)
@@ -201,20 +211,20 @@
 	control := http.NewResponseController(req.w)
 	reader := newEventReader(att.answer)
 	st.result = yuccagrant.Finished{}
-	var first time.Time
+	var firstEventAt time.Time
 	for {
-		list, err := reader.next()
+		events, err := reader.next()
 		now := time.Now()
-		if first.IsZero() && len(list) > 0 {
-			first = now
-			st.result.TimeToFirst = now.Sub(att.sent)
-			req.gate.started(att.plc, st.result.TimeToFirst, att.report.Load)
+		if firstEventAt.IsZero() && len(events) > 0 {
+			firstEventAt = now
+			st.result.TimeToFirst = now.Sub(att.sentAt)
+			req.gate.postStarted(att.plc, st.result.TimeToFirst, att.report.Load)
 		}
-		if len(list) > 0 || err == io.EOF {
+		if len(events) > 0 || err == io.EOF {
 			st.sendHead(att)
 		}
-		for _, ev := range list {
-			if st.received(ev.id) {
+		for _, ev := range events {
+			if st.delivered(ev.id) {
 				continue
 			}
 			if _, writeErr := req.w.Write(ev.raw); writeErr != nil {
@@ -224,12 +234,12 @@
 				st.lastEventID = ev.id
 			}
 		}
-		if len(list) > 0 {
-			att.watch.onEvent()
+		if len(events) > 0 {
+			att.watchdog.onEvent()
 			if writeErr := control.Flush(); writeErr != nil {
 				return &callerError{cause: writeErr}
 			}
-			st.recordEvents(now, first, len(list))
+			st.recordEvents(now, firstEventAt, len(events))
 		}
 		if err == io.EOF {
 			if _, writeErr := req.w.Write(reader.remainder()); writeErr != nil {
@@ -243,19 +253,20 @@
 	}
 }
 
-// received reports whether the caller already has an event. A target that resumes a stream
-// should start after the event whose id it was given; if it starts earlier, no event is sent
-// twice.
-func (st *stream) received(id string) bool {
+// delivered reports whether the event with the id has already been sent to the caller. A target
+// that resumes a stream should start after the event whose id it was given. If it starts earlier,
+// this check keeps events from being sent twice. Ids that are no numbers can't be compared, so
+// their events are always sent.
+func (st *stream) delivered(id string) bool {
 	if id == "" || st.lastEventID == "" {
 		return false
 	}
-	current, err := strconv.ParseInt(id, 10, 64)
+	eventNumber, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return false
 	}
-	received, err := strconv.ParseInt(st.lastEventID, 10, 64)
-	return err == nil && current <= received
+	lastNumber, err := strconv.ParseInt(st.lastEventID, 10, 64)
+	return err == nil && eventNumber <= lastNumber
 }
 
 // sendHead sends the head of the first target's response, which stays in effect when the stream
@@ -267,11 +278,13 @@
 	}
 }
 
-func (st *stream) recordEvents(now, first time.Time, events int) {
+// recordEvents updates the result after events have arrived; the first one arrived at
+// firstEventAt.
+func (st *stream) recordEvents(now, firstEventAt time.Time, events int) {
 	if st.result.Events > 0 {
 		st.result.LongestGap = max(st.result.LongestGap, now.Sub(st.lastEventAt))
 	}
 	st.result.Events += events
-	st.result.Span = now.Sub(first)
+	st.result.Span = now.Sub(firstEventAt)
 	st.lastEventAt = now
 }
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	// defaultTimeout bounds a request if neither its caller nor its route sets a time.
+	// defaultTimeout bounds the time of a request whose caller states none.
 	defaultTimeout = time.Minute
 	// notReadyRetryAfter is the retry-after of a daemon that has no configuration yet.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// leavingRetryAfter is the retry-after of a draining daemon; another daemon serves the
-	// retry.
+	// leavingRetryAfter is the retry-after of a draining daemon. It is short because another
+	// daemon serves the retry.
 	leavingRetryAfter = 300 * time.Millisecond
 	// refusalWriteTimeout bounds the writing of a response while the request's deadline isn't
 	// known yet. writeGrace is how long after the deadline a response may still be written.
@@ -37,32 +37,36 @@
 
 // callerRequest is one request of a caller, from its arrival to the end of its response.
 type callerRequest struct {
-	gate          *Gate
-	w             http.ResponseWriter
-	info          RequestInfo
-	table         *yuccaroute.Table
-	route         *yuccaroute.Route
-	account       *yuccaroute.Account
-	pool          yuccaid.Pool
-	arrivedAt     time.Time
-	deadline      time.Time
+	gate *Gate
+	w    http.ResponseWriter
+	info RequestInfo
+	// table is the configuration that applies to the request, even if it changes meanwhile.
+	table     *yuccaroute.Table
+	route     *yuccaroute.Route
+	account   *yuccaroute.Account
+	pool      yuccaid.Pool
+	arrivedAt time.Time
+	deadline  time.Time
+	// outgoing is the request as it is sent to targets. Its header is derived from forwardHeader,
+	// the caller's header without fields that concern only one connection.
 	outgoing      yuccahop.Outgoing
 	forwardHeader http.Header
 	// reserved is the memory that is reserved for the request.
 	reserved yuccaid.Bytes
 
+	// sends is the number of attempts, and tried the targets that they were sent to.
 	sends int
 	tried []yuccaid.Target
-	// brokeAt is when the stream to the caller broke off, zero if it didn't.
-	brokeAt time.Time
-	// arrivals counts the attempts that reached a target or may have, and runs those that were
-	// run or may have been.
+	// streamBrokeAt is when the stream to the caller broke off, zero if it didn't.
+	streamBrokeAt time.Time
+	// arrivals counts the attempts that reached or may have reached a target, and runs the
+	// attempts that a target ran or may have run.
 	arrivals int
 	runs     int
-	// quotaChecked reports whether the quota has been checked, charged whether the request was
-	// admitted and counted against it, and overQuota whether it was admitted although its
-	// account has exceeded its quota, because a tolerance allows that. All three belong to the
-	// control goroutine until the first decision on the request.
+	// quotaChecked reports whether the quota has been checked. charged reports whether the
+	// request was admitted and counted against it, and overQuota whether it was admitted beyond
+	// the account's quota, within the tolerance. All three belong to the control goroutine until
+	// the first decision on the request.
 	quotaChecked bool
 	charged      bool
 	overQuota    bool
@@ -83,7 +87,7 @@
 	gate.openRequests.Add(1)
 	defer gate.openRequests.Add(-1)
 	defer req.release()
-	if prob := req.admit(r); prob != nil {
+	if prob := req.prepare(r); prob != nil {
 		req.refuse(prob)
 		return
 	}
@@ -100,18 +104,20 @@
 // setWriteDeadline bounds the time in which the caller may read its response.
 //
 // When a caller stops reading, its connection's buffers fill up and writing blocks. Neither the
-// request's deadline nor the loss of the target unblocks the writer, so the target's slot and
-// the request's memory would be held for as long as the caller likes.
+// request's deadline nor the loss of the target unblocks the writer. Without a write deadline the
+// target's slot and the request's memory would be occupied until the caller closes the
+// connection.
 func (req *callerRequest) setWriteDeadline(deadline time.Time) {
 	_ = http.NewResponseController(req.w).SetWriteDeadline(deadline)
 }
 
+// refuse responds with the problem, and logs and counts it.
 func (req *callerRequest) refuse(prob *Problem) {
 	req.gate.metrics.problem(req.metricRank(), prob.Kind, prob.Detail)
 	fields := append([]any{
 		"kind", prob.Kind, "status", prob.Status(), "detail", prob.Detail, "backMillis", prob.RetryAfter.Milliseconds(),
 		"sends", req.sends, "runs", req.runs, "number", req.configurationNumber(),
-	}, prob.decisionInputs...)
+	}, prob.logFields...)
 	if prob.Kind == KindUnknownKey || prob.Kind == KindNoRoute {
 		// Anybody may send any number of such requests, so they are logged at debug level.
 		req.logStep("refused", fields...)
@@ -121,9 +127,9 @@
 	prob.write(req.w)
 }
 
-// admit checks the request against the configuration, finds its route and account, and reads
+// prepare checks the request against the configuration, finds its route and account, and reads
 // its body.
-func (req *callerRequest) admit(r *http.Request) *Problem {
+func (req *callerRequest) prepare(r *http.Request) *Problem {
 	req.table = req.gate.awaitTable(r.Context(), req.arrivedAt)
 	if req.table == nil {
 		return &Problem{Kind: KindNotReady, RetryAfter: notReadyRetryAfter}
@@ -177,22 +183,22 @@
 	return nil
 }
 
-// timeout returns how long the request may take: the shorter of the caller's time and the
-// route's, or the route's and defaultTimeout if the caller states none.
+// timeout returns how long the request may take: the time that its caller states, or
+// defaultTimeout if it states none, but no longer than the route's timeout.
 func (req *callerRequest) timeout() time.Duration {
-	wait := defaultTimeout
+	limit := defaultTimeout
 	if req.info.Remaining > 0 {
-		wait = req.info.Remaining
+		limit = req.info.Remaining
 	}
 	if req.route.Timeout > 0 {
-		wait = min(wait, req.route.Timeout)
+		limit = min(limit, req.route.Timeout)
 	}
-	return wait
+	return limit
 }
 
-// readBody reads the whole body before a target is requested, because a caller that sends
-// slowly must not occupy a target's slot, and a target that rejects the request must not cost
-// the caller a second upload.
+// readBody reads the whole body before the request waits for a target, because a caller that sends
+// slowly must not occupy a target's slot, and the caller must not have to upload the body again if
+// a target rejects the request.
 func (req *callerRequest) readBody(r *http.Request) *Problem {
 	limit := req.table.Config().Limits.Body
 	if limit > 0 && r.ContentLength > int64(limit) {
@@ -251,8 +257,8 @@
 	return header
 }
 
-// request returns the description of the request that schedulers decide on.
-func (req *callerRequest) request() yuccagrant.Request {
+// schedulerRequest returns the description of the request that schedulers decide on.
+func (req *callerRequest) schedulerRequest() yuccagrant.Request {
 	request := yuccagrant.Request{
 		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, OverQuota: req.overQuota, Prompt: req.info.Prompt, Answer: req.info.Answer,
 		SoftDeadline: req.arrivedAt.Add(req.route.LatencyTarget), Deadline: req.deadline, FailedTargets: req.tried,
@@ -264,11 +270,11 @@
 		request.MaxGap = req.route.MaxGap
 	}
 	lastEvent := req.arrivedAt
-	if !req.brokeAt.IsZero() {
-		// When a stream is resumed, the caller notices the gap since the last event, not the
-		// time since the request's arrival.
-		lastEvent = req.brokeAt
-		request.SoftDeadline = req.brokeAt.Add(req.route.MaxGap)
+	if !req.streamBrokeAt.IsZero() {
+		// When a stream is resumed, what counts for the caller is the gap since the last event,
+		// not the time since the request's arrival.
+		lastEvent = req.streamBrokeAt
+		request.SoftDeadline = req.streamBrokeAt.Add(req.route.MaxGap)
 	}
 	if req.info.EventTimeout > 0 && lastEvent.Add(req.info.EventTimeout).Before(request.Deadline) {
 		request.Deadline = lastEvent.Add(req.info.EventTimeout)
@@ -293,10 +299,11 @@
 	return req.table.Number()
 }
 
-// maxMetricRank bounds the ranks that metrics distinguish; larger ones count as this one.
+// maxMetricRank is the largest rank that metrics distinguish; larger ranks are counted under it.
 const maxMetricRank = 9
 
-// tier returns the account's rank, which takes precedence over the route's.
+// tier returns the account's rank, which takes precedence over the route's, or zero if the account
+// has none.
 func (req *callerRequest) tier() int {
 	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
@@ -304,18 +311,19 @@
 	return 0
 }
 
-// class returns a hash of the request's account and route.
+// class returns a hash of the request's account and route, by which schedulers tell them apart.
 func (req *callerRequest) class() yuccagrant.Class {
 	return yuccagrant.Class(xxhash.Sum64String(string(req.accountName()) + "\x00" + req.route.Name))
 }
 
-// forwarded returns the header of the forwarded request.
-func (req *callerRequest) forwarded(now time.Time, target yuccaid.Target, lastEventID string) http.Header {
-	forwardHeader := req.forwardHeader.Clone()
-	forwarded := ForwardInfo{Target: target, Remaining: req.deadline.Sub(now), LastEventID: lastEventID}
+// targetHeader returns the header of the request as it is sent to a target, which continues a
+// stream after the event lastEventID if that is set.
+func (req *callerRequest) targetHeader(now time.Time, target yuccaid.Target, lastEventID string) http.Header {
+	header := req.forwardHeader.Clone()
+	info := ForwardInfo{Target: target, Remaining: req.deadline.Sub(now), LastEventID: lastEventID}
 	if req.account != nil {
-		forwarded.Account = req.account.Name
+		info.Account = req.account.Name
 	}
-	req.gate.dialect.RewriteHeader(forwardHeader, forwarded)
-	return forwardHeader
+	req.gate.dialect.RewriteHeader(header, info)
+	return header
 }
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -12,67 +12,71 @@
 
 const (
 	// firstReadBytes is the memory reserved for a body before any of it has arrived, because a
-	// caller may announce megabytes and send nothing.
+	// caller may announce megabytes and send nothing. The buffer then grows with what arrives.
 	firstReadBytes = 8 << 10
 	// memoryRetryAfter is the retry-after of requests that are refused because the daemon's
 	// memory for requests is used up.
 	memoryRetryAfter = 500 * time.Millisecond
-	// rejectedNotReadyFor is how long a daemon isn't ready after it rejected a caller's
-	// connection: the balancer checks once a second and takes a daemon out after two failed
-	// checks.
+	// rejectedNotReadyFor is how long after it rejected a caller's connection a daemon reports
+	// that it isn't ready. The balancer checks once a second whether a daemon is ready and takes
+	// it out after two failed checks.
 	rejectedNotReadyFor = 3 * time.Second
-	// detailMemory distinguishes a refusal for lack of memory from one for a full queue.
+	// detailMemory is the detail of a KindBusy problem for lack of memory. It distinguishes it
+	// from one for a full queue.
 	detailMemory = "memory"
 )
 
 var errNoMemory = errors.New("the daemon's memory for requests is used up")
 
-// memory reserves this daemon's memory for requests; many goroutines use it at once.
+// memory accounts for this daemon's memory for requests. It is safe for concurrent use.
 type memory struct {
-	mu    sync.Mutex
-	space *yuccaspace.MemoryLimiter
+	mu      sync.Mutex
+	limiter *yuccaspace.MemoryLimiter
 }
 
 func newMemory(limit yuccaid.Bytes) *memory {
-	return &memory{space: yuccaspace.New(limit)}
+	return &memory{limiter: yuccaspace.New(limit)}
 }
 
-func (mem *memory) allocate(rank int, size yuccaid.Bytes) bool {
+// reserve reserves memory for a request of the given rank, and reports whether there was enough.
+func (mem *memory) reserve(rank int, size yuccaid.Bytes) bool {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
-	return mem.space.Reserve(rank, size)
+	return mem.limiter.Reserve(rank, size)
 }
 
-func (mem *memory) free(size yuccaid.Bytes) {
+func (mem *memory) release(size yuccaid.Bytes) {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
-	mem.space.Release(size)
+	mem.limiter.Release(size)
 }
 
-func (mem *memory) allocated() yuccaid.Bytes {
+func (mem *memory) reserved() yuccaid.Bytes {
 	mem.mu.Lock()
 	defer mem.mu.Unlock()
-	return mem.space.Reserved()
+	return mem.limiter.Reserved()
 }
 
-// connRejected records that a caller's connection was rejected because the bound was reached.
+// connRejected records that a caller's connection was rejected because the bound on connections
+// was reached. A rejection is logged only if there was none within rejectedNotReadyFor before.
 func (gate *Gate) connRejected(now time.Time) {
 	gate.metrics.connRejected()
-	if previous := gate.connRejectedAt.Swap(now.UnixNano()); now.Sub(time.Unix(0, previous)) > rejectedNotReadyFor {
-		gate.log.stateChange("callers turned away", "connections", gate.bounds.CallerConnections)
+	if previous := gate.callerRejectedAt.Swap(now.UnixNano()); now.Sub(time.Unix(0, previous)) > rejectedNotReadyFor {
+		gate.log.stateChange("callers turned away", "connections", gate.processBounds.CallerConnections)
 	}
 }
 
-// rejectedRecently reports whether this daemon rejected a caller's connection within
+// rejectedCallerRecently reports whether this daemon rejected a caller's connection within
 // rejectedNotReadyFor.
-func (gate *Gate) rejectedRecently(now time.Time) bool {
-	at := gate.connRejectedAt.Load()
+func (gate *Gate) rejectedCallerRecently(now time.Time) bool {
+	at := gate.callerRejectedAt.Load()
 	return at != 0 && now.Sub(time.Unix(0, at)) < rejectedNotReadyFor
 }
 
-// reserve reserves memory for the request until release, and reports whether there was enough.
+// reserve reserves memory for the request until release is called, and reports whether there was
+// enough.
 func (req *callerRequest) reserve(size yuccaid.Bytes) bool {
-	if !req.gate.memory.allocate(req.memoryRank(), size) {
+	if !req.gate.memory.reserve(req.memoryRank(), size) {
 		return false
 	}
 	req.reserved += size
@@ -81,7 +85,7 @@
 
 // release frees all memory reserved for the request.
 func (req *callerRequest) release() {
-	req.gate.memory.free(req.reserved)
+	req.gate.memory.release(req.reserved)
 	req.reserved = 0
 }
 
@@ -94,8 +98,8 @@
 	return req.route.Rank
 }
 
-// readAll reads a body of the given length, or to its end if the length is negative. It
-// reserves memory as the bytes arrive, doubling the buffer each time.
+// readAll reads a body of the given length, or of unknown length if that is negative. It reserves
+// memory as the bytes arrive, doubling the buffer each time it is full.
 func readAll(body io.Reader, length int64, reserve func(yuccaid.Bytes) bool) ([]byte, error) {
 	var buf []byte
 	for {
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -12,42 +12,42 @@
 )
 
 const (
-	// maxSends bounds how often a request is sent to targets that certainly didn't run it: a
-	// second target is likely to accept it, and a fleet that rejects everything should not be
-	// asked again and again.
-	maxSends = 3
+	// maxUnrunSends bounds how often a request is sent in all if the last target certainly didn't
+	// run it. A second target is likely to accept it, and if all targets reject everything,
+	// further attempts would only add load.
+	maxUnrunSends = 3
 	// unservedRetryAfter is the retry-after of requests that no target has run.
 	unservedRetryAfter = 500 * time.Millisecond
 )
 
 // attempt is one attempt to have a request served by one target.
 type attempt struct {
-	plc    *placement
-	sent   time.Time
-	answer *yuccahop.Answer
-	report TargetReport
-	watch  *watchdog
+	plc      *placement
+	sentAt   time.Time
+	answer   *yuccahop.Answer
+	report   TargetReport
+	watchdog *watchdog
 }
 
-// close ends the exchange with the target.
+// close ends the exchange with the target and cancels the attempt's context.
 func (att *attempt) close() {
 	if att.answer != nil {
 		att.answer.Close()
 	}
-	att.watch.stop()
+	att.watchdog.stop()
 }
 
 // run sends the request to a target and relays the response. If the first target certainly
 // didn't run the request, or the request may be repeated, run tries another target.
 func (req *callerRequest) run(ctx context.Context) *Problem {
-	// failure is an attempt that ended in an error response of a target, kept while another
-	// target is tried.
+	// failure is the last attempt if a target responded to it with an error. It is kept while
+	// another target is tried, in case none can be.
 	var failure *attempt
 	for {
-		plc, grant, prob := req.grant(ctx)
+		plc, dec, prob := req.awaitTarget(ctx)
 		if prob != nil && failure != nil && ctx.Err() == nil {
 			// The request ran, so responding that it didn't would be wrong. The target's own
-			// error response says more than one of the gateway's would.
+			// error response tells the caller more than one of the gateway's would.
 			req.logDecision("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.plc.target)
 			return req.relay(ctx, failure)
 		}
@@ -55,21 +55,21 @@
 			return prob
 		}
 		failure.drop()
-		att, outcome := req.send(ctx, plc, grant, req.info.LastEventID)
+		att, outcome := req.send(ctx, plc, dec, req.info.LastEventID)
 		failure = nil
 		switch {
 		case outcome == yuccagrant.Served && att.answer.Status < http.StatusInternalServerError:
 			return req.relay(ctx, att)
 		case outcome == yuccagrant.Served:
-			att.watch.disarm()
+			att.watchdog.disarm()
 			if !req.shouldResend(yuccagrant.Failed, att) {
 				return req.relay(ctx, att)
 			}
-			req.gate.finished(plc, yuccagrant.Finished{Outcome: yuccagrant.Failed, Load: att.report.Load})
+			req.gate.postFinished(plc, yuccagrant.Finished{Outcome: yuccagrant.Failed, Load: att.report.Load})
 			failure = att
 		default:
 			att.close()
-			req.gate.finished(plc, yuccagrant.Finished{Outcome: outcome, Load: att.report.Load})
+			req.gate.postFinished(plc, yuccagrant.Finished{Outcome: outcome, Load: att.report.Load})
 			if ctx.Err() != nil || !req.shouldResend(outcome, att) {
 				return req.problemAfterFailure(ctx, outcome)
 			}
@@ -77,48 +77,49 @@
 	}
 }
 
-// drop closes an attempt that another one replaces.
+// drop closes an attempt that another one replaces, if there is one.
 func (att *attempt) drop() {
 	if att != nil {
 		att.close()
 	}
 }
 
-// grant waits for a target. If the request has run before, the returned problem never
+// awaitTarget waits for a target. If the request has run before, the returned problem never
 // states that it hasn't.
-func (req *callerRequest) grant(ctx context.Context) (*placement, decision, *Problem) {
-	plc, grant, err := req.gate.acquire(ctx, req)
+func (req *callerRequest) awaitTarget(ctx context.Context) (*placement, decision, *Problem) {
+	plc, dec, err := req.gate.acquire(ctx, req)
 	var prob *Problem
 	switch {
 	case err != nil:
 		prob = req.problemUnsent(err)
-	case grant.problem != nil:
-		prob = grant.problem
-	case grant.refusal != nil:
-		prob = refusalProblem(grant)
+	case dec.problem != nil:
+		prob = dec.problem
+	case dec.refusal != nil:
+		prob = refusalProblem(dec)
 	}
 	if prob != nil && req.runs > 0 && prob.promisesNotRun() {
-		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), decisionInputs: prob.decisionInputs}
+		prob = &Problem{Kind: KindLost, Detail: "it ran before: " + string(prob.Kind), logFields: prob.logFields}
 	}
-	return plc, grant, prob
+	return plc, dec, prob
 }
 
 // shouldResend reports whether the request may be sent to another target after an outcome, and
 // counts the resend against the budget.
 func (req *callerRequest) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
-	may, why := req.mayRepeat(outcome)
-	if may && !att.watch.charged.Load() && !req.gate.allowResend(req) {
-		may, why = false, "budget of resends"
+	allowed, reason := req.mayRepeat(outcome)
+	if allowed && !att.watchdog.resendCharged.Load() && !req.gate.allowResend(req) {
+		allowed, reason = false, "budget of resends"
 	}
-	req.logDecision("again", "outcome", outcome.String(), "may", may, "why", why, "sends", req.sends, "runs", req.runs)
-	return may
+	req.logDecision("again", "outcome", outcome.String(), "may", allowed, "why", reason, "sends", req.sends, "runs", req.runs)
+	return allowed
 }
 
-// mayRepeat reports whether the outcome and the route allow another attempt, and why.
-func (req *callerRequest) mayRepeat(outcome yuccagrant.Outcome) (may bool, why string) {
+// mayRepeat reports whether the outcome and the route allow another attempt, and the reason for
+// the log.
+func (req *callerRequest) mayRepeat(outcome yuccagrant.Outcome) (allowed bool, reason string) {
 	switch outcome {
 	case yuccagrant.Rejected, yuccagrant.Misdirected, yuccagrant.Unreachable:
-		return req.sends < maxSends, "not run"
+		return req.sends < maxUnrunSends, "not run"
 	}
 	if !req.route.Repeatable() {
 		return false, "may run once"
@@ -152,6 +153,7 @@
 	}
 }
 
+// refusalProblem returns the problem of a request that a scheduler refused.
 func refusalProblem(dec decision) *Problem {
 	refusal := dec.refusal
 	kind := KindLate
@@ -161,23 +163,23 @@
 	case yuccagrant.ReasonQueueFull:
 		kind = KindBusy
 	}
-	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, decisionInputs: []any{
+	return &Problem{Kind: kind, Detail: string(refusal.Reason), RetryAfter: refusal.RetryAfter, logFields: []any{
 		"leader", dec.decisionInputs.leader, "waiting", refusal.QueueLength, "free", refusal.FreeSlots, "waitMillis", refusal.EstimatedWait.Milliseconds(),
-		"revision", dec.decisionInputs.revision, "newsAgeMillis", dec.decisionInputs.age.Milliseconds(),
+		"revision", dec.decisionInputs.platformRevision, "newsAgeMillis", dec.decisionInputs.platformAge.Milliseconds(),
 	}}
 }
 
-// send sends the request to the granted target, which continues after the event lastEventID,
-// and waits for the head of the response.
+// send sends the request to the granted target and waits for the head of the response. If
+// lastEventID is set, the target is told to continue the stream after that event.
 func (req *callerRequest) send(ctx context.Context, plc *placement, dec decision, lastEventID string) (*attempt, yuccagrant.Outcome) {
-	att := &attempt{plc: plc, sent: time.Now()}
+	att := &attempt{plc: plc, sentAt: time.Now()}
 	req.sends++
 	req.tried = append(req.tried, dec.target)
 	outgoing := req.outgoing
-	outgoing.Header = req.forwarded(att.sent, dec.target, lastEventID)
+	outgoing.Header = req.targetHeader(att.sentAt, dec.target, lastEventID)
 	matches := func(header http.Header) bool { return req.gate.dialect.MatchesRequest(header, req.info.ID) }
-	ctx, att.watch = req.startWatchdog(ctx, dec.decisionInputs.expect)
-	req.gate.metrics.sent(req.metricRank(), dec.decidedHere, att.sent.Sub(req.arrivedAt))
+	ctx, att.watchdog = req.startWatchdog(ctx, dec.decisionInputs.expectedFirst)
+	req.gate.metrics.sent(req.metricRank(), dec.withoutLeader, att.sentAt.Sub(req.arrivedAt))
 	req.logSent(att, dec)
 	answer, err := req.gate.targetClient.Send(ctx, dec.address, &outgoing, matches)
 	if err != nil {
@@ -207,14 +209,14 @@
 	return att, yuccagrant.Served
 }
 
-// logSent logs an attempt and what its decision was made from, before the outcome is known. So
-// an attempt without a further line points to a target that hangs.
+// logSent logs an attempt and what its decision was made from, before the outcome is known. If no
+// further line on the attempt follows, the target probably hangs.
 func (req *callerRequest) logSent(att *attempt, dec decision) {
 	req.logStep("sent",
 		"account", req.accountName(), "route", req.routeName(),
-		"target", dec.target, "send", req.sends, "waitedMillis", att.sent.Sub(req.arrivedAt).Milliseconds(),
-		"leader", dec.decisionInputs.leader, "alone", dec.decidedHere, "expectMillis", dec.decisionInputs.expect.Milliseconds(), "busy", dec.decisionInputs.busy,
-		"number", req.table.Number(), "revision", dec.decisionInputs.revision, "newsAgeMillis", dec.decisionInputs.age.Milliseconds(),
+		"target", dec.target, "send", req.sends, "waitedMillis", att.sentAt.Sub(req.arrivedAt).Milliseconds(),
+		"leader", dec.decisionInputs.leader, "alone", dec.withoutLeader, "expectMillis", dec.decisionInputs.expectedFirst.Milliseconds(), "busy", dec.decisionInputs.busy,
+		"number", req.table.Number(), "revision", dec.decisionInputs.platformRevision, "newsAgeMillis", dec.decisionInputs.platformAge.Milliseconds(),
 		"charged", req.info.Charged, "over", req.overQuota, "prompt", req.info.Prompt, "answer", req.info.Answer,
 	)
 }
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -11,12 +11,12 @@
 
 const (
 	// headTimeout bounds the time for reading a request's head, and maxHeadBytes its size. They
-	// apply whatever the configuration allows, because otherwise a caller that sends nothing
-	// keeps its connection open for ever.
+	// apply even if the configuration allows more, because otherwise a caller that sends nothing
+	// could keep its connection open for ever.
 	headTimeout  = 10 * time.Second
 	maxHeadBytes = 128 << 10
-	// lastResponseWait is the longest wait for the responses to requests that are refused while
-	// the server closes.
+	// lastResponseWait bounds the wait at the end of the drain until the responses to refused
+	// requests are written.
 	lastResponseWait = 200 * time.Millisecond
 	// idleCheckInterval is the time between two checks for idle connections.
 	idleCheckInterval = 500 * time.Millisecond
@@ -30,14 +30,16 @@
 	gate     *Gate
 	listener *Listener
 	http     *http.Server
-	errs     chan error
-	stop     chan struct{}
-	drain    sync.Once
+	// errs receives the error if the server stops although it was not closed, and stop is closed
+	// when it is closed.
+	errs      chan error
+	stop      chan struct{}
+	drainOnce sync.Once
 }
 
 // Serve starts serving callers on the listener.
 func (gate *Gate) Serve(inner net.Listener) *Server {
-	srv := &Server{gate: gate, listener: NewListener(inner, gate.bounds.CallerConnections, gate.connRejected), errs: make(chan error, 1), stop: make(chan struct{})}
+	srv := &Server{gate: gate, listener: NewListener(inner, gate.processBounds.CallerConnections, gate.connRejected), errs: make(chan error, 1), stop: make(chan struct{})}
 	srv.http = &http.Server{
 		Handler:           gate,
 		ReadHeaderTimeout: headTimeout,
@@ -75,14 +77,15 @@
 	}
 }
 
-// Drain makes the daemon report that it isn't ready, closes idle connections and waits until no
-// request is open or the context ends. It returns the number of requests that are still open
-// and will be cut off.
+// Drain makes the daemon report that it isn't ready, closes idle connections, waits until no
+// request is open or the context ends, and closes the server. It returns the number of requests
+// that are still open and are cut off.
 func (srv *Server) Drain(ctx context.Context) int64 {
-	srv.drain.Do(func() { srv.shutDown(ctx) })
+	srv.drainOnce.Do(func() { srv.shutDown(ctx) })
 	return srv.gate.openRequests.Load()
 }
 
+// shutDown drains and closes the server.
 func (srv *Server) shutDown(ctx context.Context) {
 	srv.gate.startDraining()
 	srv.listener.CloseIdle(time.Now())
@@ -92,7 +95,7 @@
 	srv.listener.CloseIdle(time.Now())
 	// Requests that arrived on the last accepted connections are refused by now; wait for those
 	// responses to be written.
-	for wait := time.Now(); srv.gate.openRequests.Load() > 0 && time.Since(wait) < lastResponseWait && ctx.Err() == nil; {
+	for start := time.Now(); srv.gate.openRequests.Load() > 0 && time.Since(start) < lastResponseWait && ctx.Err() == nil; {
 		time.Sleep(drainPollInterval)
 	}
 	_ = srv.http.Close()
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -9,7 +9,7 @@
 	"yuccacleat/core/yuccaspace"
 )
 
-// Settings are the settings of one daemon, including the bounds that operators set.
+// Settings are the settings of one daemon.
 type Settings struct {
 	VM     yuccaid.VM
 	Centre yuccaid.Centre
@@ -31,7 +31,7 @@
 
 // Bounds are the operators' limits on the whole fleet.
 type Bounds struct {
-	// Grace is the longest time from the order to stop until the process has exited.
+	// Grace is the longest time from the signal to stop until the process has exited.
 	Grace time.Duration
 	// ResendRatio and ResendAllowance bound how many requests of a pool all daemons together
 	// may send to a second target within ResendWindow.
--- a/io/yuccagate/silence.go
+++ b/io/yuccagate/silence.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// watchdogRatio and watchdogSlack define after which time without a first event a target
-	// has most likely lost the request: three times the predicted time, as for the target's
-	// other runs in yuccagrant, plus the variation that a busy batch causes.
+	// watchdogRatio and watchdogSlack define the time without a first event after which a target
+	// has most likely lost the request: three times the predicted time, the same multiple as in
+	// yuccagrant, plus the variation that occurs on a target that runs a large batch.
 	watchdogRatio = 3
 	watchdogSlack = 300 * time.Millisecond
-	// watchdogGaps is the gap in a stream, as a multiple of the longest gap that counts as on
-	// time, after which the target has most likely stopped. Callers leave after eight such
-	// gaps.
+	// watchdogGaps is the gap between two events, as a multiple of the route's MaxGap, after which
+	// the target has most likely stopped. Callers leave after a gap of eight times MaxGap.
 	watchdogGaps = 4
 )
 
@@ -28,50 +27,51 @@
 // the request would wait there until its caller leaves, although another target could have
 // served it in time.
 type watchdog struct {
-	req    *callerRequest
+	req *callerRequest
+	// timer calls fire, nil if the attempt may not be cancelled.
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
-	// charged reports whether the resend that follows has been counted against the resend
+	// resendCharged reports whether the resend that follows has been counted against the resend
 	// budget.
-	charged atomic.Bool
+	resendCharged atomic.Bool
 }
 
 // startWatchdog returns the context of an attempt, and a watchdog that cancels it unless the
-// target sends something in time. Attempts of requests that may not be sent to another target
-// have no timer.
-func (req *callerRequest) startWatchdog(ctx context.Context, expect time.Duration) (context.Context, *watchdog) {
+// target sends something in time. If the request may not be sent to another target, the watchdog
+// has no timer and never cancels the attempt by itself.
+func (req *callerRequest) startWatchdog(ctx context.Context, expectedFirst time.Duration) (context.Context, *watchdog) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	dog := &watchdog{req: req, cancel: cancel}
+	wd := &watchdog{req: req, cancel: cancel}
 	if req.route.Repeatable() && req.runs+1 < req.route.Attempts {
-		dog.timer = time.AfterFunc(watchdogRatio*expect+watchdogSlack, dog.fire)
+		wd.timer = time.AfterFunc(watchdogRatio*expectedFirst+watchdogSlack, wd.fire)
 	}
-	return ctx, dog
+	return ctx, wd
 }
 
-// fire cancels the attempt if the resend budget allows another one.
-func (dog *watchdog) fire() {
-	if dog.req.gate.chargeResend(dog.req.pool) {
-		dog.charged.Store(true)
-		dog.cancel(errSilent)
+// fire cancels the attempt if the resend budget allows to send the request to another target.
+func (wd *watchdog) fire() {
+	if wd.req.gate.chargeResend(wd.req.pool) {
+		wd.resendCharged.Store(true)
+		wd.cancel(errSilent)
 	}
 }
 
 // onEvent restarts the timer after an event of a stream has arrived.
-func (dog *watchdog) onEvent() {
-	if dog.timer != nil && dog.timer.Stop() {
-		dog.timer.Reset(watchdogGaps * max(dog.req.route.MaxGap, watchdogSlack))
+func (wd *watchdog) onEvent() {
+	if wd.timer != nil && wd.timer.Stop() {
+		wd.timer.Reset(watchdogGaps * max(wd.req.route.MaxGap, watchdogSlack))
 	}
 }
 
-// disarm stops the timer.
-func (dog *watchdog) disarm() {
-	if dog.timer != nil {
-		dog.timer.Stop()
+// disarm stops the timer, so that the watchdog no longer cancels the attempt.
+func (wd *watchdog) disarm() {
+	if wd.timer != nil {
+		wd.timer.Stop()
 	}
 }
 
 // stop stops the timer and cancels the attempt's context.
-func (dog *watchdog) stop() {
-	dog.disarm()
-	dog.cancel(nil)
+func (wd *watchdog) stop() {
+	wd.disarm()
+	wd.cancel(nil)
 }
--- a/io/yuccagate/startup.go
+++ b/io/yuccagate/startup.go
@@ -7,17 +7,19 @@
 	"yuccacleat/core/yuccaroute"
 )
 
-// firstConfigurationWait is how long after the daemon's start requests wait for the first
-// configuration. Reading it from another region takes 150 ms, so a few attempts fit in.
+// firstConfigurationWait is the time after the daemon's start until which requests wait for the
+// first configuration. Reading it from another region takes 150 ms, so there is time for a few
+// attempts.
 const firstConfigurationWait = 600 * time.Millisecond
 
-// awaitTable returns the configuration in force, or nil if there is none.
+// awaitTable returns the configuration in force, or nil if there still is none after the wait for
+// the first one.
 //
 // After all daemons were killed, the balancer sends callers to daemons that have just started.
 // Without a wait, even a request that arrives a millisecond before the configuration would be
 // refused and retried half a second later, too late for most latency targets. So requests that
-// arrive while the daemon reads its first configuration wait for it. A daemon that has tried
-// for longer than firstConfigurationWait refuses at once.
+// arrive while the daemon reads its first configuration wait for it. A daemon that has had no
+// configuration for longer than firstConfigurationWait refuses requests at once.
 func (gate *Gate) awaitTable(ctx context.Context, now time.Time) *yuccaroute.Table {
 	left := firstConfigurationWait - now.Sub(gate.startedAt)
 	if table := gate.tables.Load(); table != nil || left <= 0 {
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -11,20 +11,23 @@
 
 // Status is the state of one gateway, for operators and tests.
 type Status struct {
-	VM      yuccaid.VM           `json:"vm"`
-	Centre  yuccaid.Centre       `json:"centre"`
-	Address string               `json:"address"`
-	Ready   bool                 `json:"ready"`
-	Leaving bool                 `json:"leaving"`
-	Number  yuccaid.ConfigNumber `json:"number"`
+	VM      yuccaid.VM     `json:"vm"`
+	Centre  yuccaid.Centre `json:"centre"`
+	Address string         `json:"address"`
+	Ready   bool           `json:"ready"`
+	// Leaving reports whether the daemon is draining.
+	Leaving bool `json:"leaving"`
+	// Number is the number of the configuration in force, or zero.
+	Number yuccaid.ConfigNumber `json:"number"`
 	// SkipsPlatformReads reports whether another daemon reads the platform for this one.
-	// PlatformAgeMillis is how many milliseconds ago the platform last responded to either of
-	// them, or -1 if it never did.
+	// PlatformAgeMillis is how many milliseconds ago the platform last responded to this daemon
+	// or one that reads for it, or -1 if it never did.
 	SkipsPlatformReads bool         `json:"rests"`
 	PlatformAgeMillis  int64        `json:"platformMillis"`
 	Peers              []PeerStatus `json:"peers"`
-	QuotaShare         float64      `json:"quotaPart"`
-	OpenRequests       int64        `json:"open"`
+	// QuotaShare is the share of the accounts' quotas that this daemon may use.
+	QuotaShare   float64 `json:"quotaPart"`
+	OpenRequests int64   `json:"open"`
 	// HeldBytes is the memory reserved for open requests, in bytes.
 	HeldBytes yuccaid.Bytes  `json:"heldBytes"`
 	Pools     []PoolStatus   `json:"pools"`
@@ -72,11 +75,12 @@
 	return status
 }
 
+// status returns the state; it runs on the control goroutine.
 func (gate *Gate) status(now time.Time) Status {
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
 		Number: gate.configurationNumber(), SkipsPlatformReads: gate.skipsPlatformReads.Load(), PlatformAgeMillis: -1,
-		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.allocated(),
+		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.reserved(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
 		status.PlatformAgeMillis = age.Milliseconds()
@@ -95,8 +99,8 @@
 			Target: entry.Target, Pool: entry.Pool, Centre: entry.Centre, Address: entry.Address, Leaving: entry.Leaving,
 		})
 	}
-	for _, use := range gate.ledger.QuotaUsages(now) {
-		status.Accounts = append(status.Accounts, AccountStatus(use))
+	for _, usage := range gate.ledger.QuotaUsages(now) {
+		status.Accounts = append(status.Accounts, AccountStatus(usage))
 	}
 	return status
 }
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -13,23 +13,24 @@
 
 const (
 	// regionRoundTrip is the assumed round-trip time to another region. It only orders targets
-	// of equal pace, because the measured times of runs include the real one.
+	// of equal pace, because the measured times of runs include the real round-trip time.
 	regionRoundTrip = 60 * time.Millisecond
-	// platformReportInterval is the time between two reports of the reader to its peers on when
-	// the platform last responded.
+	// platformReportInterval is the time between two reports of the reader, the daemon that reads
+	// the platform for its data centre, to the other daemons there. A report states when the
+	// platform last responded.
 	platformReportInterval = 300 * time.Millisecond
-	// readerRole is the key under which the data centre chooses the daemon that reads the
-	// platform for it.
+	// readerRole is the key under which the data centre chooses its reader. No pool has this
+	// name, since names of pools have no spaces.
 	readerRole = yuccaid.Pool("reader of the platform")
 	// platformStaleAfter is the age of the platform's last response to the reader at which
 	// every daemon reads the platform itself: a little more than the reader's calls take when
 	// nothing changes.
 	platformStaleAfter = 1700 * time.Millisecond
-	// pullAnyInterval is the shortest time between two requests to a peer for targets while the
+	// anyPeerPullInterval is the shortest time between two requests to a peer for targets while the
 	// platform can't be read.
-	pullAnyInterval = 400 * time.Millisecond
-	// startupReadTime is how long a daemon that has just started reads the platform itself,
-	// whichever other daemon does so too, because it has no targets yet.
+	anyPeerPullInterval = 400 * time.Millisecond
+	// startupReadTime is how long after its start a daemon reads the platform itself even if the
+	// reader does so too, because it has no targets yet.
 	startupReadTime = 700 * time.Millisecond
 )
 
@@ -41,14 +42,14 @@
 	receivedAt time.Time
 }
 
-// OfferTargets takes registrations of targets, and ends of registrations, from the platform as
-// of the revision at. If whole is set, entries are all targets. If sure is not set, removals
-// are tentative.
+// OfferTargets takes registrations of targets, and removals of registrations, as read from the
+// platform at its revision at. If whole is set, entries are all registered targets. If sure is
+// not set, removals are tentative.
 //
 // Changes are forwarded to the other daemons of the data centre, which then need not read them.
 // Whole lists are not forwarded, because a hundred daemons that start together would each send
-// a thousand targets to all others. A daemon that lacks something requests it once it learns
-// how far this one has read.
+// a thousand targets to all others. A daemon that lacks targets requests them once this
+// daemon reports a higher revision.
 func (gate *Gate) OfferTargets(entries []yuccaroster.Entry, removals []yuccaroster.Removal, whole bool, at yuccaroster.Revision, sure bool) {
 	message := yuccawire.Targets{Entries: entries, Removals: removals, Whole: whole, At: at, Sure: sure}
 	gate.control.Post(func(now time.Time) {
@@ -68,14 +69,14 @@
 	})
 }
 
-// platformAge returns how long ago the platform last responded to this daemon or to the one
-// that reads for it, or -1 if it never did.
+// platformAge returns how long ago the platform last responded to this daemon or to a peer that
+// reported it, or -1 if it never did.
 func (gate *Gate) platformAge(now time.Time) time.Duration {
 	age := time.Duration(-1)
 	if !gate.platformRespondedAt.IsZero() {
 		age = now.Sub(gate.platformRespondedAt)
 	}
-	for _, report := range gate.platformReport {
+	for _, report := range gate.platformReports {
 		if reportedAge := now.Sub(report.receivedAt) + report.age; age < 0 || reportedAge < age {
 			age = reportedAge
 		}
@@ -93,8 +94,8 @@
 	return found && reader.Incarnation == gate.incarnation
 }
 
-// tickReader reports to the peers when the platform last responded if this daemon is the
-// reader, and otherwise decides whether this daemon may skip reading the platform.
+// tickReader reports to the data centre's other daemons when the platform last responded if this
+// daemon is the reader, and otherwise decides whether this daemon may skip reading the platform.
 //
 // Calls to the platform count against a rate limit of the whole fleet, and each is paid for, so
 // one daemon of a data centre reads for all. If that daemon dies, freezes or loses its
@@ -116,7 +117,7 @@
 
 // hasFreshReport reports whether a peer has read the platform within platformStaleAfter.
 func (gate *Gate) hasFreshReport(now time.Time) bool {
-	for _, report := range gate.platformReport {
+	for _, report := range gate.platformReports {
 		if now.Sub(report.receivedAt)+report.age < platformStaleAfter {
 			return true
 		}
@@ -124,13 +125,16 @@
 	return false
 }
 
+// onFresh handles a peer's report on what it has read from the platform, and requests the targets
+// if the peer has read up to a higher revision.
 func (gate *Gate) onFresh(now time.Time, from yuccaid.Incarnation, message yuccawire.Fresh) {
-	gate.platformReport[from] = platformReport{revision: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, receivedAt: now}
+	gate.platformReports[from] = platformReport{revision: message.At, age: time.Duration(message.AgeMillis) * time.Millisecond, receivedAt: now}
 	if message.At > gate.platformRevision && now.Sub(gate.targetsPulledAt) > pullInterval {
 		gate.pullTargets(now, from)
 	}
 }
 
+// pullTargets requests the targets from a peer if the peer has read up to a higher revision.
 func (gate *Gate) pullTargets(now time.Time, from yuccaid.Incarnation) {
 	gate.targetsPulledAt = now
 	gate.send(from, yuccawire.KindTargetsPull, yuccawire.TargetsPull{Have: gate.platformRevision})
@@ -140,11 +144,11 @@
 // reaches the platform.
 //
 // A data centre may lose its connection to the platform but not to other data centres. Without
-// these requests its daemons would send work to targets that have gone, and restarted daemons
-// would have no targets.
+// these requests its daemons would send requests to targets that have been removed, and restarted
+// daemons would have no targets.
 func (gate *Gate) pullFromAnyPeer(now time.Time) {
-	silent := gate.platformRespondedAt.IsZero() || now.Sub(gate.platformRespondedAt) > platformStaleAfter
-	if !silent || gate.hasFreshReport(now) || now.Sub(gate.startedAt) < startupReadTime || now.Sub(gate.targetsPulledAt) < pullAnyInterval {
+	platformSilent := gate.platformRespondedAt.IsZero() || now.Sub(gate.platformRespondedAt) > platformStaleAfter
+	if !platformSilent || gate.hasFreshReport(now) || now.Sub(gate.startedAt) < startupReadTime || now.Sub(gate.targetsPulledAt) < anyPeerPullInterval {
 		return
 	}
 	if linked := gate.hub.Linked(); len(linked) > 0 {
@@ -152,6 +156,7 @@
 	}
 }
 
+// onTargetsPull sends the targets to a peer that has read up to a lower revision.
 func (gate *Gate) onTargetsPull(from yuccaid.Incarnation, pull yuccawire.TargetsPull) {
 	if gate.platformRevision <= pull.Have {
 		return
@@ -161,6 +166,8 @@
 	})
 }
 
+// onTargets applies registrations and removals of targets that this daemon or a peer has read from
+// the platform.
 func (gate *Gate) onTargets(now time.Time, message yuccawire.Targets) {
 	gate.platformRevision = max(gate.platformRevision, message.At)
 	if message.Whole {
@@ -221,18 +228,18 @@
 		return
 	}
 	fields := []any{"known", len(current), "revision", gate.platformRevision}
-	for _, each := range []struct {
-		what  string
+	for _, group := range []struct {
+		key   string
 		names []yuccaid.Target
 	}{{"came", added}, {"begunAnew", restarted}, {"leaving", leaving}, {"gone", removed}} {
-		if len(each.names) > 0 {
-			fields = append(fields, each.what, each.names[:min(len(each.names), maxLoggedTargets)])
+		if len(group.names) > 0 {
+			fields = append(fields, group.key, group.names[:min(len(group.names), maxLoggedTargets)])
 		}
 	}
 	gate.log.stateChange("targets", fields...)
 }
 
-// targetsOf returns a pool's targets as seen from this data centre.
+// targetsOf returns a pool's targets. Those in other regions are marked as remote.
 func (gate *Gate) targetsOf(sched *scheduler) []yuccagrant.Target {
 	usable := gate.roster.Usable(sched.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
@@ -247,9 +254,9 @@
 	return list
 }
 
-// deciderCount returns how many daemons decide on the pool's slots at the same time. If this
-// daemon decides without the leader, the other daemons of its data centre do so too, and each
-// uses its share of the slots.
+// deciderCount returns how many daemons share the pool's slots when this one decides: one if it
+// leads the pool. If it decides without the leader, the other daemons of its data centre are
+// assumed to do so too, and each uses its share of the slots.
 func (gate *Gate) deciderCount(sched *scheduler) int {
 	if sched.leads {
 		return 1
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -21,13 +21,15 @@
 	// decision receives the one decision on the placement.
 	decision chan decision
 
-	// submittedAt is when the request was last sent to the pool's leader, and waitingAt when
-	// the leader last responded that it waits, zero if it hasn't. If decidedHere is set, this
-	// daemon decides instead.
-	submittedAt time.Time
-	waitingAt   time.Time
-	decidedHere bool
+	// submittedAt is when the request was last submitted, and waitConfirmedAt when the pool's
+	// leader last responded that the request waits, zero if it hasn't since then. If
+	// decidedLocally is set, this daemon decides on the request, not the leader.
+	submittedAt     time.Time
+	waitConfirmedAt time.Time
+	decidedLocally  bool
 
+	// running reports whether the request has been granted the target, and started whether the
+	// run's first event has arrived. sentAt is when the grant was accepted.
 	running bool
 	started bool
 	target  yuccaid.Target
@@ -38,8 +40,9 @@
 type decision struct {
 	target  yuccaid.Target
 	address string
-	// decidedHere reports whether this daemon decided although another one leads the pool.
-	decidedHere    bool
+	// withoutLeader reports whether this daemon decided although it doesn't lead the pool, because
+	// the leader was suspected or none was known.
+	withoutLeader  bool
 	refusal        *yuccagrant.Refusal
 	problem        *Problem
 	decisionInputs decisionInputs
@@ -48,21 +51,22 @@
 // decisionInputs is what a decision on a request was made from, for the log.
 type decisionInputs struct {
 	leader yuccaid.VM
-	// expect is the predicted time from sending to the first event, and busy the number of runs
-	// that the target had before.
-	expect time.Duration
-	busy   int
-	// revision is the revision up to which the platform had been read, and age how long ago the
-	// platform had last responded.
-	revision yuccaroster.Revision
-	age      time.Duration
+	// expectedFirst is the predicted time from sending to the first event, and busy the number of
+	// runs that the target had before.
+	expectedFirst time.Duration
+	busy          int
+	// platformRevision is the revision up to which the platform had been read, and platformAge
+	// how long ago the platform had last responded, or -1 if it never had.
+	platformRevision yuccaroster.Revision
+	platformAge      time.Duration
 }
 
-// acquire waits for a target. If the context ends meanwhile, the request is withdrawn.
+// acquire waits for the decision on a request. If the context ends first, the request is withdrawn
+// and the context's cause returned.
 func (gate *Gate) acquire(ctx context.Context, req *callerRequest) (*placement, decision, error) {
-	plc := &placement{req: req, pool: req.pool, request: req.request(), decision: make(chan decision, 1)}
+	plc := &placement{req: req, pool: req.pool, request: req.schedulerRequest(), decision: make(chan decision, 1)}
 	plc.request.ID = yuccagrant.ID{Owner: gate.incarnation, Number: gate.lastPlacement.Add(1)}
-	gate.control.Post(func(now time.Time) { gate.enter(now, req, plc) })
+	gate.control.Post(func(now time.Time) { gate.place(now, req, plc) })
 	select {
 	case dec := <-plc.decision:
 		return plc, dec, nil
@@ -72,8 +76,8 @@
 	}
 }
 
-// enter charges a request to its account's quota the first time, and requests a target.
-func (gate *Gate) enter(now time.Time, req *callerRequest, plc *placement) {
+// place submits a request. The first time, it charges the request to its account's quota before.
+func (gate *Gate) place(now time.Time, req *callerRequest, plc *placement) {
 	if !req.quotaChecked {
 		req.quotaChecked = true
 		if prob := gate.chargeQuota(now, req); prob != nil {
@@ -85,10 +89,11 @@
 		gate.resendBudget.CountRequest(now, req.pool)
 	}
 	gate.placements[plc.request.ID.Number] = plc
-	gate.request(now, gate.scheduler(now, plc.pool), plc)
+	gate.submit(now, gate.scheduler(now, plc.pool), plc)
 }
 
-// abandon withdraws a placement whose request's context ended before it was sent.
+// abandon withdraws a placement whose request's context ended before the decision on it was
+// received.
 func (gate *Gate) abandon(now time.Time, plc *placement) {
 	if gate.placements[plc.request.ID.Number] != plc {
 		return
@@ -97,33 +102,34 @@
 	if !plc.running {
 		gate.withdraw(now, sched, plc)
 	}
-	gate.finish(now, plc, yuccagrant.Finished{Outcome: yuccagrant.Dropped})
+	gate.finishPlacement(now, plc, yuccagrant.Finished{Outcome: yuccagrant.Dropped})
 }
 
-// started reports a run's first event to the scheduler and the leader. The duration took is the
-// time from sending to that event.
-func (gate *Gate) started(plc *placement, took time.Duration, load yuccagrant.ReportedLoad) {
+// postStarted has the control goroutine report a run's first event to this daemon's scheduler and
+// to the pool's leader.
+func (gate *Gate) postStarted(plc *placement, timeToFirst time.Duration, load yuccagrant.ReportedLoad) {
 	gate.control.Post(func(now time.Time) {
 		plc.started = true
 		sched := gate.scheduler(now, plc.pool)
-		gate.apply(now, sched, sched.local.RunStarted(now, plc.request.ID, took, load))
-		gate.sendStarted(sched, plc, took, load)
+		gate.apply(now, sched, sched.local.RunStarted(now, plc.request.ID, timeToFirst, load))
+		gate.sendStarted(sched, plc, timeToFirst, load)
 	})
 }
 
-// finished frees the target's slot and reports how the run went.
-func (gate *Gate) finished(plc *placement, finish yuccagrant.Finished) {
-	gate.control.Post(func(now time.Time) { gate.finish(now, plc, finish) })
+// postFinished has the control goroutine end a placement.
+func (gate *Gate) postFinished(plc *placement, result yuccagrant.Finished) {
+	gate.control.Post(func(now time.Time) { gate.finishPlacement(now, plc, result) })
 }
 
-func (gate *Gate) finish(now time.Time, plc *placement, finish yuccagrant.Finished) {
+// finishPlacement ends a placement: it frees the target's slot and reports how the run went.
+func (gate *Gate) finishPlacement(now time.Time, plc *placement, result yuccagrant.Finished) {
 	delete(gate.placements, plc.request.ID.Number)
-	finish.ID = plc.request.ID
-	gate.reportFinished(now, gate.scheduler(now, plc.pool), finish)
+	result.ID = plc.request.ID
+	gate.reportFinished(now, gate.scheduler(now, plc.pool), result)
 }
 
-// chargeResend counts a resend of a request that has reached a target, and reports whether the
-// budget allows it.
+// chargeResend reports whether the resend budget allows to send a request that has reached a
+// target to another one, and counts the resend if so.
 func (gate *Gate) chargeResend(pool yuccaid.Pool) bool {
 	allowed := false
 	gate.control.Call(func(now time.Time) {
@@ -134,8 +140,8 @@
 	return allowed
 }
 
-// allowResend reports whether the budget allows to send the request to another target, and
-// counts the resend. A request that has reached no target yet is not counted.
+// allowResend reports whether the request may be sent to another target as far as the resend
+// budget is concerned. A request that has reached no target yet is always allowed and not counted.
 func (gate *Gate) allowResend(req *callerRequest) bool {
 	return req.arrivals == 0 || gate.chargeResend(req.pool)
 }
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -10,11 +10,11 @@
 
 const (
 	// usageRole is the key under which the data centre chooses the daemon that casts its usage
-	// to the others. No pool has this name, since names of pools have no spaces.
+	// to the other data centres. No pool has this name, since names of pools have no spaces.
 	usageRole = yuccaid.Pool("use of quotas")
-	// usageIntervalPerPeer lengthens the time between reports of usage with the number of
-	// peers, because each report goes to all peers and their number would otherwise grow with
-	// the square of the number of daemons.
+	// usageIntervalPerPeer, multiplied by the number of peers in the data centre, is the time
+	// between two reports of usage. Each report goes to all of these peers, so with a fixed
+	// interval the number of messages would grow with the square of the number of daemons.
 	usageIntervalPerPeer = 10 * time.Millisecond
 	// remoteUsageDelay is the time that a report takes to the other data centres besides the
 	// intervals between reports: two ticks, three hops and the latency between regions.
@@ -23,14 +23,14 @@
 	// quotas' windows, because casts are lost when connections break and when another daemon
 	// takes over casting.
 	fullUsageInterval = 2 * time.Second
-	// startupShare is the share of quotas that a daemon uses before it has received the usage
-	// of others, for some tenths of a second. During that time an account's usage is bounded by
-	// what it requests. With a smaller share, callers that retry after an outage would be
-	// refused.
+	// startupShare is the share of quotas that a daemon uses for some tenths of a second after
+	// its start, before it has received the usage of the other daemons. It may be this large
+	// because in so short a time accounts use only what they request. With a smaller share,
+	// callers that retry after an outage would be refused.
 	startupShare = 0.15
-	// silentShareUsed is the fraction of the unreachable daemons' share that the larger side of
-	// a network partition uses.
-	silentShareUsed = 0.4
+	// unreachableShareUsed is the fraction of the unreachable daemons' share of the quotas that
+	// the larger side of a network partition uses.
+	unreachableShareUsed = 0.4
 )
 
 // chargeQuota charges a request to its account's quota, or returns the problem if the quota
@@ -40,17 +40,17 @@
 		return nil
 	}
 	cost := req.account.Quota.Cost(req.info.Charged)
-	answer := gate.ledger.Admit(now, req.account.Name, cost, req.route.Rank)
-	req.overQuota = answer.OverQuota
-	if answer.Verdict != yuccaquota.Admitted {
-		gate.metrics.quotaRefused(answer.Verdict)
-		req.logDecision("quota", "verdict", answer.Verdict, "cost", int64(cost), "used", answer.Used, "limit", answer.Limit, "mine", answer.UsedByDaemon, "asked", answer.Demand, "rush", answer.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
-		return &Problem{Kind: KindQuota, Detail: string(answer.Verdict), RetryAfter: answer.RetryAfter}
+	admission := gate.ledger.Admit(now, req.account.Name, cost, req.route.Rank)
+	req.overQuota = admission.OverQuota
+	if admission.Verdict != yuccaquota.Admitted {
+		gate.metrics.quotaRefused(admission.Verdict)
+		req.logDecision("quota", "verdict", admission.Verdict, "cost", int64(cost), "used", admission.Used, "limit", admission.Limit, "mine", admission.UsedByDaemon, "asked", admission.Demand, "rush", admission.DemandLimit, "part", gate.ledger.QuotaShare(), "daemons", gate.ledger.Daemons())
+		return &Problem{Kind: KindQuota, Detail: string(admission.Verdict), RetryAfter: admission.RetryAfter}
 	}
 	return nil
 }
 
-// refundQuota returns the charge of a request that did not run.
+// refundQuota takes back the charge of a request that did not run.
 func (gate *Gate) refundQuota(req *callerRequest) {
 	if req.account == nil {
 		return
@@ -63,8 +63,8 @@
 	})
 }
 
-// tickUsage reports usage of accounts to the other daemons, and sets the share of the quotas
-// that this daemon may use.
+// tickUsage sets the share of the quotas that this daemon may use, and reports usage of accounts
+// to the other daemons.
 func (gate *Gate) tickUsage(now time.Time) {
 	visible, total := gate.countDaemons(now)
 	quotaShare := gate.quotaShare(now, visible, total)
@@ -86,35 +86,34 @@
 }
 
 // quotaShare returns the share of the quotas that this daemon uses. A daemon that restarts in a
-// running fleet and has received the usage of the others uses the whole quota; with
-// startupShare it would refuse accounts within their quotas until it is connected to all
-// daemons.
+// running fleet and has received the usage of the other daemons uses the whole quota. With
+// startupShare it would refuse accounts within their quotas until it is connected to all daemons.
 func (gate *Gate) quotaShare(now time.Time, visible, total int) float64 {
 	switch {
 	case gate.settled || len(gate.settings.Seeds) == 0:
-		return shareOf(visible, total)
+		return reachableShare(visible, total)
 	case !gate.settings.FirstStart && !gate.ledger.WithoutHistory(now):
 		return 1
 	}
 	return startupShare
 }
 
-// shareOf returns the share of the quotas for a daemon that has recent state from the given
+// reachableShare returns the share of the quotas for a daemon that has recent state from the given
 // number of all daemons.
 //
 // A daemon on one side of a network partition can't know what the other side admits. If both
 // sides used the whole quota, an account would get twice as much, so each side uses its share.
-// The larger side also uses silentShareUsed of the unreachable daemons' share, because more
-// daemons are unreachable because they died than because of a partition.
-func shareOf(visible, total int) float64 {
+// The larger side also uses unreachableShareUsed of the unreachable daemons' share, because more
+// daemons are unreachable because their processes ended than because of a partition.
+func reachableShare(visible, total int) float64 {
 	if 2*visible <= total {
 		return float64(visible) / float64(total)
 	}
-	return (float64(visible) + silentShareUsed*float64(total-visible)) / float64(total)
+	return (float64(visible) + unreachableShareUsed*float64(total-visible)) / float64(total)
 }
 
-// castUsage sends this data centre's usage to the others, if this daemon is the one that does
-// so.
+// castUsage sends this data centre's usage to the other data centres if this daemon is the one
+// chosen for that.
 func (gate *Gate) castUsage(now time.Time, spacing time.Duration) {
 	if now.Sub(gate.usageCastAt) < spacing {
 		return
@@ -126,7 +125,8 @@
 	usage := gate.ledger.RemoteReport()
 	maxInterval := max(castMaxInterval, spacing)
 	if now.Sub(gate.startedAt) < centreStartupWait {
-		// Data centres that start together learn of one another from these casts.
+		// Data centres that start together learn of one another from these casts, so they are
+		// sent more often at first.
 		maxInterval = spacing
 	}
 	if len(usage) == 0 && !gate.fullUsageDue && now.Sub(gate.usageCastAt) < maxInterval {
@@ -142,11 +142,11 @@
 	}
 }
 
-// onUse handles a report of usage from one daemon. A daemon of this data centre sends totals
-// when a connection to it is opened, because what it admitted before was not reported here; if
-// it has no usage history, that is all it knows. Usage of another data centre arrives with
-// casts. The totals of its daemons are only needed for what this daemon lost in a restart, so
-// they are used only if the sender has usage history.
+// onUse handles a report of usage from one daemon. When a connection is opened, the peer sends
+// totals. A peer of this data centre sends them because what it admitted before was not reported
+// to this daemon; if the peer has no usage history, they contain nothing else. Usage of another
+// data centre arrives with casts. The totals of its daemons are needed only for what this daemon
+// lost in a restart, so they are used only if the sender has usage history.
 func (gate *Gate) onUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	peer, found := gate.peers.Find(from.VM)
 	remote := found && peer.Centre != gate.settings.Centre
@@ -163,18 +163,21 @@
 
 // mergeTotals merges the totals that a local daemon sends when a connection to it is opened. If
 // that daemon has usage history, its totals include its own usage, and may include usage that
-// other daemons have reported already.
+// other daemons have already reported here. So when this daemon connects to it
+// for the first time, its own totals are not counted separately.
 func (gate *Gate) mergeTotals(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
-	within := message.Mine
+	daemonTotals := message.Mine
 	if message.Knows && !gate.ledger.ConnectedBefore(from) {
-		within = nil
+		daemonTotals = nil
 	}
-	gate.ledger.PeerConnected(now, from, message.Spent, within)
+	gate.ledger.PeerConnected(now, from, message.Spent, daemonTotals)
 	if message.Knows {
 		gate.ledger.RaiseTotals(now, message.All, true)
 	}
 }
 
+// onCentreUse handles a cast of another data centre's usage. If that data centre is new or has sent
+// nothing for centreFreshFor, it may have missed usage of this one.
 func (gate *Gate) onCentreUse(now time.Time, message yuccawire.Cast) {
 	before := gate.remoteCentres[message.Centre]
 	if before == nil || now.Sub(before.receivedAt) > centreFreshFor {
