--- a/io/yuccagate/failure_test.go
+++ b/io/yuccagate/failure_test.go
@@ -30,12 +30,12 @@
 		}},
 	}
 
-	// One of two targets fails every request that it gets. A lookup may run twice. A ticket
-	// that may have been filed must not be filed again, and its caller has to learn whether it
-	// may have run.
+	// One of two targets fails every request that it gets. A lookup may run twice. A ticket may
+	// run only once, so if it may have run it must not be sent again, and its status has to tell
+	// the caller that it may have run.
 	DescribeTable("is sent once more only where that does no harm",
-		func(path string, fail int, statuses []int, mostRuns int) {
-			bad := newEngine("bad", failing[fail].answer)
+		func(path string, failureIndex int, statuses []int, maxRuns int) {
+			bad := newEngine("bad", failing[failureIndex].answer)
 			good := newEngine("good", func(w http.ResponseWriter, _ *http.Request) {
 				time.Sleep(20 * time.Millisecond)
 				fmt.Fprint(w, "good")
@@ -61,12 +61,12 @@
 			}
 			runs := make(map[string]int)
 			for _, eng := range []*engine{bad, good} {
-				for _, one := range eng.requests() {
-					runs[one.id]++
+				for _, req := range eng.requests() {
+					runs[req.id]++
 				}
 			}
 			for id, count := range runs {
-				Expect(count).To(BeNumerically("<=", mostRuns), id)
+				Expect(count).To(BeNumerically("<=", maxRuns), id)
 			}
 			Expect(bad.requests()).NotTo(BeEmpty())
 		},
@@ -81,35 +81,35 @@
 	)
 
 	It("gets a 503 when every target rejects it", func() {
-		bad := newEngine("bad", failing[0].answer)
-		worse := newEngine("worse", failing[0].answer)
+		first := newEngine("bad", failing[0].answer)
+		second := newEngine("worse", failing[0].answer)
 		gt := newGate("entry-1")
-		gt.configure(1, config(), 1, bad, worse)
+		gt.configure(1, config(), 1, first, second)
 		got := call{path: "/ticket/"}.do(gt)
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
 	It("gets the last failure as the target gave it when attempts are used up", func() {
-		one := newEngine("one", failing[2].answer)
-		two := newEngine("two", failing[2].answer)
+		first := newEngine("one", failing[2].answer)
+		second := newEngine("two", failing[2].answer)
 		gt := newGate("entry-1")
-		gt.configure(1, config(), 1, one, two)
+		gt.configure(1, config(), 1, first, second)
 		got := call{path: "/lookup/"}.do(gt)
 		Expect(got.status).To(Equal(http.StatusInternalServerError))
 		Expect(got.header.Get("X-Signature")).To(Equal("bad"))
-		Expect(len(one.requests()) + len(two.requests())).To(Equal(2))
+		Expect(len(first.requests()) + len(second.requests())).To(Equal(2))
 	})
 
-	// A target accepts the request and never responds.
+	// A target accepts the request and never responds, and the request may not be sent again.
 	It("gets a response at its deadline that says that it may have run", func() {
 		eng := newEngine("a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		gt := newGate("entry-1")
 		gt.configure(1, config(), 1, eng)
-		began := time.Now()
+		start := time.Now()
 		got := call{path: "/ticket/", header: map[string]string{"X-Remaining": "300"}}.do(gt)
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
-		Expect(time.Since(began)).To(BeNumerically("~", 300*time.Millisecond, 200*time.Millisecond))
+		Expect(time.Since(start)).To(BeNumerically("~", 300*time.Millisecond, 200*time.Millisecond))
 		Eventually(eng.running.Load).Should(BeZero())
 	})
 
@@ -156,9 +156,9 @@
 	// A target accepts a request and sends nothing: its response was lost, or it hangs. Without
 	// a second attempt, callers whose requests another target could serve would wait until
 	// their deadline.
-	silent := func(gt **gate, quick, slow string) (first, second *engine) {
+	startWithSilentTarget := func(gt **gate, firstName, secondName string) (first, second *engine) {
 		var calls atomic.Int64
-		hang := func(w http.ResponseWriter, r *http.Request) bool {
+		hangOnFirstCall := func(w http.ResponseWriter, r *http.Request) bool {
 			if calls.Add(1) > 1 {
 				return false
 			}
@@ -166,11 +166,11 @@
 			return true
 		}
 		answer := func(w http.ResponseWriter, r *http.Request) {
-			if !hang(w, r) {
+			if !hangOnFirstCall(w, r) {
 				fmt.Fprint(w, "whole")
 			}
 		}
-		first, second = newEngine(quick, answer), newEngine(slow, answer)
+		first, second = newEngine(firstName, answer), newEngine(secondName, answer)
 		*gt = newGate("entry-1")
 		(*gt).configure(1, config(), 4, first, second)
 		return first, second
@@ -178,7 +178,7 @@
 
 	It("loses no request that may be repeated", func() {
 		var gt *gate
-		first, second := silent(&gt, "a", "b")
+		first, second := startWithSilentTarget(&gt, "a", "b")
 		got := call{path: "/lookup/"}.do(gt)
 		Expect(got.status).To(Equal(http.StatusOK))
 		Expect(got.body).To(Equal("whole"))
@@ -187,7 +187,7 @@
 
 	It("keeps a request that may run only once", func() {
 		var gt *gate
-		first, second := silent(&gt, "a", "b")
+		first, second := startWithSilentTarget(&gt, "a", "b")
 		got := call{path: "/ticket/"}.do(gt)
 		Expect(got.status).To(Equal(http.StatusGatewayTimeout))
 		Expect(append(first.requests(), second.requests()...)).To(HaveLen(1))
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -24,28 +24,28 @@
 	"yuccacleat/io/yuccagate"
 )
 
-// dialect is the dialect of the tests' callers and targets.
+// dialect is the dialect of the tests' callers and targets, which use headers of their own.
 var dialect = yuccagate.Dialect{
 	ReadRequest: func(r *http.Request, route *yuccaroute.Route) (yuccagate.RequestInfo, error) {
-		caller := yuccagate.RequestInfo{ID: r.Header.Get("X-Id"), Key: r.Header.Get("X-Key"), LastEventID: r.Header.Get("Last-Event-Id")}
-		if caller.ID == "" {
-			return caller, errors.New("no id")
+		info := yuccagate.RequestInfo{ID: r.Header.Get("X-Id"), Key: r.Header.Get("X-Key"), LastEventID: r.Header.Get("Last-Event-Id")}
+		if info.ID == "" {
+			return info, errors.New("no id")
 		}
 		if millis, err := strconv.Atoi(r.Header.Get("X-Remaining")); err == nil {
-			caller.Remaining = time.Duration(millis) * time.Millisecond
+			info.Remaining = time.Duration(millis) * time.Millisecond
 		}
 		if tokens, err := strconv.Atoi(r.Header.Get("X-Tokens")); err == nil {
-			caller.Prompt, caller.Charged = yuccaid.Tokens(tokens), yuccaid.Tokens(tokens)
+			info.Prompt, info.Charged = yuccaid.Tokens(tokens), yuccaid.Tokens(tokens)
 		}
-		return caller, nil
+		return info, nil
 	},
-	RewriteHeader: func(header http.Header, onward yuccagate.ForwardInfo) {
+	RewriteHeader: func(header http.Header, forward yuccagate.ForwardInfo) {
 		header.Del("X-Key")
-		header.Set("X-Target", string(onward.Target))
-		header.Set("X-Account", string(onward.Account))
-		header.Set("X-Remaining", strconv.FormatInt(onward.Remaining.Milliseconds(), 10))
-		if onward.LastEventID != "" {
-			header.Set("Last-Event-Id", onward.LastEventID)
+		header.Set("X-Target", string(forward.Target))
+		header.Set("X-Account", string(forward.Account))
+		header.Set("X-Remaining", strconv.FormatInt(forward.Remaining.Milliseconds(), 10))
+		if forward.LastEventID != "" {
+			header.Set("Last-Event-Id", forward.LastEventID)
 		}
 	},
 	MatchesRequest: func(header http.Header, id string) bool { return header.Get("X-Id") == id },
@@ -96,11 +96,12 @@
 	return raw
 }
 
-// engine is a target whose responses are defined by a test.
+// engine is a target whose responses are defined by a test. It rejects requests for other targets.
 type engine struct {
-	name       string
-	listener   net.Listener
-	http       *http.Server
+	name     string
+	listener net.Listener
+	http     *http.Server
+	// running is the number of requests that are being served, and maxRunning its maximum.
 	running    atomic.Int64
 	maxRunning atomic.Int64
 
@@ -115,6 +116,7 @@
 	header                      http.Header
 }
 
+// newEngine starts a target. Without a function answer it responds with its name.
 func newEngine(name string, answer http.HandlerFunc) *engine {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -159,8 +161,9 @@
 	*yuccagate.Gate
 	address string
 	server  *yuccagate.Server
-	crash   func()
-	lines   *lines
+	// crash stops the gateway and cuts off its open requests.
+	crash func()
+	lines *lines
 }
 
 // lines collects a gateway's log lines.
@@ -183,6 +186,8 @@
 	return strings.Join(ln.list, "\n")
 }
 
+// settings returns the settings of a gateway. A VM named after its data centre belongs to a fleet
+// of two data centres in different regions, any other VM to a fleet of one data centre.
 func settings(vm string, centre yuccaid.Centre, peers net.Listener, seeds []string) yuccagate.Settings {
 	regions := map[yuccaid.Centre]yuccaid.Region{centre: "permian"}
 	if strings.HasPrefix(vm, string(centre)) {
@@ -200,7 +205,7 @@
 	return newGateIn("odessa", vm, seeds...)
 }
 
-// newGateIn starts a gateway in one of two data centres.
+// newGateIn starts a gateway in the data centre.
 func newGateIn(centre yuccaid.Centre, vm string, seeds ...string) *gate {
 	return newGateOf(listen(), centre, vm, nil, seeds...)
 }
@@ -211,8 +216,8 @@
 	return listener
 }
 
-// newGateOf starts a gateway that listens for peers on the given listener, with changed
-// settings.
+// newGateOf starts a gateway that accepts connections of peers on the given listener. The function
+// change, if not nil, changes its settings.
 func newGateOf(peers net.Listener, centre yuccaid.Centre, vm string, change func(*yuccagate.Settings), seeds ...string) *gate {
 	logged := &lines{}
 	set := settings(vm, centre, peers, seeds)
@@ -225,9 +230,10 @@
 	Expect(err).NotTo(HaveOccurred())
 	gt := &gate{Gate: inner, address: callers.Addr().String(), server: inner.Serve(callers), lines: logged}
 	gt.crash = sync.OnceFunc(func() {
-		gone, now := context.WithCancel(context.Background())
-		now()
-		gt.server.Drain(gone)
+		// A context that has ended makes Drain cut off open requests at once.
+		ended, end := context.WithCancel(context.Background())
+		end()
+		gt.server.Drain(ended)
 		inner.Close()
 	})
 	DeferCleanup(gt.crash)
@@ -282,6 +288,7 @@
 	err    error
 }
 
+// do sends the call to the gateway on a new connection and returns the whole response.
 func (cl call) do(gt *gate) response {
 	return roundTrip(cl.request(gt))
 }
--- a/io/yuccagate/gate_test.go
+++ b/io/yuccagate/gate_test.go
@@ -17,6 +17,7 @@
 	"yuccacleat/core/yuccaroster"
 )
 
+// status returns a target's function answer that responds with the code and header fields.
 func status(code int, fields ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for at := 0; at < len(fields); at += 2 {
@@ -86,9 +87,9 @@
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	// All daemons were killed and have restarted. While they still read their configuration,
-	// the balancer already sends them callers. A caller that is told to retry later gets its
-	// response late.
+	// All daemons were killed and have restarted. While they still read their configuration, the
+	// balancer already sends them callers. If a daemon told these callers to retry later, they
+	// would get their responses late.
 	It("serves who comes while it reads its first configuration", func() {
 		eng := newEngine("a", nil)
 		gt := newGate("entry-1")
@@ -96,18 +97,18 @@
 		go func() { got <- call{path: "/ticket/"}.do(gt) }()
 		Consistently(got, 50*time.Millisecond).ShouldNot(Receive())
 		gt.configure(1, config(), 4, eng)
-		var one response
-		Eventually(got).Should(Receive(&one))
-		Expect(one.status).To(Equal(http.StatusOK), one.body)
+		var resp response
+		Eventually(got).Should(Receive(&resp))
+		Expect(resp.status).To(Equal(http.StatusOK), resp.body)
 	})
 
 	// A pool has lost targets, and an operator who looks for the reason has only the logs.
 	It("tells which targets came, are leaving and went", func() {
-		eng, other := newEngine("a", nil), newEngine("b", nil)
+		first, second := newEngine("a", nil), newEngine("b", nil)
 		gt := newGate("entry-1")
-		gt.configure(1, config(), 4, eng, other)
+		gt.configure(1, config(), 4, first, second)
 		Eventually(gt.lines.all).Should(ContainSubstring("came[a b]"))
-		entry := yuccaroster.Entry{Target: "a", Pool: "desk", Address: eng.listener.Addr().String(), Centre: "odessa", Slots: 4, Revision: 2, Leaving: true}
+		entry := yuccaroster.Entry{Target: "a", Pool: "desk", Address: first.listener.Addr().String(), Centre: "odessa", Slots: 4, Revision: 2, Leaving: true}
 		gt.OfferTargets([]yuccaroster.Entry{entry}, nil, false, 2, true)
 		Eventually(gt.lines.all).Should(ContainSubstring("leaving[a]"))
 		gt.OfferTargets(nil, []yuccaroster.Removal{{Target: "a", Revision: 3}}, false, 3, true)
@@ -130,8 +131,9 @@
 })
 
 var _ = Describe("callers that wait", func() {
-	// A target has two slots, and eight callers send at once. What a target gets beyond its
-	// slots waits there in no defined order, so it gets a quarter more and no further.
+	// A target has two slots, and eight callers send at once. Requests that a target gets beyond
+	// its slots wait there in no defined order, so it may get only a quarter more than its slots,
+	// rounded up to one here.
 	It("are served in turn, and targets get only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(30 * time.Millisecond)
@@ -191,8 +193,8 @@
 })
 
 var _ = Describe("bytes that are no proper request", func() {
-	// Request smuggling: an attacker wants the gateway and a target to see different requests
-	// in the same bytes, so that the second one runs without a check of its key.
+	// Request smuggling: an attacker sends bytes in which the gateway sees one request and the
+	// target sees two, so that the second one runs without a check of its key.
 	DescribeTable("reach a target as a single request or not at all",
 		func(raw string, want []int, runs int) {
 			eng := newEngine("a", nil)
--- a/io/yuccagate/listener_test.go
+++ b/io/yuccagate/listener_test.go
@@ -19,7 +19,7 @@
 
 // Callers keep connections open that they don't use. When a new one exceeds the bound, the one
 // that has been idle for longest is closed, because the caller that was served last is the
-// likeliest to send again, and a connection that is closed at that moment loses its request.
+// likeliest to send again, and a request that is sent just as its connection is closed is lost.
 func TestLongestIdleConnectionIsClosed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
--- a/io/yuccagate/peers_test.go
+++ b/io/yuccagate/peers_test.go
@@ -15,31 +15,32 @@
 )
 
 var _ = Describe("gateways of one data centre", func() {
-	two := func(slots int, engines ...*engine) (*gate, *gate) {
-		one := newGate("entry-1")
-		other := newGate("entry-2", one.Status().Address)
-		one.configure(1, config(), slots, engines...)
-		other.configure(1, config(), slots, engines...)
-		for _, gt := range []*gate{one, other} {
+	startTwo := func(slots int, engines ...*engine) (*gate, *gate) {
+		first := newGate("entry-1")
+		second := newGate("entry-2", first.Status().Address)
+		first.configure(1, config(), slots, engines...)
+		second.configure(1, config(), slots, engines...)
+		for _, gt := range []*gate{first, second} {
 			Eventually(func() int { return len(gt.Status().Peers) }, 3*time.Second).Should(Equal(1))
 		}
+		// Daemons choose leaders only after they have listened to their peers for 450 ms.
 		time.Sleep(700 * time.Millisecond)
-		return one, other
+		return first, second
 	}
 
-	// Each daemon gets half of the requests. If each filled the targets by its own count only,
-	// they would get twice as many runs as they have slots.
+	// Each daemon gets half of the requests. If each counted only the runs of its own requests,
+	// targets would get twice as many runs as they have slots.
 	It("together give targets only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(40 * time.Millisecond)
 			fmt.Fprint(w, "done")
 		})
-		one, other := two(2, eng)
+		first, second := startTwo(2, eng)
 		var group sync.WaitGroup
 		for turn := range 12 {
 			group.Go(func() {
 				defer GinkgoRecover()
-				gt := []*gate{one, other}[turn%2]
+				gt := []*gate{first, second}[turn%2]
 				Expect(call{path: "/ticket/", id: fmt.Sprint("r", turn)}.do(gt).status).To(Equal(http.StatusOK))
 			})
 		}
@@ -47,37 +48,38 @@
 		Expect(eng.maxRunning.Load()).To(BeNumerically("<=", 3))
 	})
 
-	// The daemon that leads a pool is killed. Requests at the other one must not wait for it.
+	// The daemon that leads a pool is killed. Requests at the other daemon must not wait until that
+	// is noticed.
 	It("decide alone when the leader is gone", func() {
 		eng := newEngine("a", nil)
-		one, other := two(2, eng)
-		Expect(call{path: "/ticket/", id: "before-1"}.do(one).status).To(Equal(http.StatusOK))
-		Expect(call{path: "/ticket/", id: "before-2"}.do(other).status).To(Equal(http.StatusOK))
-		leader, rest := one, other
-		if string(other.Status().Pools[0].Leader) == "entry-2" {
-			leader, rest = other, one
+		first, second := startTwo(2, eng)
+		Expect(call{path: "/ticket/", id: "before-1"}.do(first).status).To(Equal(http.StatusOK))
+		Expect(call{path: "/ticket/", id: "before-2"}.do(second).status).To(Equal(http.StatusOK))
+		leader, survivor := first, second
+		if string(second.Status().Pools[0].Leader) == "entry-2" {
+			leader, survivor = second, first
 		}
 		leader.crash()
-		began := time.Now()
-		Expect(call{path: "/ticket/", id: "after"}.do(rest).status).To(Equal(http.StatusOK))
-		Expect(time.Since(began)).To(BeNumerically("<", 400*time.Millisecond))
-		Eventually(func() string { return string(rest.Status().Pools[0].Leader) }, 3*time.Second).Should(Equal(string(rest.Status().VM)))
+		start := time.Now()
+		Expect(call{path: "/ticket/", id: "after"}.do(survivor).status).To(Equal(http.StatusOK))
+		Expect(time.Since(start)).To(BeNumerically("<", 400*time.Millisecond))
+		Eventually(func() string { return string(survivor.Status().Pools[0].Leader) }, 3*time.Second).Should(Equal(string(survivor.Status().VM)))
 	})
 
 	It("forward configurations", func() {
 		eng := newEngine("a", nil)
-		one, other := two(2, eng)
-		Expect(one.OfferConfiguration(encode(5, config()), "test")).To(Succeed())
-		Eventually(func() int { return int(other.Status().Number) }).Should(Equal(5))
+		first, second := startTwo(2, eng)
+		Expect(first.OfferConfiguration(encode(5, config()), "test")).To(Succeed())
+		Eventually(func() int { return int(second.Status().Number) }).Should(Equal(5))
 	})
 
 	It("forward removals of targets", func() {
 		eng := newEngine("a", nil)
-		one, other := two(2, eng)
-		for _, gt := range []*gate{one, other} {
+		first, second := startTwo(2, eng)
+		for _, gt := range []*gate{first, second} {
 			gt.OfferTargets(nil, []yuccaroster.Removal{{Target: "a", Revision: 9}}, false, 9, true)
 		}
-		for _, gt := range []*gate{one, other} {
+		for _, gt := range []*gate{first, second} {
 			Eventually(func() int { return len(gt.Status().Targets) }).Should(BeZero())
 		}
 	})
@@ -85,34 +87,36 @@
 
 var _ = Describe("gateways of two data centres", func() {
 	// A data centre has lost its connection to the platform, and its daemons are restarted. The
-	// other data centre has the configuration and the targets. Without requesting them there,
-	// the daemons would refuse every caller because they know no target.
+	// other data centre has the configuration and the targets. If the restarted daemons didn't
+	// request them there, they would refuse every caller because they have no targets.
 	It("get configuration and targets from each other when one can't read them", func() {
 		eng := newEngine("a", nil)
-		reads := newGateIn("odessa", "odessa-1")
-		reads.configure(1, config(), 4, eng)
-		cut := newGateIn("austin", "austin-1", reads.Status().Address)
-		Eventually(func() int { return call{path: "/ticket/"}.do(cut).status }, 5*time.Second).Should(Equal(http.StatusOK))
-		reads.OfferTargets(nil, []yuccaroster.Removal{{Target: "a", Revision: 2}}, false, 2, true)
-		Eventually(func() int { return len(cut.Status().Targets) }, 5*time.Second).Should(BeZero())
+		reader := newGateIn("odessa", "odessa-1")
+		reader.configure(1, config(), 4, eng)
+		disconnected := newGateIn("austin", "austin-1", reader.Status().Address)
+		Eventually(func() int { return call{path: "/ticket/"}.do(disconnected).status }, 5*time.Second).Should(Equal(http.StatusOK))
+		reader.OfferTargets(nil, []yuccaroster.Removal{{Target: "a", Revision: 2}}, false, 2, true)
+		Eventually(func() int { return len(disconnected.Status().Targets) }, 5*time.Second).Should(BeZero())
 	})
 
-	// The daemons find one another through a seed, and each data centre has two of them. If the
+	// Each of two data centres has two daemons, which find one another through a seed. If the
 	// connections between the data centres were closed once the daemons of each have found one
 	// another, accounts would get their quotas twice.
 	It("stay connected and count quotas together", func() {
 		eng := newEngine("a", nil)
-		still := func(set *yuccagate.Settings) { set.Bounds.QuotaWindow = time.Hour }
-		one := newGateOf(listen(), "odessa", "odessa-1", still)
-		seed := one.Status().Address
-		all := []*gate{one}
+		hourWindow := func(set *yuccagate.Settings) { set.Bounds.QuotaWindow = time.Hour }
+		first := newGateOf(listen(), "odessa", "odessa-1", hourWindow)
+		seed := first.Status().Address
+		all := []*gate{first}
 		for _, each := range []struct{ centre, vm string }{{"odessa", "odessa-2"}, {"austin", "austin-1"}, {"austin", "austin-2"}} {
-			all = append(all, newGateOf(listen(), yuccaid.Centre(each.centre), each.vm, still, seed))
+			all = append(all, newGateOf(listen(), yuccaid.Centre(each.centre), each.vm, hourWindow, seed))
 		}
 		for _, gt := range all {
 			gt.configure(1, config(), 4, eng)
 		}
-		crossing := func() bool {
+		connected := func() bool {
+			// The keys say whether a connection leads to another data centre. The daemons count
+			// each connection at both of its ends.
 			across := map[bool]int{}
 			for _, gt := range all {
 				for _, peer := range gt.Status().Peers {
@@ -121,9 +125,9 @@
 			}
 			return across[true] >= 2 && across[false] == 4
 		}
-		Eventually(crossing, 5*time.Second).Should(BeTrue())
+		Eventually(connected, 5*time.Second).Should(BeTrue())
 		time.Sleep(time.Second)
-		Consistently(crossing, 1500*time.Millisecond, 50*time.Millisecond).Should(BeTrue())
+		Consistently(connected, 1500*time.Millisecond, 50*time.Millisecond).Should(BeTrue())
 		served := 0
 		for turn := range 60 {
 			got := call{path: "/ticket/", id: fmt.Sprint("r", turn), key: "k3"}.do(all[turn%4])
@@ -147,35 +151,35 @@
 			<-release
 			fmt.Fprint(w, "whole")
 		})
-		one, other := newGate("entry-1"), newGate("entry-2")
-		other.configure(1, config(), 4, eng)
+		first, second := newGate("entry-1"), newGate("entry-2")
+		second.configure(1, config(), 4, eng)
 		got := make(chan response, 1)
-		go func() { got <- call{path: "/ticket/"}.do(other) }()
+		go func() { got <- call{path: "/ticket/"}.do(second) }()
 		Eventually(eng.running.Load).Should(BeEquivalentTo(1))
-		other.Reload(yuccagate.Settings{Seeds: []string{one.Status().Address}})
-		Eventually(func() int { return len(other.Status().Peers) }, 5*time.Second).Should(Equal(1))
+		second.Reload(yuccagate.Settings{Seeds: []string{first.Status().Address}})
+		Eventually(func() int { return len(second.Status().Peers) }, 5*time.Second).Should(Equal(1))
 		close(release)
-		var whole response
-		Eventually(got).Should(Receive(&whole))
-		Expect(whole.body).To(Equal("whole"))
+		var resp response
+		Eventually(got).Should(Receive(&resp))
+		Expect(resp.body).To(Equal("whole"))
 	})
 })
 
 var _ = Describe("gateways that were all restarted", func() {
 	// Until the gateways are connected, each admits requests by itself. If they didn't exchange
-	// what they admitted before, every gateway would admit as much again for an account that
+	// what they admitted before, every gateway would admit a whole quota for an account that
 	// sends without pause.
 	DescribeTable("count what each admitted before they were connected",
 		func(centre yuccaid.Centre, vm string) {
 			eng := newEngine("a", nil)
-			forgot := func(set *yuccagate.Settings) { set.FirstStart, set.Bounds.QuotaWindow = false, time.Hour }
-			// Connections to the second gateway are accepted from the start, because its
-			// listener is open.
+			restarted := func(set *yuccagate.Settings) { set.FirstStart, set.Bounds.QuotaWindow = false, time.Hour }
+			// The second gateway's listener is open before the gateway starts, so that the first
+			// gateway's connection to it is accepted and waits.
 			reserved := listen()
-			early := newGateOf(listen(), "odessa", "odessa-1", forgot, reserved.Addr().String())
+			early := newGateOf(listen(), "odessa", "odessa-1", restarted, reserved.Addr().String())
 			early.configure(1, config(), 4, eng)
 			Expect(call{path: "/ticket/", id: "early", key: "k3"}.do(early).status).To(Equal(http.StatusOK))
-			late := newGateOf(reserved, centre, vm, forgot)
+			late := newGateOf(reserved, centre, vm, restarted)
 			late.configure(1, config(), 4, eng)
 			Expect(call{path: "/ticket/", id: "late", key: "k3"}.do(late).status).To(Equal(http.StatusOK))
 			for _, gt := range []*gate{early, late} {
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -85,8 +85,8 @@
 		Eventually(func() int64 { return gt.Status().OpenRequests }, 6*time.Second).Should(BeZero())
 	})
 
-	// Callers announce long prompts, send most of them and then stop. If the gateway kept all
-	// of that without a bound, its process would exceed the VM's memory and be killed, with
+	// Callers announce long prompts, send most of them and then stop. If the gateway kept what it
+	// received without a bound, its process would exceed the VM's memory and be killed, with
 	// every request that it holds.
 	It("refuses bodies that its memory has no room for, urgent ones last", func() {
 		eng := newEngine("a", nil)
@@ -94,10 +94,11 @@
 		gt.configure(1, rankedConfig(), 4, eng)
 		const sent = 512<<10 - 1
 		part := strings.Repeat("x", sent)
-		each := yuccaspace.RequestOverhead + sent + 1
+		// The buffer of a body has grown to 512 KB, one byte more than was sent.
+		reservedEach := yuccaspace.RequestOverhead + sent + 1
 		for turn := range 5 {
 			dial(gt, requestHead("/lookup/", fmt.Sprint("letter", turn), 1<<20)+part)
-			Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(Equal(yuccaid.Bytes(turn+1) * each))
+			Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(Equal(yuccaid.Bytes(turn+1) * reservedEach))
 		}
 		Expect(readStatus(dial(gt, requestHead("/lookup/", "late", sent)+part))).To(Equal(http.StatusServiceUnavailable))
 		Expect(readStatus(dial(gt, requestHead("/ticket/", "urgent", 64<<10)+part[:64<<10]))).To(Equal(http.StatusOK))
@@ -105,7 +106,8 @@
 		Expect(gt.lines.all()).To(ContainSubstring("memory"))
 	})
 
-	// The memory of requests is free again when they have ended, in whichever way.
+	// Requests end with a response or because their caller leaves. If one of these ways didn't free
+	// their memory, the daemon would sooner or later refuse every request.
 	It("frees all memory of requests that have ended", func() {
 		eng := newEngine("a", nil)
 		gt := newGateWithLimits(8<<20, 0)
@@ -120,14 +122,14 @@
 		Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(BeZero())
 	})
 
-	// The process has descriptors for sixteen callers. All have been served and keep their
-	// connections open. One more caller arrives: one idle connection is closed for it, and no
-	// other is affected.
+	// The process has file descriptors for sixteen callers. All have been served and keep their
+	// connections open. One more caller arrives: one idle connection is closed for it, and the
+	// other connections are not affected.
 	It("closes one idle connection when a caller finds no room", func() {
 		gt := newGateWithLimits(0, 1)
-		kept := config()
-		kept.Limits.IdleTimeout = time.Minute
-		gt.configure(1, kept, 4, newEngine("a", nil))
+		longIdle := config()
+		longIdle.Limits.IdleTimeout = time.Minute
+		gt.configure(1, longIdle, 4, newEngine("a", nil))
 		var conns []net.Conn
 		for turn := range 16 {
 			conn := dial(gt, requestHead("/lookup/", fmt.Sprint("r", turn), 0))
@@ -136,17 +138,17 @@
 		}
 		Expect(readStatus(dial(gt, requestHead("/lookup/", "more", 0)))).To(Equal(http.StatusOK))
 		Expect(gt.Ready()).To(BeTrue())
-		ended := 0
+		closed := 0
 		for turn, conn := range conns {
 			fmt.Fprint(conn, requestHead("/lookup/", fmt.Sprint("again", turn), 0))
 			switch got := readStatus(conn); got {
 			case 0:
-				ended++
+				closed++
 			default:
 				Expect(got).To(Equal(http.StatusOK))
 			}
 		}
-		Expect(ended).To(Equal(1))
+		Expect(closed).To(Equal(1))
 	})
 
 	// All sixteen callers wait for their responses. The connection of one more is closed before
--- a/io/yuccagate/seen_test.go
+++ b/io/yuccagate/seen_test.go
@@ -6,9 +6,10 @@
 	"pgregory.net/rapid"
 )
 
-// Casts of a data centre arrive over two connections. One of them lags by some casts. A cast
-// that it delivers first must be accepted though a later one has arrived, because otherwise a
-// change would be missing for seconds; and a cast that is accepted twice would count twice.
+// Casts of a data centre arrive over two connections, one of which lags by some casts. If a cast
+// arrives for the first time on the lagging connection, it must be accepted even after a later
+// cast, because otherwise a change would be missing for seconds. A cast that is accepted twice
+// would count twice.
 func TestSequenceWindowAcceptsEachCastOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 200), 1, 60, rapid.ID[uint64]).Draw(t, "sent")
--- a/io/yuccagate/stream_test.go
+++ b/io/yuccagate/stream_test.go
@@ -13,18 +13,20 @@
 	. "github.com/onsi/gomega"
 )
 
-func writeEvents(w http.ResponseWriter, from, to int, pause time.Duration) {
+// writeEvents writes the events with the ids from and to and those between, with a gap after each.
+func writeEvents(w http.ResponseWriter, from, to int, gap time.Duration) {
 	for at := from; at <= to; at++ {
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", at, at)
 		http.NewResponseController(w).Flush()
-		time.Sleep(pause)
+		time.Sleep(gap)
 	}
 }
 
-func streamEvents(from, to int, pause time.Duration) http.HandlerFunc {
+// streamEvents returns a target's function answer that responds with a stream of these events.
+func streamEvents(from, to int, gap time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
-		writeEvents(w, from, to, pause)
+		writeEvents(w, from, to, gap)
 	}
 }
 
@@ -53,8 +55,8 @@
 		Expect(gaps[4]).To(BeNumerically(">", 15*time.Millisecond))
 	})
 
-	// A target's response breaks off in the middle of an event. A caller that took the part for
-	// the whole would act on half a note.
+	// A target's response breaks off in the middle of an event. If the caller's response ended
+	// without an error, the caller would take half a note for a complete one.
 	It("never looks whole when it broke off", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
@@ -70,10 +72,10 @@
 		Expect(got.body).NotTo(ContainSubstring("half"))
 	})
 
-	// A target crashes in the middle of an event. Another one can continue after the last
-	// complete event, and the caller gets one stream with nothing missing or repeated.
+	// A target crashes in the middle of an event. Another target can continue after the last
+	// complete event, and the caller has to get one stream with no event missing or repeated.
 	DescribeTable("goes on at another target where its route allows it",
-		func(path string, whole bool) {
+		func(path string, resumed bool) {
 			serve := func(name string) http.HandlerFunc {
 				return func(w http.ResponseWriter, r *http.Request) {
 					w.Header().Set("Content-Type", "text/event-stream")
@@ -93,8 +95,8 @@
 			gt := newGate("entry-1")
 			gt.configure(1, config(), 1, one, two)
 			got := call{path: path}.do(gt)
-			Expect(got.err == nil).To(Equal(whole), "%v", got.err)
-			if !whole {
+			Expect(got.err == nil).To(Equal(resumed), "%v", got.err)
+			if !resumed {
 				Expect(len(one.requests()) + len(two.requests())).To(Equal(1))
 				return
 			}
@@ -130,8 +132,8 @@
 		Expect(runs).To(Equal(2))
 	})
 
-	// A caller closes its connection in the middle of a stream. Otherwise the target would go
-	// on generating events that no caller reads.
+	// A caller closes its connection in the middle of a stream. If the request weren't cancelled
+	// at the target, that would go on generating events that no caller reads.
 	It("ends at the target when its caller leaves", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
