--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -70,8 +70,8 @@
 		Accounts: []yuccaroute.Account{
 			{Name: "rally", Keys: []string{"k1"}},
 			{Name: "small", Keys: []string{"k2"}, Quota: yuccaroute.Quota{Rate: 10, Burst: 20, PerToken: true, DefaultTokens: 5}},
-			// The rate adds next to nothing within the hour that quota windows last in the
-			// tests of quotas.
+			// In the tests of quotas, quota windows last an hour. At this rate the quota grows by
+			// less than 4 tokens in that time.
 			{Name: "still", Keys: []string{"k3"}, Quota: yuccaroute.Quota{Rate: 0.001, Burst: 100, PerToken: true, DefaultTokens: 5}},
 		},
 		Limits: yuccaroute.Limits{Header: 4 << 10, Body: 64 << 10, IdleTimeout: 10 * time.Second},
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -103,8 +103,8 @@
 	rosterVersion   uint64
 	targetsPulledAt time.Time
 	// platformRespondedAt is when the platform last responded to this daemon, platformRevision
-	// the revision up to which this daemon knows its targets, and platformReports the last report of
-	// each peer that reads the platform. platformReportedAt is when this daemon last reported.
+	// the revision up to which this daemon knows its targets, and platformReports the last report
+	// of each peer that reads the platform. platformReportedAt is when this daemon last reported.
 	platformRespondedAt time.Time
 	platformRevision    yuccaroster.Revision
 	platformReports     map[yuccaid.Incarnation]platformReport
--- a/io/yuccagate/metrics.go
+++ b/io/yuccagate/metrics.go
@@ -41,7 +41,7 @@
 }
 
 // answered counts a target's response. The duration timeToFirst is the time from the request's
-// arrival to the first event.
+// arrival to the first event, or to the head of a response that isn't a stream.
 func (met *metrics) answered(rank int, outcome yuccagrant.Outcome, timeToFirst, longestGap time.Duration) {
 	label := rankLabel(rank)
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_answers_total{tier=%q,outcome=%q}", label, outcome)).Inc()
@@ -53,7 +53,7 @@
 }
 
 // sent counts an attempt that was sent to a target, and records how long ago its request arrived.
-// Attempts that this daemon decided on although another daemon leads the pool count as alone.
+// Attempts that this daemon decided on without the pool's leader have the label alone.
 func (met *metrics) sent(rank int, withoutLeader bool, waited time.Duration) {
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_sends_total{tier=%q,alone=\"%t\"}", rankLabel(rank), withoutLeader)).Inc()
 	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_wait_seconds{tier=%q}", rankLabel(rank))).Update(waited.Seconds())
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -177,7 +177,7 @@
 	lastEventID string
 	// headSent reports whether the response's head has been sent to the caller.
 	headSent bool
-	// lastEventAt is when the last event was received from a target.
+	// lastEventAt is when the last event was received from a target, zero if none was.
 	lastEventAt time.Time
 	// result describes the run on the present target as far as it has got.
 	result yuccagrant.Finished
@@ -255,7 +255,7 @@
 
 // delivered reports whether the event with the id has already been sent to the caller. A target
 // that resumes a stream should start after the event whose id it was given. If it starts earlier,
-// this check keeps events from being sent twice. Ids that are no numbers can't be compared, so
+// this check keeps events from being sent twice. Ids that aren't numbers can't be compared, so
 // their events are always sent.
 func (st *stream) delivered(id string) bool {
 	if id == "" || st.lastEventID == "" {
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -225,9 +225,9 @@
 	if limit > 0 && len(raw) > int(limit) {
 		return &Problem{Kind: KindTooLarge}
 	}
-	// If the read deadline stayed set, its expiry later would look as if the caller had left.
-	// After a failure it stays set, because otherwise the server would wait for the rest of the
-	// body before it responds.
+	// If the read deadline stayed set and passed while the request is served, the server would
+	// take it for the caller's leaving. After a failure it stays set, because otherwise the server
+	// would wait for the rest of the body before it responds.
 	_ = control.SetReadDeadline(time.Time{})
 	req.forwardHeader = forwardableHeader(r.Header)
 	req.outgoing = yuccahop.Outgoing{Method: r.Method, URI: r.RequestURI, Host: r.Host, Body: raw}
@@ -302,8 +302,8 @@
 // maxMetricRank is the largest rank that metrics distinguish; larger ranks are counted under it.
 const maxMetricRank = 9
 
-// tier returns the account's rank, which takes precedence over the route's, or zero if the account
-// has none.
+// tier returns the tier that schedulers compare before the route's rank: the account's rank, or
+// zero if the account has none.
 func (req *callerRequest) tier() int {
 	if req.account != nil && req.account.HasRank {
 		return req.account.Rank
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -28,7 +28,7 @@
 
 var errNoMemory = errors.New("the daemon's memory for requests is used up")
 
-// memory accounts for this daemon's memory for requests. It is safe for concurrent use.
+// memory bounds the memory that this daemon's open requests use. It is safe for concurrent use.
 type memory struct {
 	mu      sync.Mutex
 	limiter *yuccaspace.MemoryLimiter
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -55,8 +55,8 @@
 	return resp.StatusCode
 }
 
-// rankedConfig returns the usual configuration, with a lower rank for the lookups' route than
-// for the others, and a limit of 4 MB for bodies.
+// rankedConfig returns the usual configuration, with rank 1 for the lookups' route, which is less
+// urgent than the rank 0 of the other routes, and a limit of 4 MB for bodies.
 func rankedConfig() yuccaroute.Config {
 	changed := config()
 	changed.Routes[0].Rank = 1
@@ -66,8 +66,9 @@
 
 var _ = Describe("a gateway on a small machine", func() {
 	// A caller requests a long response and never reads it. The connection's buffers fill up
-	// and the gateway's writes block. Without a bound, the target's slot would be occupied for
-	// as long as the caller likes, and a few such callers would occupy all slots.
+	// and the gateway's writes block. Without a write deadline, the target's slot would be
+	// occupied until the caller closes its connection, and a few such callers would occupy all
+	// slots.
 	It("frees the slot of a caller that reads nothing when the deadline has passed", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
 			piece := strings.Repeat("x", 64<<10)
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -22,8 +22,10 @@
 
 // attempt is one attempt to have a request served by one target.
 type attempt struct {
-	plc      *placement
-	sentAt   time.Time
+	plc    *placement
+	sentAt time.Time
+	// answer is the target's response, nil if none came, and report what the target stated with
+	// it.
 	answer   *yuccahop.Answer
 	report   TargetReport
 	watchdog *watchdog
@@ -40,8 +42,8 @@
 // run sends the request to a target and relays the response. If the first target certainly
 // didn't run the request, or the request may be repeated, run tries another target.
 func (req *callerRequest) run(ctx context.Context) *Problem {
-	// failure is the last attempt if a target responded to it with an error. It is kept while
-	// another target is tried, in case none can be.
+	// failure is the last attempt if a target responded to it with an error. It is kept until
+	// another target is found: if there is none, its response is relayed.
 	var failure *attempt
 	for {
 		plc, dec, prob := req.awaitTarget(ctx)
@@ -103,8 +105,8 @@
 	return plc, dec, prob
 }
 
-// shouldResend reports whether the request may be sent to another target after an outcome, and
-// counts the resend against the budget.
+// shouldResend reports whether the request may be sent to another target after an outcome, and if
+// so counts the resend against the budget.
 func (req *callerRequest) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
 	allowed, reason := req.mayRepeat(outcome)
 	if allowed && !att.watchdog.resendCharged.Load() && !req.gate.allowResend(req) {
--- a/io/yuccagate/seen.go
+++ b/io/yuccagate/seen.go
@@ -6,8 +6,8 @@
 const sequenceWindowSize = 64
 
 // sequenceWindow records which casts of a series have arrived. Each cast arrives over two
-// connections, one of which may lag. A cast that arrives late for the first time has to be
-// accepted, but only once.
+// connections, one of which may lag. A cast that arrives after a later one has to be accepted the
+// first time, and only then.
 type sequenceWindow struct {
 	// latest is the highest sequence number that has arrived, zero if none has.
 	latest uint64
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -23,8 +23,8 @@
 	// name, since names of pools have no spaces.
 	readerRole = yuccaid.Pool("reader of the platform")
 	// platformStaleAfter is the age of the platform's last response to the reader at which
-	// every daemon reads the platform itself: a little more than the reader's calls take when
-	// nothing changes.
+	// every daemon reads the platform itself. It is slightly longer than one of the reader's
+	// calls takes when nothing changes.
 	platformStaleAfter = 1700 * time.Millisecond
 	// anyPeerPullInterval is the shortest time between two requests to a peer for targets while the
 	// platform can't be read.
@@ -98,9 +98,9 @@
 // daemon is the reader, and otherwise decides whether this daemon may skip reading the platform.
 //
 // Calls to the platform count against a rate limit of the whole fleet, and each is paid for, so
-// one daemon of a data centre reads for all. If that daemon dies, freezes or loses its
-// connection to the platform, its report grows old, and then all daemons read the platform
-// themselves.
+// one daemon of a data centre reads for all. If that daemon's process ends or hangs, or it
+// loses its connection to the platform, its report grows old, and then all daemons read the
+// platform themselves.
 func (gate *Gate) tickReader(now time.Time) {
 	isReader := gate.isReader(now)
 	if isReader && now.Sub(gate.platformReportedAt) >= platformReportInterval && !gate.platformRespondedAt.IsZero() {
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -19,9 +19,9 @@
 	// remoteUsageDelay is the time that a report takes to the other data centres besides the
 	// intervals between reports: two ticks, three hops and the latency between regions.
 	remoteUsageDelay = 100 * time.Millisecond
-	// fullUsageInterval is the time between two casts of all usage of a data centre within the
-	// quotas' windows, because casts are lost when connections break and when another daemon
-	// takes over casting.
+	// fullUsageInterval is the shortest time between two casts of all usage of a data centre
+	// within the quotas' windows. They are needed because casts are lost when connections break
+	// and when another daemon takes over casting.
 	fullUsageInterval = 2 * time.Second
 	// startupShare is the share of quotas that a daemon uses for some tenths of a second after
 	// its start, before it has received the usage of the other daemons. It may be this large
@@ -163,8 +163,8 @@
 
 // mergeTotals merges the totals that a local daemon sends when a connection to it is opened. If
 // that daemon has usage history, its totals include its own usage, and may include usage that
-// other daemons have already reported here. So when this daemon connects to it
-// for the first time, its own totals are not counted separately.
+// other daemons have already reported here. So when this daemon connects to it for the first
+// time, its own totals are not counted separately.
 func (gate *Gate) mergeTotals(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	daemonTotals := message.Mine
 	if message.Knows && !gate.ledger.ConnectedBefore(from) {
