--- a/core/yuccaid/incarnation.go
+++ b/core/yuccaid/incarnation.go
@@ -6,21 +6,22 @@
 	"strings"
 )
 
-// nonceBytes is the length of a nonce: 128 random bits, so that two processes at one
-// address get different ones.
+// nonceBytes is the length of a nonce: 128 random bits, so that no two processes of a VM
+// draw the same nonce.
 const nonceBytes = 16
 
 // Incarnation identifies one process of a daemon: its VM and a nonce drawn at start.
 //
-// A restarted or replaced process has no record of the requests that its predecessor
-// dispatched. If both had the same id, a request that a caller sends again would run
-// twice. The nonce differs, so the new process doesn't own its predecessor's requests.
+// A process that is started after a crash or as a replacement has no record of the requests
+// that its predecessor dispatched. If both processes had the same id, the new one would
+// take itself for the owner of a request that a caller sends again, and dispatch it a second
+// time. The nonces differ, so the new process doesn't own its predecessor's requests.
 type Incarnation struct {
 	VM    VM
 	Nonce string
 }
 
-// NewIncarnation returns the incarnation of a VM with random as its nonce.
+// NewIncarnation returns the incarnation of a VM whose nonce is the given random bytes.
 func NewIncarnation(vm VM, random [nonceBytes]byte) Incarnation {
 	return Incarnation{VM: vm, Nonce: hex.EncodeToString(random[:])}
 }
@@ -40,7 +41,7 @@
 	vm, nonce, found := strings.Cut(s, ".")
 	raw, err := hex.DecodeString(nonce)
 	if !found || !ValidName(vm) || err != nil || len(raw) != nonceBytes {
-		return Incarnation{}, fmt.Errorf("incarnation %q is not of the form vm.nonce: use one that a daemon printed", s)
+		return Incarnation{}, fmt.Errorf("incarnation %q is not a VM's name, a dot and a nonce of 32 hex digits: copy one that a daemon printed", s)
 	}
 	return Incarnation{VM: VM(vm), Nonce: nonce}, nil
 }
--- a/core/yuccaid/name.go
+++ b/core/yuccaid/name.go
@@ -8,8 +8,8 @@
 // Tier names a priority tier. The configuration gives its rank.
 type Tier string
 
-// Pool names the set of targets, in all data centres, that serve one model or one
-// plain service.
+// Pool names the set of targets, in all data centres, that serve one model, or one
+// service that isn't a model.
 type Pool string
 
 // Operation names a kind of request that a pool serves.
--- a/core/yuccaid/request.go
+++ b/core/yuccaid/request.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// requestFields is the number of fields in a request id's text.
-	requestFields = 5
-	// macBytes is the length to which the signature is truncated.
-	macBytes = 16
+	// requestIDParts is the number of parts, separated by dots, of a request id's text.
+	requestIDParts = 5
+	// signatureBytes is the length in bytes to which the HMAC-SHA-256 is truncated.
+	signatureBytes = 16
 )
 
 // ErrForged is returned for a request id that no daemon of this fleet has issued.
 var ErrForged = errors.New("request id is not one of this fleet: open a request and use the id it returns")
 
-// RequestIDFields holds the parts of a request id: the daemon that owns the request,
+// RequestIDFields holds the content of a request id: the daemon that owns the request,
 // a counter that is unique within that daemon, and the time of issue.
 //
 // Issued is a reading of the owner's clock. Only the owner compares it with the current
@@ -35,8 +35,8 @@
 // Key is the secret that signs request ids. All daemons of a fleet share it.
 type Key []byte
 
-// Sign returns the signed id, "vm.nonce.counter.issued.mac", with the numbers in hex
-// and the time of issue in Unix milliseconds.
+// Sign returns the signed id, "vm.nonce.counter.issued.signature", with the numbers and the
+// signature in hex and the time of issue in Unix milliseconds.
 func (fields RequestIDFields) Sign(key Key) RequestID {
 	body := fields.body()
 	return RequestID(body + "." + sign(key, body))
@@ -46,14 +46,15 @@
 // processes get.
 type RequestID string
 
-// Parse checks the signature and returns the id's parts. The error is ErrForged.
+// Parse checks the signature and returns the id's fields. For any other text than the result
+// of Sign with the same key it returns ErrForged.
 func (id RequestID) Parse(key Key) (RequestIDFields, error) {
 	parts := strings.Split(string(id), ".")
-	if len(parts) != requestFields {
+	if len(parts) != requestIDParts {
 		return RequestIDFields{}, ErrForged
 	}
-	body := strings.Join(parts[:requestFields-1], ".")
-	if !hmac.Equal([]byte(sign(key, body)), []byte(parts[requestFields-1])) {
+	body := strings.Join(parts[:requestIDParts-1], ".")
+	if !hmac.Equal([]byte(sign(key, body)), []byte(parts[requestIDParts-1])) {
 		return RequestIDFields{}, ErrForged
 	}
 	owner, err := ParseIncarnation(parts[0] + "." + parts[1])
@@ -80,5 +81,5 @@
 func sign(key Key, body string) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(body))
-	return hex.EncodeToString(mac.Sum(nil)[:macBytes])
+	return hex.EncodeToString(mac.Sum(nil)[:signatureBytes])
 }
--- a/core/yuccaid/request_test.go
+++ b/core/yuccaid/request_test.go
@@ -42,13 +42,15 @@
 	)
 })
 
+// Parse must accept no other text than the result of Sign, for example no other spelling of a
+// number, or one request would have several ids.
 func FuzzRequestText(f *testing.F) {
 	f.Add(string(yuccaid.RequestIDFields{Owner: owner, Counter: 1, Issued: issued}.Sign(fleetKey)))
 	f.Add("a.b.c.d.e")
 	f.Fuzz(func(t *testing.T, s string) {
 		fields, err := yuccaid.RequestID(s).Parse(fleetKey)
 		if err == nil && string(fields.Sign(fleetKey)) != s {
-			t.Fatalf("%q was accepted but is written %q", s, fields.Sign(fleetKey))
+			t.Fatalf("Parse accepted %q, but Sign returns %q for its fields", s, fields.Sign(fleetKey))
 		}
 	})
 }
--- a/core/yuccaid/unit.go
+++ b/core/yuccaid/unit.go
@@ -8,10 +8,11 @@
 // Bytes is a size in bytes.
 type Bytes int64
 
-// TokenRate is a speed in tokens per second.
+// TokenRate is a rate in tokens per second.
 type TokenRate float64
 
-// Duration returns how long n tokens take at the rate, and zero if the rate isn't positive.
+// Duration returns how long count tokens take at the rate, and zero if the rate isn't
+// positive.
 func (rate TokenRate) Duration(count Tokens) time.Duration {
 	if rate <= 0 {
 		return 0
