--- a/core/yuccaroster/entry.go
+++ b/core/yuccaroster/entry.go
@@ -6,8 +6,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Revision is the platform's revision of a registration or its removal. A greater one is
-// newer.
+// Revision is the number that the platform gives to each registration and removal. Of two
+// revisions of a target, the higher is newer.
 type Revision uint64
 
 // Entry is the registration of one target, as the target wrote it.
@@ -23,7 +23,7 @@
 	// the target has restarted under the same name, and the requests and caches of its previous
 	// process are lost.
 	ProcessStart int64 `msgpack:"born"`
-	// WarmAfter is how long after the registration the target stays slow because it is cold.
+	// WarmAfter is how long after its registration the target is still cold, and so slower.
 	WarmAfter time.Duration `msgpack:"warmAfter"`
 	Revision  Revision      `msgpack:"revision"`
 }
--- a/core/yuccaroster/roster.go
+++ b/core/yuccaroster/roster.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// removalGrace is how long a target whose registration lapsed during an outage may take
-	// to register again. A target renews about every second, so a running one is listed again
-	// within two.
+	// removalGrace is how long a target whose registration expired during an outage may take
+	// to register again. A running target renews its registration about every second, so it
+	// is listed again within two seconds.
 	removalGrace = 2 * time.Second
 	// removalRetention is how long a removal is kept, so that an older registration that
 	// another daemon forwards late doesn't add the target again.
@@ -23,10 +23,10 @@
 	records map[yuccaid.Target]*record
 	// version counts the changes to the registered targets.
 	version uint64
-	// nextDue is the earliest due time of a record, zero if no record has one. It spares
-	// Tick the pass over every target of the fleet.
+	// nextDue is the earliest due time of a record, zero if no record has one. Before it, Tick
+	// returns without iterating over all targets of the fleet.
 	nextDue time.Time
-	// usable caches the results of Usable at usableVersion.
+	// usable caches results of Usable. They were computed when version was usableVersion.
 	usable        map[yuccaid.Pool][]Entry
 	usableVersion uint64
 }
@@ -36,10 +36,12 @@
 	entry Entry
 	// revision is the newest revision received, of the entry or of its removal.
 	revision Revision
-	removed  bool
+	// removed is set once a removal has taken effect.
+	removed bool
 	// due is when a tentative removal takes effect, or when the record of a removed target is
 	// deleted.
-	due       time.Time
+	due time.Time
+	// tentative is set while a tentative removal hasn't taken effect.
 	tentative bool
 }
 
@@ -68,8 +70,9 @@
 }
 
 // Remove ends a registration and reports whether that changed the roster. Unless sure is
-// set, the removal is tentative and the target stays for removalGrace: the caller isn't sure
-// if the platform's service was down a moment ago.
+// set, the removal is tentative, and the target stays for removalGrace. A caller must not set
+// sure if the platform's service was down a moment ago, because then the registration may
+// have expired although the target works.
 func (ros *Roster) Remove(now time.Time, removal Removal, sure bool) bool {
 	rec, known := ros.records[removal.Target]
 	if !known || rec.removed || rec.revision > removal.Revision || rec.tentative && !sure {
@@ -85,9 +88,9 @@
 	return true
 }
 
-// ReplaceAll applies a complete list of the registrations at a revision: it puts the entries
-// and removes all other targets, tentatively unless sure is set.
-func (ros *Roster) ReplaceAll(now time.Time, entries []Entry, at Revision, sure bool) {
+// ReplaceAll applies a complete list of the registrations, read at a revision: it adds or
+// updates the listed targets and removes all others, tentatively unless sure is set.
+func (ros *Roster) ReplaceAll(now time.Time, entries []Entry, revision Revision, sure bool) {
 	listed := make(map[yuccaid.Target]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.Target] = true
@@ -95,13 +98,14 @@
 	}
 	for name, rec := range ros.records {
 		if !listed[name] && !rec.removed {
-			ros.Remove(now, Removal{Target: name, Revision: at}, sure)
+			ros.Remove(now, Removal{Target: name, Revision: revision}, sure)
 		}
 	}
 }
 
-// Tick makes the tentative removals whose grace period has passed take effect, and returns
-// the removed targets in the order of their names.
+// Tick confirms the tentative removals whose grace period has passed, and returns their
+// targets in the order of their names. It also deletes the records of removals that are
+// older than removalRetention.
 func (ros *Roster) Tick(now time.Time) []yuccaid.Target {
 	if ros.nextDue.IsZero() || now.Before(ros.nextDue) {
 		return nil
@@ -132,7 +136,7 @@
 	}
 }
 
-// confirmRemoval removes a target for good and keeps its record for removalRetention.
+// confirmRemoval makes a removal take effect. The record is kept for removalRetention.
 func (ros *Roster) confirmRemoval(now time.Time, rec *record) {
 	rec.removed = true
 	rec.tentative = false
@@ -162,7 +166,7 @@
 }
 
 // Removals returns the registrations that ended within removalRetention, in the order of the
-// targets' names, to be sent to a daemon that may still have them.
+// targets' names. They are sent to daemons that may still list these targets.
 func (ros *Roster) Removals() []Removal {
 	var list []Removal
 	for name, rec := range ros.records {
@@ -182,14 +186,14 @@
 	}
 	list, known := ros.usable[pool]
 	if !known {
-		list = ros.list(pool)
+		list = ros.computeUsable(pool)
 		ros.usable[pool] = list
 	}
 	return list
 }
 
-// list computes the result of Usable.
-func (ros *Roster) list(pool yuccaid.Pool) []Entry {
+// computeUsable returns the result of Usable for a pool, without the cache.
+func (ros *Roster) computeUsable(pool yuccaid.Pool) []Entry {
 	var list []Entry
 	for _, rec := range ros.records {
 		if !rec.removed && rec.entry.Pool == pool && !rec.entry.Leaving {
--- a/core/yuccaroster/roster_test.go
+++ b/core/yuccaroster/roster_test.go
@@ -40,8 +40,9 @@
 		Expect(found.Leaving).To(BeTrue())
 	})
 
-	// A target ends its registration while the platform's service works. A daemon that keeps it
-	// for the grace period sends it requests that are refused or lost once its process has ended.
+	// A target ends its registration while the platform's service works. A daemon that kept the
+	// target for the grace period would send it requests that are refused, or lost once the
+	// target's process has ended.
 	It("drops a target at once when its removal is sure", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
@@ -49,7 +50,8 @@
 		Expect(ros.Usable("draft")).To(BeEmpty())
 	})
 
-	// A slow daemon forwards a registration that has been removed in the meantime.
+	// A slow daemon forwards a registration that has been removed in the meantime. If it were
+	// added again, requests would be sent to a target that no longer runs.
 	It("doesn't add a target again on a registration older than its removal", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
@@ -75,11 +77,13 @@
 		Expect(names(ros.Usable("draft"))).To(Equal([]yuccaid.Target{"b"}))
 	})
 
+	// Unsure lists arrive more often than the grace period is long. If each restarted it, a
+	// target that ended during the outage would never be removed.
 	It("doesn't restart the grace period with each unsure list", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
-		for at := range 10 {
-			ros.ReplaceAll(start.Add(time.Duration(at)*300*time.Millisecond), nil, yuccaroster.Revision(5+at), false)
+		for i := range 10 {
+			ros.ReplaceAll(start.Add(time.Duration(i)*300*time.Millisecond), nil, yuccaroster.Revision(5+i), false)
 		}
 		Expect(ros.Tick(start.Add(2 * time.Second))).To(Equal([]yuccaid.Target{"a"}))
 	})
