--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -8,23 +8,23 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// heartbeatsToAll increments the version and returns a full heartbeat for each connected
-// peer.
+// heartbeatsToAll increments the version of this daemon's state and returns a full heartbeat
+// for each connected peer.
 func (peers *Peers) heartbeatsToAll(now time.Time) []Message {
 	peers.self.Version++
 	peers.self.Sequence++
-	peers.lastHeartbeats = now
+	peers.lastSentToAll = now
 	heartbeat := peers.Heartbeat()
 	return peers.messagesToAll(func(to yuccaid.Incarnation) Message {
 		return Message{To: to, Heartbeat: &heartbeat}
 	})
 }
 
-// pulsesToAll returns a pulse for each connected peer. The pulse requests a full heartbeat
-// from each peer that isn't in the view.
+// pulsesToAll returns a pulse for each connected peer. The pulse to a peer that isn't in the
+// view requests its full heartbeat.
 func (peers *Peers) pulsesToAll(now time.Time) []Message {
 	peers.self.Sequence++
-	peers.lastHeartbeats = now
+	peers.lastSentToAll = now
 	return peers.messagesToAll(func(to yuccaid.Incarnation) Message {
 		return Message{To: to, Pulse: peers.newPulse(!peers.isInView(to))}
 	})
@@ -33,8 +33,8 @@
 // fullHeartbeat returns a full heartbeat for one peer.
 func (peers *Peers) fullHeartbeat(to yuccaid.Incarnation) Message {
 	peers.self.Sequence++
-	fullHeartbeat := peers.Heartbeat()
-	return Message{To: to, Heartbeat: &fullHeartbeat}
+	heartbeat := peers.Heartbeat()
+	return Message{To: to, Heartbeat: &heartbeat}
 }
 
 // pulse returns a pulse for one peer, sent between two rounds of pulsesToAll.
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -21,7 +21,7 @@
 
 // SetListings replaces the platform's list of VMs and deletes the candidates received from
 // peers. The list only names candidates. It lags behind by a different time on each daemon,
-// so if members were taken from it, the views of two daemons would differ for as long.
+// so if it decided who is a member, the views of two daemons would differ for that time.
 func (peers *Peers) SetListings(_ time.Time, listings []Listing) {
 	peers.invalidate()
 	clear(peers.listed)
@@ -32,7 +32,7 @@
 	}
 }
 
-// ListedLeaving reports whether the platform's list has this daemon's own VM as leaving.
+// ListedLeaving reports whether the platform's list marks this daemon's own VM as leaving.
 // The caller then calls Leave, so that this daemon's heartbeats report it and all views
 // agree on it.
 func (peers *Peers) ListedLeaving() bool {
@@ -57,23 +57,25 @@
 }
 
 // Roster returns all candidates that this daemon knows, itself included, in the order of
-// their VMs' names. It is sent to peers that can't read the platform's list.
+// their VMs' names. It is sent to peers that can't read the platform's list. In this package
+// a roster lists daemons, unlike that of package yuccaroster, which lists targets.
 func (peers *Peers) Roster() []Listing {
 	return slices.SortedFunc(maps.Values(peers.candidates()), compareListings)
 }
 
-// rosterSenders is how many daemons of a data centre send their roster to a peer that already
-// knows at least half of their candidates.
+// rosterSenders is how many daemons of a data centre send their roster to a peer of that data
+// centre that already knows at least half of the candidates there. See sendsRosterTo.
 const rosterSenders = 8
 
 // sendsRosterTo reports whether this daemon sends its roster to the sender of a heartbeat,
 // which hasn't read the platform's list.
 //
-// If all daemons sent theirs, each new daemon in a fleet of 300 would get 100 rosters of 300
-// names, more traffic than all other messages. A daemon that knows less than half of the
-// candidates gets the roster of each daemon that it connects to. Later rosters only add what
-// has changed meanwhile, so rosterSenders of them are enough, plus those of the seeds. All
-// daemons dial the seeds, so two daemons that start together always learn of each other.
+// If all daemons sent theirs, a new daemon in a fleet of 300 that connects to 100 of them would
+// get 100 rosters of 300 names, more traffic than all other messages. A daemon that knows
+// less than half of the candidates gets the roster of each daemon that it connects to. Later
+// rosters only add what has changed meanwhile, so those of rosterSenders daemons and of the
+// seeds are enough. All daemons dial the seeds, so two daemons that start together always
+// learn of each other.
 func (peers *Peers) sendsRosterTo(heartbeat *Heartbeat) bool {
 	own := peers.self.Centre
 	if heartbeat.Centre != own || 2*heartbeat.Knows < peers.candidateCount(own) || slices.Contains(peers.seeds, peers.self.Address) {
@@ -115,11 +117,11 @@
 }
 
 // candidates merges the platform's list, the listings received from peers and the members
-// in the view. A later one of these replaces an earlier one of the same VM.
+// in the view. If a VM is in several of them, the last in this order counts.
 func (peers *Peers) candidates() map[yuccaid.VM]Listing {
 	all := maps.Clone(peers.listed)
-	for vm, recv := range peers.received {
-		all[vm] = recv.Listing
+	for vm, candidate := range peers.received {
+		all[vm] = candidate.Listing
 	}
 	for vm, other := range peers.peers {
 		if other.inView {
@@ -130,7 +132,7 @@
 	return all
 }
 
-// listingOf returns a member without its incarnation.
+// listingOf returns the listing of a member's VM.
 func listingOf(member Member) Listing {
 	return Listing{VM: member.VM, Centre: member.Centre, Address: member.Address, Leaving: member.Leaving}
 }
--- a/core/yuccapeer/derived.go
+++ b/core/yuccapeer/derived.go
@@ -2,8 +2,9 @@
 
 import "yuccacleat/core/yuccaid"
 
-// maxCachedPerKind bounds the entries of each map of a viewCache. Pools are also named by
-// requests, so requests for many pools that don't exist must not fill the memory.
+// maxCachedPerKind bounds the entries of each map of a viewCache; a full map is cleared.
+// Pools are also named by requests, so without a bound requests for many pools that don't
+// exist would fill the memory.
 const maxCachedPerKind = 1024
 
 // viewCache holds results computed from the view until the view changes.
@@ -19,14 +20,15 @@
 	gateways       map[yuccaid.Centre][]Member
 }
 
-// invalidate clears the cache and marks the dial plan as stale. It must be called after
-// each change of the view or of the candidates.
+// invalidate clears the cache and marks the dial plan as stale. A method that changes the
+// view or the candidates must call it before any cached result is used again.
 func (peers *Peers) invalidate() {
 	peers.dialPlanStale = true
 	peers.viewCache = viewCache{}
 }
 
-// cached returns the cached value of a key, or computes and caches it.
+// cached returns the cached value of a key, or computes and caches it. It clears a map that
+// has maxCachedPerKind entries.
 func cached[K comparable, V any](values *map[K]V, key K, compute func() V) V {
 	if value, found := (*values)[key]; found {
 		return value
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -41,6 +41,7 @@
 		addresses[seed] = true
 	}
 	delete(addresses, peers.self.Address)
+	// A VM that isn't in the list, and a link without a VM, have added an empty address.
 	delete(addresses, "")
 	return slices.Sorted(maps.Keys(addresses))
 }
@@ -49,9 +50,10 @@
 // platform's list has been read.
 //
 // Seeds are dialled even when a candidate of this data centre is known, because they also
-// lead to other data centres: if daemons stopped dialling after the first daemon of their
-// own, data centres would never learn of one another. Seeds that are candidates are left
-// out, because otherwise each seed would have a connection from every daemon.
+// lead to other data centres: if a daemon stopped dialling them once it had found a daemon
+// of its own data centre, data centres would never learn of one another. Seeds that are
+// candidates are left out, because otherwise every daemon of the fleet would hold a
+// connection to each seed.
 func (peers *Peers) unknownSeeds(candidates map[yuccaid.VM]Listing) []string {
 	if !peers.self.Unlisted {
 		return nil
@@ -118,7 +120,7 @@
 }
 
 // Gateways returns the live daemons of this data centre that hold the connections to other
-// data centres, according to this daemon's view. While views differ one may be missing.
+// data centres, according to this daemon's view. While views differ, a gateway may be missing.
 func (peers *Peers) Gateways() []Member {
 	own := peers.self.Centre
 	return cached(&peers.viewCache.gateways, own, func() []Member {
@@ -131,28 +133,28 @@
 // assignGateways returns a data centre's gateways to each other data centre.
 //
 // With rendezvous hashing all daemons make the same choice, and it stays the same when
-// other daemons join or leave. Hashing alone would give some daemons several times the
-// links of others, and each link costs heartbeats. So a daemon with an even share of the
-// links is only picked when all have theirs.
+// other daemons join or leave. Hashing alone would give some daemons several times as
+// many links as others, and each link costs heartbeats. So a daemon that already has
+// evenShare links is only picked for another when no daemon with fewer is left.
 func (peers *Peers) assignGateways(byCentre map[yuccaid.Centre][]yuccaid.VM, from yuccaid.Centre) map[yuccaid.Centre][]yuccaid.VM {
 	vms := byCentre[from]
-	others := slices.DeleteFunc(slices.Sorted(maps.Keys(byCentre)), func(centre yuccaid.Centre) bool {
+	otherCentres := slices.DeleteFunc(slices.Sorted(maps.Keys(byCentre)), func(centre yuccaid.Centre) bool {
 		return centre == from
 	})
-	assigned := make(map[yuccaid.Centre][]yuccaid.VM, len(others))
+	assigned := make(map[yuccaid.Centre][]yuccaid.VM, len(otherCentres))
 	if len(vms) == 0 {
 		return assigned
 	}
-	evenShare := (peers.gatewayCount*len(others) + len(vms) - 1) / len(vms)
-	links := make(map[yuccaid.VM]int, len(vms))
-	for _, centre := range others {
+	evenShare := (peers.gatewayCount*len(otherCentres) + len(vms) - 1) / len(vms)
+	linkCount := make(map[yuccaid.VM]int, len(vms))
+	for _, centre := range otherCentres {
 		ranked := sortByHash(vms, "gateway to "+string(centre))
 		slices.SortStableFunc(ranked, func(a, b yuccaid.VM) int {
-			return cmp.Compare(max(links[a]+1, evenShare), max(links[b]+1, evenShare))
+			return cmp.Compare(max(linkCount[a]+1, evenShare), max(linkCount[b]+1, evenShare))
 		})
 		picked := ranked[:min(peers.gatewayCount, len(ranked))]
 		for _, vm := range picked {
-			links[vm]++
+			linkCount[vm]++
 		}
 		assigned[centre] = picked
 	}
@@ -176,9 +178,9 @@
 	return order
 }
 
-// updateGatewayLink keeps the VM that is dialled in another data centre while it is connected
-// or within GatewayConnectTimeout, and otherwise switches to the next VM of the order that
-// wasn't tried yet.
+// updateGatewayLink updates which VM of another data centre this daemon dials. It keeps the
+// current VM while it is connected, and for GatewayConnectTimeout after it was last connected
+// or first dialled. Then it switches to the next VM in the order that hasn't been tried yet.
 func (peers *Peers) updateGatewayLink(now time.Time, centre yuccaid.Centre, order []yuccaid.VM) {
 	link := peers.gatewayLinks[centre]
 	if link == nil {
--- a/core/yuccapeer/leader.go
+++ b/core/yuccapeer/leader.go
@@ -12,36 +12,37 @@
 // Rendezvous hashing over the live members gives every daemon with the same view the same
 // leader without any message. When a member joins or leaves, only the pools that it gains
 // or loses change their leader. Leaving members lead only if there is no other member,
-// because a data centre of which all daemons leave must still process its queued requests.
+// because the requests that are queued in a data centre must still be processed when all its
+// daemons are leaving.
 func (peers *Peers) Leader(pool yuccaid.Pool) (Member, bool) {
 	if !peers.Settled() {
 		return Member{}, false
 	}
 	return cached(&peers.viewCache.leaders, pool, func() Member {
-		staying := peers.Live(peers.self.Centre)
-		if len(staying) == 0 {
-			staying = peers.members(func(member Member) bool {
+		eligible := peers.Live(peers.self.Centre)
+		if len(eligible) == 0 {
+			eligible = peers.members(func(member Member) bool {
 				return member.Centre == peers.self.Centre
 			})
 		}
-		return highestWeight(staying, string(pool))
+		return highestWeight(eligible, string(pool))
 	}), true
 }
 
 // highestWeight returns the member whose VM has the greatest hash weight for the topic.
 func highestWeight(members []Member, topic string) Member {
 	var best Member
-	var top uint64
+	var bestWeight uint64
 	for i, member := range members {
-		if weight := hashWeight(topic, string(member.VM)); i == 0 || weight > top {
-			best, top = member, weight
+		if weight := hashWeight(topic, string(member.VM)); i == 0 || weight > bestWeight {
+			best, bestWeight = member, weight
 		}
 	}
 	return best
 }
 
-// hashWeight returns the rendezvous hash of a topic and a name. The zero byte separates
-// them, because neither contains one.
+// hashWeight returns the rendezvous hash of a topic and a name. They are separated by a
+// zero byte, which neither contains.
 func hashWeight(topic, name string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -19,8 +19,8 @@
 	Leaving     bool                `json:"leaving"`
 }
 
-// Listing is one VM of the platform's list. VM and Centre are empty if only the address is
-// known, from the settings.
+// Listing is one VM of the platform's list or of a peer's roster. VM and Centre are empty if
+// only the address is known, from the settings.
 type Listing struct {
 	VM      yuccaid.VM     `msgpack:"vm"`
 	Centre  yuccaid.Centre `msgpack:"centre"`
@@ -28,16 +28,19 @@
 	Leaving bool           `msgpack:"leaving"`
 }
 
-// Heartbeat is the full state that a daemon reports to the others.
+// Heartbeat is the full state that a daemon reports to its peers.
 type Heartbeat struct {
-	Incarnation yuccaid.Incarnation  `msgpack:"incarnation"`
-	Centre      yuccaid.Centre       `msgpack:"centre"`
-	Address     string               `msgpack:"address"`
-	Number      yuccaid.ConfigNumber `msgpack:"number"`
-	Digest      yuccaid.Digest       `msgpack:"digest"`
-	Leaving     bool                 `msgpack:"leaving"`
-	Sequence    uint64               `msgpack:"sequence"`
-	Version     uint64               `msgpack:"version"`
+	Incarnation yuccaid.Incarnation `msgpack:"incarnation"`
+	Centre      yuccaid.Centre      `msgpack:"centre"`
+	Address     string              `msgpack:"address"`
+	// Number and Digest are those of the configuration that the sender has accepted.
+	Number  yuccaid.ConfigNumber `msgpack:"number"`
+	Digest  yuccaid.Digest       `msgpack:"digest"`
+	Leaving bool                 `msgpack:"leaving"`
+	// Sequence is greater than that of each earlier heartbeat or pulse that the sender sent to
+	// this receiver. Version increases when Number, Digest or Leaving changes.
+	Sequence uint64 `msgpack:"sequence"`
+	Version  uint64 `msgpack:"version"`
 	// Unlisted is set until the sender has read the platform's list. Knows is the number of
 	// candidates in its data centre that it knows, itself included.
 	Unlisted bool `msgpack:"unlisted"`
@@ -74,7 +77,7 @@
 		return err
 	}
 	if length != pulseFields {
-		return fmt.Errorf("pulse of %d fields instead of %d: upgrade the older daemon", length, pulseFields)
+		return fmt.Errorf("received a pulse with %d fields instead of %d, so its sender runs another version: upgrade the older of the two daemons", length, pulseFields)
 	}
 	return dec.DecodeMulti(&pulse.Sequence, &pulse.Version, &pulse.RequestHeartbeat)
 }
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -9,55 +9,62 @@
 
 // Peers is one daemon's view of the other daemons. It isn't safe for concurrent use.
 type Peers struct {
-	self         Heartbeat
-	timing       Timing
+	// self is this daemon's state, as its full heartbeats report it.
+	self   Heartbeat
+	timing Timing
+	// gatewayCount is how many daemons of a data centre are gateways to each other one.
 	gatewayCount int
-	seeds        []string
+	// seeds are the addresses that are dialled until the platform's list has been read.
+	seeds []string
 
 	// listed is the platform's list.
 	listed map[yuccaid.VM]Listing
-	// received are the candidates received from peers, while there is no list.
+	// received are the candidates received from peers, until the platform's list has been read.
 	received map[yuccaid.VM]receivedListing
 	// peers has the peer on each VM, in the view or not.
 	peers map[yuccaid.VM]*peer
-	// departed are the incarnations that were replaced, with when each is forgotten.
-	departed map[yuccaid.Incarnation]time.Time
+	// replaced are the incarnations that were replaced by another on their VM, with the time at
+	// which each is forgotten.
+	replaced map[yuccaid.Incarnation]time.Time
 	// connected are the incarnations with a connection to this daemon.
 	connected map[yuccaid.Incarnation]Member
-	// rosterSent are the peers that were sent a roster on their current connection. If one
-	// were sent for each full heartbeat, each change would cause as many rosters as the
-	// square of the number of daemons.
+	// rosterSent are the peers that were sent a roster on their current connection. If a
+	// roster were sent for each full heartbeat, each change would cause as many rosters as
+	// the square of the number of daemons.
 	rosterSent map[yuccaid.Incarnation]bool
 	// dialPlan has the VMs to dial in each data centre that this daemon is a gateway to, in
 	// order. It has to be made again if dialPlanStale is set, or if Settled no longer
 	// returns dialPlanSettled.
 	dialPlan map[yuccaid.Centre][]yuccaid.VM
-	// gatewayVMs are the VMs of this data centre that are gateways according to the plan.
+	// gatewayVMs are the VMs of this data centre that are gateways according to the dial plan.
 	gatewayVMs      map[yuccaid.VM]bool
 	dialPlanStale   bool
 	viewCache       viewCache
 	dialPlanSettled bool
-	gatewayLinks    map[yuccaid.Centre]*gatewayLink
-	// lastTick is the time of the last Tick.
+	// gatewayLinks has the link to each data centre that this daemon is a gateway to.
+	gatewayLinks map[yuccaid.Centre]*gatewayLink
+	// lastTick is the time of the last Tick, and zero before the first.
 	lastTick time.Time
-	// settledAt is when this daemon may name leaders.
+	// settledAt is from when this daemon may name leaders.
 	settledAt time.Time
-	// lastHeartbeats is when heartbeats or pulses were last sent to all peers.
-	lastHeartbeats time.Time
+	// lastSentToAll is when full heartbeats or pulses were last sent to all connected peers.
+	lastSentToAll time.Time
 }
 
 // peer is the current incarnation on one VM.
 type peer struct {
-	member   Member
-	config   PeerConfig
+	member Member
+	config PeerConfig
+	// sequence is that of the last message that was accepted from the peer, and version that
+	// of its last full heartbeat.
 	sequence uint64
 	version  uint64
 	// inView is set by a full heartbeat, and reset when the peer's heartbeats are overdue
 	// or this process was paused. The other fields are kept then, so that a late message
 	// can still be recognised by its sequence number.
 	inView bool
-	// expires is when the peer is removed from the view unless it sends a message.
-	expires time.Time
+	// expiresAt is when the peer is removed from the view unless it sends a message.
+	expiresAt time.Time
 }
 
 // New returns a view that contains only this daemon.
@@ -76,7 +83,7 @@
 		listed:       make(map[yuccaid.VM]Listing),
 		received:     make(map[yuccaid.VM]receivedListing),
 		peers:        make(map[yuccaid.VM]*peer),
-		departed:     make(map[yuccaid.Incarnation]time.Time),
+		replaced:     make(map[yuccaid.Incarnation]time.Time),
 		connected:    make(map[yuccaid.Incarnation]Member),
 		rosterSent:   make(map[yuccaid.Incarnation]bool),
 		gatewayLinks: make(map[yuccaid.Centre]*gatewayLink),
@@ -121,10 +128,11 @@
 
 // HandleConnect records that a connection to the member is up and returns the full heartbeat
 // to send to it. The member joins the view with its own first heartbeat. A member on this
-// daemon's own VM, its predecessor or its successor, is ignored.
+// daemon's own VM, which is this process's predecessor or successor, is ignored, and so is a
+// replaced incarnation.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
-	_, departed := peers.departed[member.Incarnation]
-	if departed || member.VM == peers.self.Incarnation.VM {
+	_, replaced := peers.replaced[member.Incarnation]
+	if replaced || member.VM == peers.self.Incarnation.VM {
 		return Change{}
 	}
 	peers.connected[member.Incarnation] = member
@@ -136,27 +144,27 @@
 func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
 	delete(peers.connected, inc)
 	delete(peers.rosterSent, inc)
-	other := peers.peers[inc.VM]
-	if other == nil || other.member.Incarnation != inc {
+	disconnected := peers.peers[inc.VM]
+	if disconnected == nil || disconnected.member.Incarnation != inc {
 		return
 	}
-	if grace := now.Add(peers.timing.DisconnectGrace); grace.Before(other.expires) {
-		other.expires = grace
+	if graceEnd := now.Add(peers.timing.DisconnectGrace); graceEnd.Before(disconnected.expiresAt) {
+		disconnected.expiresAt = graceEnd
 	}
 }
 
-// HandleHeartbeat applies a full heartbeat. It is ignored if its sender isn't connected, that
-// is, unless HandleConnect was called for the sender and HandleDisconnect wasn't since.
+// HandleHeartbeat applies a full heartbeat. It is ignored if its sender isn't connected:
+// HandleConnect must have been called for the sender, and HandleDisconnect not since.
 func (peers *Peers) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Change {
 	var change Change
-	other := peers.accept(now, heartbeat.Incarnation, heartbeat.Sequence, &change)
-	if other == nil {
+	sender := peers.accept(now, heartbeat.Incarnation, heartbeat.Sequence, &change)
+	if sender == nil {
 		return change
 	}
-	if other.inView && other.version > heartbeat.Version {
+	if sender.inView && sender.version > heartbeat.Version {
 		return change
 	}
-	peers.update(other, heartbeat, &change)
+	peers.update(sender, heartbeat, &change)
 	if heartbeat.Centre != peers.self.Centre {
 		// A daemon that isn't a gateway closes its connection to a seed in another data centre
 		// after the first heartbeat, often before a roster has arrived. If the seed weren't
@@ -169,34 +177,35 @@
 	}
 	change.NewerConfig = peers.NewerConfig()
 	if heartbeat.Number == peers.self.Number && heartbeat.Digest != peers.self.Digest {
-		change.Diverged = append(change.Diverged, other.config)
+		change.Diverged = append(change.Diverged, sender.config)
 	}
 	return change
 }
 
-// HandlePulse applies a pulse from an incarnation. If the full heartbeat of its version
-// hasn't been received, the change contains a pulse that requests it.
+// HandlePulse applies a pulse from an incarnation. The change contains this daemon's full
+// heartbeat if the pulse requests it. If the full heartbeat of the pulse's version hasn't been
+// received, the change contains a pulse that requests that.
 func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
-	other := peers.accept(now, from, pulse.Sequence, &change)
+	sender := peers.accept(now, from, pulse.Sequence, &change)
 	if pulse.RequestHeartbeat && peers.isConnected(from) {
 		change.Messages = append(change.Messages, peers.fullHeartbeat(from))
 	}
-	if other == nil {
+	if sender == nil {
 		return change
 	}
-	if !other.inView || other.version != pulse.Version {
+	if !sender.inView || sender.version != pulse.Version {
 		change.Messages = append(change.Messages, peers.pulse(from, true))
 	}
 	return change
 }
 
 // Tick removes the peers whose heartbeats are overdue and returns the pulses that are due.
-// It detects by the gap since the last tick that this process was paused.
+// A long gap since the last call shows that this process was paused.
 //
-// After a pause a process would find the heartbeats of all peers overdue, or would act as
-// the leader that it was although it has been replaced. So the whole view expires first, and
-// the daemon names no leader until it has received heartbeats for SettleFor.
+// After a pause a process would find the heartbeats of all peers overdue, or would still act
+// as a leader although another daemon leads the pool by now. So the whole view expires
+// first, and the daemon names no leader until it has received heartbeats for SettleFor.
 func (peers *Peers) Tick(now time.Time) Change {
 	if peers.lastTick.IsZero() {
 		peers.settledAt = now.Add(peers.timing.SettleFor)
@@ -206,11 +215,11 @@
 	peers.lastTick = now
 	var change Change
 	if paused {
-		change = peers.resume(now, gap)
+		change = peers.expireAll(now, gap)
 	}
 	peers.expireSilent(now, &change)
 	peers.deleteOld(now)
-	if now.Sub(peers.lastHeartbeats) >= peers.timing.HeartbeatEvery {
+	if now.Sub(peers.lastSentToAll) >= peers.timing.HeartbeatEvery {
 		peers.updateGatewayLinks(now)
 		change.Messages = append(change.Messages, peers.pulsesToAll(now)...)
 	}
@@ -224,14 +233,14 @@
 // not have advanced.
 func (peers *Peers) CheckClocks(now time.Time, monotonic, wall time.Duration) Change {
 	if ahead := wall - monotonic; ahead > peers.timing.PauseLimit {
-		return peers.resume(now, ahead)
+		return peers.expireAll(now, ahead)
 	}
 	return Change{}
 }
 
 // Live returns the members of a data centre that are live and not leaving, this daemon
-// included, in the order of their names. In other data centres it only includes the few
-// members that this daemon is connected to.
+// included, in the order of their names. For another data centre it only includes the
+// few members that this daemon is connected to.
 //
 // The slice is shared between callers and must not be modified.
 func (peers *Peers) Live(centre yuccaid.Centre) []Member {
@@ -246,7 +255,7 @@
 func (peers *Peers) SetSeeds(addresses []string) { peers.seeds = addresses }
 
 // Find returns the live member on a VM, or else the VM's candidate, whose incarnation is
-// unknown.
+// unknown. It returns false if the VM is neither.
 func (peers *Peers) Find(vm yuccaid.VM) (Member, bool) {
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
--- a/core/yuccapeer/share.go
+++ b/core/yuccapeer/share.go
@@ -5,13 +5,13 @@
 // TargetShare is the share of a data centre's targets that this daemon's side of a network
 // partition uses.
 //
-// A partition inside a data centre leaves a leader on each side. If both used all slots of
-// every target, engines would get twice the requests that keep their own queues short, and
-// urgent requests would wait behind bulk ones there. So a side with more than half of the
-// candidates live uses all targets. A smaller side uses only those that rendezvous hashing
-// over the candidates assigns to one of its live daemons. Candidates come from the
-// platform's list, which lags behind, so if most daemons die at once, the others use a
-// share of the targets until the list is up to date.
+// A partition inside a data centre leaves a leader on each side. If both leaders used all
+// slots of every target, an engine would get twice the number of requests at which its own
+// queue stays short, and urgent requests would wait behind bulk requests in that queue. So a
+// side with more than half of the candidates live uses all targets. A smaller side uses only
+// those that rendezvous hashing over the candidates assigns to one of its live daemons.
+// Candidates come from the platform's list, which lags behind. So if most daemons die at
+// once, the surviving ones use a share of the targets until the list is up to date.
 type TargetShare struct {
 	whole      bool
 	liveVMs    map[yuccaid.VM]bool
@@ -43,9 +43,9 @@
 	return share.whole || share.liveVMs[highestWeight(share.candidates, string(tgt)).VM]
 }
 
-// Select returns those of a pool's targets that are in the share, or all of them if none
-// is: requests that wait behind those of the other side are better than requests that
-// can't run at all.
+// Select returns those of a pool's targets that are in the share. If none is, it returns all
+// of them, because requests that wait behind those of the other side are better than
+// requests that can't run at all.
 func (share TargetShare) Select(targets []yuccaid.Target) []yuccaid.Target {
 	var selected []yuccaid.Target
 	for _, tgt := range targets {
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -7,45 +7,45 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// accept returns the peer that sent a message with a sequence number. It returns nil for a
-// message that is late or a duplicate, that comes from this daemon's own VM, from a departed
-// incarnation or from one that isn't connected.
+// accept returns the peer that sent a message with a sequence number, and records that the
+// peer is alive. It returns nil for a message that is late or a duplicate, that comes from this
+// daemon's own VM, from a replaced incarnation or from one that isn't connected.
 //
-// Two incarnations of one VM may both send messages: the old one was paused while its VM was
-// replaced, and resumes with its connections and its address. If the latest message decided,
-// they would replace each other in turn. So the one in the view stays while it is connected,
-// unless the platform's list has the address of the other.
+// Two incarnations of one VM may both send messages: the old process was paused while its VM
+// was replaced, and resumes with its connections and its address. If the latest message
+// decided, the two would replace each other in turn. So the current incarnation stays while
+// it is connected, unless the platform's list has the address of the new one.
 func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
-	if _, departed := peers.departed[inc]; departed || !peers.isConnected(inc) {
+	if _, replaced := peers.replaced[inc]; replaced || !peers.isConnected(inc) {
 		return nil
 	}
-	other := peers.peers[inc.VM]
-	if other != nil && other.member.Incarnation != inc {
-		if !peers.replaces(now, other, peers.connected[inc], change) {
+	current := peers.peers[inc.VM]
+	if current != nil && current.member.Incarnation != inc {
+		if !peers.tryReplace(now, current, peers.connected[inc], change) {
 			return nil
 		}
-		other = nil
+		current = nil
 	}
-	if other == nil {
-		other = &peer{member: peers.connected[inc]}
-		peers.peers[inc.VM] = other
+	if current == nil {
+		current = &peer{member: peers.connected[inc]}
+		peers.peers[inc.VM] = current
 	}
-	if other.sequence >= sequence && other.sequence > 0 {
+	if current.sequence >= sequence && current.sequence > 0 {
 		return nil
 	}
-	other.sequence = sequence
-	other.expires = now.Add(peers.timing.ExpireAfter)
-	return other
+	current.sequence = sequence
+	current.expiresAt = now.Add(peers.timing.ExpireAfter)
+	return current
 }
 
-// update applies a full heartbeat to its sender.
-func (peers *Peers) update(other *peer, heartbeat Heartbeat, change *Change) {
-	before, inView := other.member, other.inView
+// update applies a full heartbeat to the peer that sent it.
+func (peers *Peers) update(sender *peer, heartbeat Heartbeat, change *Change) {
+	before, inView := sender.member, sender.inView
 	after := heartbeat.member()
-	other.member = after
-	other.version = heartbeat.Version
-	other.config = PeerConfig{Peer: heartbeat.Incarnation, Number: heartbeat.Number, Digest: heartbeat.Digest}
-	other.inView = true
+	sender.member = after
+	sender.version = heartbeat.Version
+	sender.config = PeerConfig{Peer: heartbeat.Incarnation, Number: heartbeat.Number, Digest: heartbeat.Digest}
+	sender.inView = true
 	if inView && before == after {
 		return
 	}
@@ -56,24 +56,24 @@
 	peers.invalidate()
 }
 
-// replaces reports whether the newcomer replaces the current incarnation on its VM, and if
-// so removes the current one. The removed incarnation counts as departed, unless the
-// platform's list has its address: then it may only have been cut off while its predecessor
-// sent messages, and may return.
-func (peers *Peers) replaces(now time.Time, other *peer, newcomer Member, change *Change) bool {
-	inc := other.member.Incarnation
-	listed := peers.listed[inc.VM].Address
-	currentListed := listed == other.member.Address && listed != newcomer.Address
-	newcomerListed := listed == newcomer.Address && listed != other.member.Address
+// tryReplace removes the current incarnation on a VM if the newcomer may replace it, and
+// reports whether it did. The removed incarnation counts as replaced from then on, unless
+// the platform's list has its address: then the newcomer may be its predecessor, which sends
+// messages while the removed incarnation is cut off, and the latter may return.
+func (peers *Peers) tryReplace(now time.Time, current *peer, newcomer Member, change *Change) bool {
+	inc := current.member.Incarnation
+	listedAddress := peers.listed[inc.VM].Address
+	currentListed := listedAddress == current.member.Address && listedAddress != newcomer.Address
+	newcomerListed := listedAddress == newcomer.Address && listedAddress != current.member.Address
 	if peers.isConnected(inc) && !newcomerListed {
 		return false
 	}
 	if !currentListed {
-		peers.departed[inc] = now.Add(peers.timing.ForgetAfter)
+		peers.replaced[inc] = now.Add(peers.timing.ForgetAfter)
 		delete(peers.connected, inc)
 	}
 	delete(peers.peers, inc.VM)
-	peers.remove(other, change)
+	peers.remove(current, change)
 	return true
 }
 
@@ -87,20 +87,22 @@
 }
 
 // expireSilent removes the peers whose heartbeats are overdue from the view. They don't
-// count as departed, even when they were leaving: such a daemon may have been cut off while
-// it finishes its requests. If other daemons then ignored it while it still has them in its
-// view, it would send requests to the wrong leader from then on.
+// count as replaced, even when they were leaving: such a daemon may have been cut off while
+// it finishes its requests. If the other daemons ignored its messages from then on, it would
+// still have them in its view, but name other leaders than they do, and send requests to
+// the wrong one.
 func (peers *Peers) expireSilent(now time.Time, change *Change) {
 	for _, other := range peers.peers {
-		if !now.Before(other.expires) {
+		if !now.Before(other.expiresAt) {
 			peers.remove(other, change)
 		}
 	}
 	slices.SortFunc(change.Removed, compareMembers)
 }
 
-// resume expires the whole view after a pause of this process.
-func (peers *Peers) resume(now time.Time, pausedFor time.Duration) Change {
+// expireAll removes all peers from the view after a pause of this process, and returns the
+// pulses that request their full heartbeats.
+func (peers *Peers) expireAll(now time.Time, pausedFor time.Duration) Change {
 	change := Change{Resumed: true, PausedFor: pausedFor}
 	for _, other := range peers.peers {
 		peers.remove(other, &change)
@@ -111,23 +113,24 @@
 	return change
 }
 
-// deleteOld deletes what is older than ForgetAfter. VMs are replaced all the time, so the
-// maps would grow without bound.
+// deleteOld deletes the expired peers, received listings and replaced incarnations that are
+// older than ForgetAfter. VMs are replaced all the time, so otherwise the maps would grow
+// without bound.
 func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.peers {
-		if now.Sub(other.expires) > peers.timing.ForgetAfter {
+		if now.Sub(other.expiresAt) > peers.timing.ForgetAfter {
 			delete(peers.peers, vm)
 		}
 	}
-	for vm, recv := range peers.received {
-		if !now.Before(recv.forgetAt) {
+	for vm, candidate := range peers.received {
+		if !now.Before(candidate.forgetAt) {
 			delete(peers.received, vm)
 			peers.invalidate()
 		}
 	}
-	for inc, forgetAt := range peers.departed {
+	for inc, forgetAt := range peers.replaced {
 		if !now.Before(forgetAt) {
-			delete(peers.departed, inc)
+			delete(peers.replaced, inc)
 		}
 	}
 }
@@ -140,9 +143,9 @@
 	for _, other := range peers.peers {
 		config := other.config
 		higher := config.Number > best.Number
-		earlier := config.Number == best.Number && config.Number > peers.self.Number &&
+		firstByName := config.Number == best.Number && config.Number > peers.self.Number &&
 			config.Peer.String() < best.Peer.String()
-		if other.inView && (higher || earlier) {
+		if other.inView && (higher || firstByName) {
 			best = config
 		}
 	}
