--- a/core/yuccapeer/bench_test.go
+++ b/core/yuccapeer/bench_test.go
@@ -9,15 +9,15 @@
 	"yuccacleat/core/yuccapeer"
 )
 
-// BenchmarkTurn measures the calls that a daemon makes to its view in one turn of its control
-// loop, in a fleet of three data centres.
+// BenchmarkTurn measures the methods of a view that a daemon calls in one turn of its control
+// loop. Each case is a number of daemons, in three data centres.
 func BenchmarkTurn(b *testing.B) {
 	for _, daemons := range []int{7, 30, 100, 400} {
 		b.Run(fmt.Sprint(daemons), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			view := yuccapeer.New(benchMember(0))
+			view := yuccapeer.New(testMember(0))
 			for index := 1; index < daemons; index++ {
-				other := benchMember(index)
+				other := testMember(index)
 				view.HandleConnect(now, other)
 				view.HandleHeartbeat(now, yuccapeer.Heartbeat{
 					Incarnation: other.Incarnation, Centre: other.Centre, Address: other.Address, Sequence: 1, Version: 1, Unlisted: true,
@@ -37,8 +37,8 @@
 	}
 }
 
-// benchMember returns the member with an index, in one of three data centres.
-func benchMember(index int) yuccapeer.Member {
+// testMember returns the member with an index, in one of three data centres.
+func testMember(index int) yuccapeer.Member {
 	vm := yuccaid.VM(fmt.Sprintf("vm-%03d", index))
 	return yuccapeer.Member{
 		VM: vm, Centre: yuccaid.Centre(fmt.Sprintf("centre-%d", index%3)), Address: fmt.Sprintf("10.0.%d.%d:1", index/250, index%250),
--- a/core/yuccapeer/cost_test.go
+++ b/core/yuccapeer/cost_test.go
@@ -19,13 +19,15 @@
 	headerBytes = 20 + 32
 )
 
-// cost is what membership costs a daemon: the bytes of the frames that it sent, the bytes
-// that it sent and received with headers and acknowledgements (totals while they are
-// counted, per second in the result of measure), and its connections, all of them and those
-// to other data centres.
+// cost is what membership costs a daemon. Bytes are totals in fleet.costs, and per second in
+// the result of measure.
 type cost struct {
-	frames, sent, received  float64
-	linkCount, outsideLinks int
+	// frames is the bytes of the frames that the daemon sent.
+	frames float64
+	// sent and received are bytes including headers and acknowledgements.
+	sent, received float64
+	// connectionCount counts all connections, and remoteCount those to other data centres.
+	connectionCount, remoteCount int
 }
 
 // fleet runs daemons and counts the bytes of the messages that they send.
@@ -34,11 +36,12 @@
 	costs map[*process]*cost
 }
 
-// newFleet starts daemons, lets them connect and begins to count.
+// newFleet starts count daemons in each data centre and lets them connect. From then on
+// the bytes of their messages are counted.
 func newFleet(tb testing.TB, centres, count int) *fleet {
 	flt := &fleet{world: newWorld(1, 500*time.Millisecond, centres, count)}
 	flt.advance(20)
-	flt.world.sent = func(from, to *process, message yuccapeer.Message) {
+	flt.world.onSend = func(from, to *process, message yuccapeer.Message) {
 		size := frameSize(tb, message)
 		flt.costs[from].frames += size
 		flt.costs[from].sent += size + headerBytes
@@ -55,25 +58,25 @@
 func (flt *fleet) measure(seconds, notes int) cost {
 	flt.costs = make(map[*process]*cost)
 	for _, proc := range flt.processes {
-		flt.costs[proc] = &cost{linkCount: len(proc.links), outsideLinks: outsideLinks(proc)}
+		flt.costs[proc] = &cost{connectionCount: len(proc.connections), remoteCount: countRemote(proc)}
 	}
 	for range notes {
-		flt.accept()
+		flt.acceptNote()
 	}
 	flt.advance(int(time.Duration(seconds) * time.Second / flt.step))
 	var worst cost
-	for _, own := range flt.costs {
-		worst.frames = max(worst.frames, own.frames/float64(seconds))
-		worst.sent = max(worst.sent, own.sent/float64(seconds))
-		worst.received = max(worst.received, own.received/float64(seconds))
-		worst.linkCount = max(worst.linkCount, own.linkCount)
-		worst.outsideLinks = max(worst.outsideLinks, own.outsideLinks)
+	for _, daemonCost := range flt.costs {
+		worst.frames = max(worst.frames, daemonCost.frames/float64(seconds))
+		worst.sent = max(worst.sent, daemonCost.sent/float64(seconds))
+		worst.received = max(worst.received, daemonCost.received/float64(seconds))
+		worst.connectionCount = max(worst.connectionCount, daemonCost.connectionCount)
+		worst.remoteCount = max(worst.remoteCount, daemonCost.remoteCount)
 	}
 	return worst
 }
 
-// accept has every daemon accept one release note.
-func (flt *fleet) accept() {
+// acceptNote has every daemon accept one release note.
+func (flt *fleet) acceptNote() {
 	for _, proc := range flt.processes {
 		proc.number++
 		digest := yuccaid.Digest(fmt.Sprintf("%064d", proc.number))
@@ -94,10 +97,10 @@
 	return float64(len(raw))
 }
 
-// outsideLinks counts a process's connections to other data centres.
-func outsideLinks(proc *process) int {
+// countRemote counts a process's connections to other data centres.
+func countRemote(proc *process) int {
 	count := 0
-	for _, conn := range proc.links {
+	for _, conn := range proc.connections {
 		if conn.ends[0].Centre != conn.ends[1].Centre {
 			count++
 		}
@@ -109,26 +112,27 @@
 // volume. This test fails if a change makes heartbeats so long or so frequent that a daemon
 // exceeds costLimit.
 func TestHeartbeatsStayCheap(t *testing.T) {
+	// Twelve heartbeat intervals.
 	const seconds = 18
 	flt := newFleet(t, 14, 28)
 	for _, notes := range []int{0, 1} {
-		found := flt.measure(seconds, notes)
-		t.Logf("14 data centres of 28, %d release notes in %d s, bytes per second of the most loaded daemon: "+
-			"%.0f in frames sent, %.0f sent and %.0f received with headers and acknowledgements; %d links, at most %d outside",
-			notes, seconds, found.frames, found.sent, found.received, found.linkCount, found.outsideLinks)
-		if worst := max(found.sent, found.received); worst >= costLimit {
-			t.Errorf("heartbeats cost %.0f bytes per second, the limit is %d", worst, costLimit)
+		measured := flt.measure(seconds, notes)
+		t.Logf("14 data centres of 28 daemons, %d release notes in %d s, bytes per second of the most loaded daemon: "+
+			"%.0f in frames sent, %.0f sent and %.0f received with headers and acknowledgements; %d connections, at most %d of them to other data centres",
+			notes, seconds, measured.frames, measured.sent, measured.received, measured.connectionCount, measured.remoteCount)
+		if worst := max(measured.sent, measured.received); worst >= costLimit {
+			t.Errorf("heartbeats cost the most loaded daemon %.0f bytes per second in one direction, the limit is %d", worst, costLimit)
 		}
 	}
 }
 
 func BenchmarkHeartbeats(b *testing.B) {
 	flt := newFleet(b, 14, 28)
-	var found cost
+	var measured cost
 	for b.Loop() {
-		found = flt.measure(3, 0)
+		measured = flt.measure(3, 0)
 	}
-	b.ReportMetric(found.frames, "frameB/s")
-	b.ReportMetric(found.sent, "wireB/s")
-	b.ReportMetric(float64(found.outsideLinks), "outsideLinks")
+	b.ReportMetric(measured.frames, "frameB/s")
+	b.ReportMetric(measured.sent, "wireB/s")
+	b.ReportMetric(float64(measured.remoteCount), "outsideLinks")
 }
--- a/core/yuccapeer/derived_test.go
+++ b/core/yuccapeer/derived_test.go
@@ -12,16 +12,17 @@
 
 var _ = Describe("what was worked out from the view", func() {
 	// Daemons join, stop sending, leave and return, listings arrive from the platform and from
-	// other daemons, and this daemon is paused. If a leader or a member were cached from
-	// before such a change, requests would be sent to a daemon that no longer runs.
+	// other daemons, and this daemon is paused. If the view still returned a
+	// leader or a member that was cached before such a change, requests would be sent to a
+	// daemon that no longer runs.
 	It("is never older than the view", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := time.Unix(1000, 0)
-			view := yuccapeer.New(benchMember(0))
+			view := yuccapeer.New(testMember(0))
 			sequence := uint64(0)
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				sequence++
-				other := benchMember(rapid.IntRange(1, 9).Draw(t, "who"))
+				other := testMember(rapid.IntRange(1, 9).Draw(t, "who"))
 				other.Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
 				listing := yuccapeer.Listing{VM: other.VM, Centre: other.Centre, Address: other.Address, Leaving: other.Leaving}
 				switch rapid.IntRange(0, 9).Draw(t, "step") {
@@ -54,7 +55,7 @@
 	})
 })
 
-// results returns the results of all methods of a view that are cached.
+// results returns the results of the methods of a view that use its cache.
 func results(view *yuccapeer.Peers) []any {
 	leader, found := view.Leader("pool")
 	return []any{
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -16,7 +16,8 @@
 
 func poolNamed(i int) yuccaid.Pool { return yuccaid.Pool(fmt.Sprintf("pool-%d", i)) }
 
-// leaders returns the leaders of some pools in a process's view.
+// leaders returns the leaders of eight pools in a process's view, and nothing until the
+// process has settled.
 func leaders(proc *process) []yuccaid.Incarnation {
 	var all []yuccaid.Incarnation
 	for i := range 8 {
@@ -35,7 +36,7 @@
 		for _, member := range proc.peers.Live(proc.Centre) {
 			age := wld.now.Sub(proc.received[member.Incarnation])
 			if member.Incarnation != proc.Incarnation && age > yuccapeer.DefaultTiming().ExpireAfter+wld.step {
-				return fmt.Sprintf("%s holds %s for live after %s", proc.VM, member.VM, age)
+				return fmt.Sprintf("%s still has %s in its view, %s after its last message", proc.VM, member.VM, age)
 			}
 		}
 	}
@@ -43,16 +44,16 @@
 		return ""
 	}
 	for _, proc := range wld.current() {
-		if wld.hasOnlySuperseded(proc.partition) {
+		if wld.lacksSuccessor(proc.side) {
 			continue
 		}
-		var top yuccaid.ConfigNumber
+		var highest yuccaid.ConfigNumber
 		for _, other := range wld.current() {
-			if proc.partition != other.partition {
+			if proc.side != other.side {
 				continue
 			}
-			top = max(top, other.number)
-			if slices.ContainsFunc(leaders(proc), func(inc yuccaid.Incarnation) bool { return wld.superseded[inc] }) {
+			highest = max(highest, other.number)
+			if slices.ContainsFunc(leaders(proc), func(inc yuccaid.Incarnation) bool { return wld.replaced[inc] }) {
 				return fmt.Sprintf("%s names a leader that was replaced", proc.VM)
 			}
 			if named, otherNamed := leaders(proc), leaders(other); !slices.Equal(named, otherNamed) {
@@ -60,29 +61,29 @@
 			}
 		}
 		if !proc.peers.Settled() {
-			return fmt.Sprintf("%s names no leaders", proc.VM)
+			return fmt.Sprintf("%s names no leaders, although it has been undisturbed for long enough to settle", proc.VM)
 		}
-		if found := proc.peers.NewerConfig().Number; top > proc.number && found != top {
-			return fmt.Sprintf("%s has %d and takes %d for the highest, not %d", proc.VM, proc.number, found, top)
+		if found := proc.peers.NewerConfig().Number; highest > proc.number && found != highest {
+			return fmt.Sprintf("%s has configuration %d and reports %d as the highest of its peers, instead of %d", proc.VM, proc.number, found, highest)
 		}
 	}
 	return ""
 }
 
-// hasOnlySuperseded reports whether a replaced process still runs on a side of the partition
-// that its successor can't be reached from. The daemons there can't know that it was
-// replaced, so their views may differ.
-func (wld *world) hasOnlySuperseded(partition int) bool {
+// lacksSuccessor reports whether a replaced process still runs on a side of the partition,
+// and its successor on the other side. The daemons on the first side can't know that the
+// process was replaced, so their views may differ.
+func (wld *world) lacksSuccessor(side int) bool {
 	return slices.ContainsFunc(wld.processes, func(old *process) bool {
-		return old.partition == partition && !old.dead && wld.superseded[old.Incarnation] &&
-			!slices.ContainsFunc(wld.current(), func(successor *process) bool { return successor.VM == old.VM && successor.partition == partition })
+		return old.side == side && !old.dead && wld.replaced[old.Incarnation] &&
+			!slices.ContainsFunc(wld.current(), func(successor *process) bool { return successor.VM == old.VM && successor.side == side })
 	})
 }
 
 // A data centre is partitioned, processes are paused, die, are replaced or leave, and
 // messages are lost, late or duplicated, in any order and at the same time. If a replaced
-// process were added to a view again, or if two daemons went on leading the same pool, a
-// target would get twice the requests and urgent ones would wait.
+// process were added to a view again, or if two daemons kept leading the same pool, both
+// would fill a target's slots, and urgent requests would wait behind the excess.
 func TestMembersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wld := newWorld(rapid.Uint64().Draw(t, "seed"), 100*time.Millisecond, 1, 5)
@@ -91,16 +92,16 @@
 			return func(*rapid.T) {
 				if proc := pick(); !proc.dead {
 					act(proc)
-					wld.disturbed(wld.now)
+					wld.recordDisturbance(wld.now)
 				}
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) { wld.advance(rapid.IntRange(1, 100).Draw(t, "steps")) },
-			"cut":  disturb(func(proc *process) { proc.partition = 1 }),
+			"cut":  disturb(func(proc *process) { proc.side = 1 }),
 			"heal": disturb(func(*process) {
 				for _, proc := range wld.processes {
-					proc.partition = 0
+					proc.side = 0
 				}
 			}),
 			"pause": disturb(func(proc *process) { proc.paused = true }),
@@ -108,9 +109,9 @@
 				proc.paused = false
 				wld.runOnce(proc)
 			}),
-			"noise": disturb(func(*process) { wld.noisy = !wld.noisy }),
+			"noise": disturb(func(*process) { wld.unreliable = !wld.unreliable }),
 			"restart": disturb(func(proc *process) {
-				if !wld.superseded[proc.Incarnation] {
+				if !wld.replaced[proc.Incarnation] {
 					wld.replace(proc, rapid.Bool().Draw(t, "died"))
 				}
 			}),
@@ -132,7 +133,7 @@
 				}
 			},
 		})
-		wld.noisy = false
+		wld.unreliable = false
 		wld.advance(200)
 		if violation := wld.violation + wld.disagreement(); violation != "" {
 			t.Fatalf("after 20 quiet seconds: %s", violation)
@@ -145,23 +146,24 @@
 // and withdrawn targets would still be used there.
 func TestNewsReachesEveryCentre(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const centres, count = 6, 4
-		wld := newWorld(1, 500*time.Millisecond, centres, count)
+		const centres, daemonsPerCentre = 6, 4
+		wld := newWorld(1, 500*time.Millisecond, centres, daemonsPerCentre)
 		wld.advance(20)
 		for _, proc := range wld.processes {
 			proc.dead = rapid.Float64Range(0, 1).Draw(t, proc.Address) < 0.6
 		}
 		if rapid.Bool().Draw(t, "cut") {
-			for _, proc := range wld.processes[:count] {
-				proc.partition = 1
+			for _, proc := range wld.processes[:daemonsPerCentre] {
+				proc.side = 1
 			}
 		}
-		// This is long enough for a gateway to try every VM of another data centre.
-		wld.advance(2 * int((count+3)*yuccapeer.DefaultTiming().GatewayConnectTimeout/time.Second))
+		// Two steps are a second. The run is long enough for a gateway to try every VM of another
+		// data centre.
+		wld.advance(2 * int((daemonsPerCentre+3)*yuccapeer.DefaultTiming().GatewayConnectTimeout/time.Second))
 		current := wld.current()
 		for _, proc := range current {
 			for _, other := range current {
-				if proc.partition == other.partition && !reachable(proc)[other.Incarnation] {
+				if proc.side == other.side && !reachable(proc)[other.Incarnation] {
 					t.Fatalf("no connections lead from %s to %s", proc.Address, other.Address)
 				}
 			}
@@ -169,12 +171,12 @@
 	})
 }
 
-// reachable returns the incarnations that connections lead to from a process, directly or
-// over others.
+// reachable returns the incarnations to which connections lead from a process, directly or
+// via other processes. The process itself is included.
 func reachable(from *process) map[yuccaid.Incarnation]bool {
 	seen := map[yuccaid.Incarnation]bool{from.Incarnation: true}
 	for queue := []*process{from}; len(queue) > 0; queue = queue[1:] {
-		for _, conn := range queue[0].links {
+		for _, conn := range queue[0].connections {
 			for _, end := range conn.ends {
 				if !seen[end.Incarnation] {
 					seen[end.Incarnation] = true
@@ -196,8 +198,8 @@
 	})
 
 	// A process is paused, or its whole VM is suspended, and resumes minutes later. If it
-	// still acted as the leader that it was, it would grant slots that its successor has
-	// already granted to other requests.
+	// still acted as a leader, it would grant slots that the pool's new leader has already
+	// granted to other requests.
 	DescribeTable("expires before anything else after a pause",
 		func(wake func() yuccapeer.Change) {
 			change := wake()
@@ -253,9 +255,9 @@
 
 	It("reports peers that have another configuration under the same number", func() {
 		wld.apply(first, first.peers.SetConfig(wld.now, 1, "a"))
-		beat := second.peers.Heartbeat()
-		beat.Sequence, beat.Version, beat.Number, beat.Digest = 1e6, 1e6, 1, "b"
-		Expect(first.peers.HandleHeartbeat(wld.now, beat).Diverged).To(HaveLen(1))
+		heartbeat := second.peers.Heartbeat()
+		heartbeat.Sequence, heartbeat.Version, heartbeat.Number, heartbeat.Digest = 1e6, 1e6, 1, "b"
+		Expect(first.peers.HandleHeartbeat(wld.now, heartbeat).Diverged).To(HaveLen(1))
 	})
 
 	It("reports that the platform lists its own VM as leaving", func() {
@@ -300,10 +302,10 @@
 		Expect(newcomer.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
 	})
 
-	// A hundred daemons start and each dials the seeds in other data centres. Those that aren't
-	// gateways close the connection after the first heartbeat, before a roster has arrived. If
-	// they didn't keep the seed as a candidate, they would dial it again and again, and the
-	// seeds would do nothing but accept connections.
+	// A hundred daemons start and each dials the seeds in other data centres. The daemons that
+	// aren't gateways close the connection after the first heartbeat, before a roster has
+	// arrived. If they didn't keep the seed as a candidate, they would dial it again at once
+	// each time, and the seeds would be overloaded with new connections.
 	It("doesn't dial a seed in another data centre again after its first heartbeat", func() {
 		remote := yuccapeer.Member{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"}
 		remote.Incarnation = yuccaid.NewIncarnation("far", [16]byte{7})
@@ -320,16 +322,16 @@
 		newcomer.HandleDisconnect(wld.now, remote.Incarnation)
 		later := wld.now.Add(5 * time.Second)
 		newcomer.Tick(later)
-		Expect(newcomer.Live("milano")).To(BeEmpty(), "it isn't in the view any more")
+		Expect(newcomer.Live("milano")).To(BeEmpty(), "the seed should have been removed from the view")
 		Expect(newcomer.Candidates("milano")).To(HaveLen(1))
 		newcomer.Tick(wld.now.Add(2 * time.Hour))
 		Expect(newcomer.Candidates("milano")).To(BeEmpty())
-		Expect(newcomer.Dial()).To(ContainElement(remote.Address), "it was forgotten")
+		Expect(newcomer.Dial()).To(ContainElement(remote.Address), "the seed should be dialled again once its listing is forgotten")
 	})
 
 	// While the platform's list can't be read, full heartbeats are answered by a roster. Each
-	// change of the configuration causes a full heartbeat from every peer, so if each were
-	// answered, a hundred daemons would send one another ten thousand rosters.
+	// change of the configuration causes a full heartbeat from every peer, so if each
+	// heartbeat were answered, a hundred daemons would send one another ten thousand rosters.
 	It("sends a roster once for each connection", func() {
 		unlisted := second.peers.Heartbeat()
 		unlisted.Unlisted = true
@@ -365,7 +367,7 @@
 		const members, pools = 28, 1000
 		wld := newWorld(1, 500*time.Millisecond, 1, members)
 		wld.advance(20)
-		watcher, departing := wld.processes[0], wld.processes[5]
+		watcher, failing := wld.processes[0], wld.processes[5]
 		leaderVMs := func() []yuccaid.VM {
 			var vms []yuccaid.VM
 			for i := range pools {
@@ -376,23 +378,23 @@
 			return vms
 		}
 		before := leaderVMs()
-		share := make(map[yuccaid.VM]int)
+		poolCount := make(map[yuccaid.VM]int)
 		for _, vm := range before {
-			share[vm]++
+			poolCount[vm]++
 		}
-		Expect(share).To(HaveLen(members))
-		Expect(share).To(HaveEach(And(BeNumerically(">", pools/members/3), BeNumerically("<", 3*pools/members))))
-		departing.dead = true
+		Expect(poolCount).To(HaveLen(members))
+		Expect(poolCount).To(HaveEach(And(BeNumerically(">", pools/members/3), BeNumerically("<", 3*pools/members))))
+		failing.dead = true
 		wld.advance(20)
 		moved := 0
 		for i, vm := range leaderVMs() {
 			if vm != before[i] {
 				moved++
-				Expect(before[i]).To(Equal(departing.VM))
+				Expect(before[i]).To(Equal(failing.VM))
 			}
 		}
-		Expect(moved).To(Equal(share[departing.VM]))
-		wld.start(yuccapeer.Listing{VM: departing.VM, Centre: departing.Centre, Address: departing.Address})
+		Expect(moved).To(Equal(poolCount[failing.VM]))
+		wld.start(yuccapeer.Listing{VM: failing.VM, Centre: failing.Centre, Address: failing.Address})
 		wld.advance(20)
 		Expect(leaderVMs()).To(Equal(before))
 	})
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -17,12 +17,14 @@
 // daemon to another arrive in the order in which they were sent.
 type coldStart struct {
 	// pick returns the index of the event that happens next among count possible ones.
-	pick      func(count int) int
-	now       time.Time
-	members   []yuccapeer.Member
-	peers     []*yuccapeer.Peers
+	pick    func(count int) int
+	now     time.Time
+	members []yuccapeer.Member
+	peers   []*yuccapeer.Peers
+	// byAddress has the index of the daemon that listens at an address.
 	byAddress map[string]int
-	linked    map[[2]int]bool
+	// connected has the pairs of indices of daemons that are connected, in both orders.
+	connected map[[2]int]bool
 	// queues has the messages that were sent from one daemon to another and haven't arrived,
 	// by the indices of the two.
 	queues map[[2]int][]any
@@ -33,7 +35,7 @@
 // newColdStart creates count daemons. The seeds are the first seedCount of them, and one
 // address at which no daemon listens.
 func newColdStart(pick func(int) int, count, seedCount int) *coldStart {
-	cold := &coldStart{pick: pick, now: time.Unix(1e6, 0), byAddress: make(map[string]int), linked: make(map[[2]int]bool), queues: make(map[[2]int][]any)}
+	cold := &coldStart{pick: pick, now: time.Unix(1e6, 0), byAddress: make(map[string]int), connected: make(map[[2]int]bool), queues: make(map[[2]int][]any)}
 	for i := range count {
 		vm := yuccaid.VM(fmt.Sprintf("vm-%d", i))
 		member := yuccapeer.Member{VM: vm, Centre: "odessa", Address: fmt.Sprintf("10.0.0.%d:7400", i), Incarnation: yuccaid.NewIncarnation(vm, [16]byte{byte(i)})}
@@ -56,8 +58,8 @@
 	for i, from := range cold.peers {
 		for _, address := range from.Dial() {
 			j, exists := cold.byAddress[address]
-			if exists && !cold.linked[[2]int{i, j}] {
-				possible = append(possible, func() { cold.link(i, j) })
+			if exists && !cold.connected[[2]int{i, j}] {
+				possible = append(possible, func() { cold.connect(i, j) })
 			}
 		}
 		for j := range cold.peers {
@@ -73,9 +75,9 @@
 	return true
 }
 
-// link connects two daemons.
-func (cold *coldStart) link(i, j int) {
-	cold.linked[[2]int{i, j}], cold.linked[[2]int{j, i}] = true, true
+// connect connects two daemons.
+func (cold *coldStart) connect(i, j int) {
+	cold.connected[[2]int{i, j}], cold.connected[[2]int{j, i}] = true, true
 	cold.send(i, cold.peers[i].HandleConnect(cold.now, cold.members[j]))
 	cold.send(j, cold.peers[j].HandleConnect(cold.now, cold.members[i]))
 }
@@ -139,15 +141,16 @@
 // One VM of a large data centre is replaced. If it exchanged rosters with each of the other
 // 39 daemons, those 78 rosters would be most of the fleet's membership traffic.
 func TestANewcomerGetsTheRostersOfAFew(t *testing.T) {
-	const daemons, rostersAtMost = 40, 40
+	const daemons, maxRosters = 40, 40
 	for seed := range uint64(5) {
 		cold := newColdStart(rand.New(rand.NewPCG(seed, 0)).IntN, daemons, 2)
 		last := daemons - 1
+		// First, all daemons but the newcomer connect to each other and exchange rosters.
 		newcomer := cold.peers[last]
 		cold.peers = cold.peers[:last]
 		for i := range last {
 			for j := range i {
-				cold.link(i, j)
+				cold.connect(i, j)
 			}
 		}
 		for pair := range cold.queues {
@@ -155,12 +158,13 @@
 				cold.deliver(pair[0], pair[1])
 			}
 		}
+		// Then the newcomer joins, and only the rosters sent from here on count.
 		cold.peers = append(cold.peers, newcomer)
 		cold.rosters = 0
 		for cold.step() {
 		}
-		if known := len(newcomer.Live("odessa")); known != daemons || cold.rosters > rostersAtMost {
-			t.Errorf("knows %d of %d daemons by %d rosters", known, daemons, cold.rosters)
+		if known := len(newcomer.Live("odessa")); known != daemons || cold.rosters > maxRosters {
+			t.Errorf("the newcomer knows %d of %d daemons, and %d rosters were sent", known, daemons, cold.rosters)
 		}
 	}
 }
--- a/core/yuccapeer/share_test.go
+++ b/core/yuccapeer/share_test.go
@@ -13,21 +13,22 @@
 
 var _ = Describe("the share of targets in a network partition", func() {
 	// A switch fails and partitions a data centre. If both sides used all slots of every target,
-	// engines would queue twice the requests and urgent ones would wait.
+	// engines would get twice as many requests as intended, and urgent requests would wait in
+	// the engines' queues.
 	DescribeTable("contains all targets on one side at most, and the shares of smaller sides are disjoint",
 		func(daemons int, side func(i int) int) {
 			now := time.Unix(1_700_000_000, 0)
 			var listings []yuccapeer.Listing
-			var all []*yuccapeer.Peers
+			var views []*yuccapeer.Peers
 			for i := range daemons {
 				inc := yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprintf("entry-%d", i)), [16]byte{byte(i + 1)})
 				address := fmt.Sprintf("10.0.0.%d:7000", i+1)
 				listings = append(listings, yuccapeer.Listing{VM: inc.VM, Centre: "odessa-1", Address: address})
-				all = append(all, yuccapeer.New(yuccapeer.Member{VM: inc.VM, Centre: "odessa-1", Address: address, Incarnation: inc}))
+				views = append(views, yuccapeer.New(yuccapeer.Member{VM: inc.VM, Centre: "odessa-1", Address: address, Incarnation: inc}))
 			}
-			for i, peers := range all {
+			for i, peers := range views {
 				peers.SetListings(now, listings)
-				for j, other := range all {
+				for j, other := range views {
 					if i != j && side(i) == side(j) {
 						peers.HandleHeartbeat(now, other.Heartbeat())
 					}
@@ -35,13 +36,13 @@
 			}
 			for t := range 200 {
 				target := yuccaid.Target(fmt.Sprintf("engine-%d", t))
-				users := make(map[int]bool)
-				for i, peers := range all {
+				usingSides := make(map[int]bool)
+				for i, peers := range views {
 					if share := peers.TargetShare(); !share.Whole() && share.Contains(target) {
-						users[side(i)] = true
+						usingSides[side(i)] = true
 					}
 				}
-				Expect(len(users)).To(BeNumerically("<=", 1), "%s is used by several smaller sides", target)
+				Expect(len(usingSides)).To(BeNumerically("<=", 1), "target %s is in the shares of several smaller sides", target)
 			}
 		},
 		Entry("one daemon of seven is cut off", 7, func(i int) int { return min(i, 1) }),
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -13,8 +13,8 @@
 const (
 	// silenceLimit is how long a connection may deliver no message before it is closed.
 	silenceLimit = 3500 * time.Millisecond
-	// delay is how long a message takes unless the network is noisy.
-	delay = 30 * time.Millisecond
+	// messageDelay is how long a message takes while the network is reliable.
+	messageDelay = 30 * time.Millisecond
 )
 
 // world runs daemons in virtual time, over a network that can be partitioned and can lose,
@@ -23,45 +23,50 @@
 	now        time.Time
 	step       time.Duration
 	rng        *rand.Rand
-	noisy      bool
+	unreliable bool
 	processes  []*process
 	deliveries []delivery
 	listings   []yuccapeer.Listing
-	// lastDisturbance is until when the network or a process misbehaved.
+	// lastDisturbance is the last time, past or future, at which the network or a process is
+	// disturbed: see recordDisturbance.
 	lastDisturbance time.Time
-	nonces          uint64
-	// sent is called for each message that is sent.
-	sent func(from, to *process, message yuccapeer.Message)
-	// violation describes an incarnation that a process took back after it was replaced or
-	// was leaving. It is empty as long as none did.
+	// lastNonce is the nonce of the process that was started last.
+	lastNonce uint64
+	// onSend is called for each message that is sent.
+	onSend func(from, to *process, message yuccapeer.Message)
+	// violation describes an incarnation that a process added to its view again after that
+	// incarnation had been replaced, or had reported that it is leaving. It is empty if none was.
 	violation string
-	// superseded are the incarnations whose VM runs another incarnation now.
-	superseded map[yuccaid.Incarnation]bool
+	// replaced are the incarnations that have a successor on their VM.
+	replaced map[yuccaid.Incarnation]bool
 }
 
 // process is one daemon's process and what it has received.
 type process struct {
 	yuccapeer.Member
-	peers     *yuccapeer.Peers
-	partition int
-	paused    bool
-	dead      bool
-	number    yuccaid.ConfigNumber
-	// links are its connections, by the incarnation at the other end.
-	links map[yuccaid.Incarnation]*link
+	peers *yuccapeer.Peers
+	// side is the side of the network partition that the process is on, 0 or 1.
+	side   int
+	paused bool
+	dead   bool
+	number yuccaid.ConfigNumber
+	// connections has the process's connections by the incarnation at the other end.
+	connections map[yuccaid.Incarnation]*connection
+	// inbox has the messages and disconnections that the process handles in its next step.
 	inbox []func()
 	// received is when the last message of each incarnation arrived.
 	received map[yuccaid.Incarnation]time.Time
-	// latest is the incarnation on each VM that last joined the view.
+	// latest is the incarnation on each VM that last joined this process's view.
 	latest map[yuccaid.VM]yuccaid.Incarnation
-	// replaced are the incarnations that a successor replaced in this view, leaving those
-	// that have reported that they are leaving.
-	replaced, leaving map[yuccaid.Incarnation]bool
+	// seenReplaced are the incarnations that a successor replaced in this process's view, and
+	// seenLeaving those that have reported that they are leaving.
+	seenReplaced, seenLeaving map[yuccaid.Incarnation]bool
 }
 
-// link is a connection between two processes.
-type link struct {
-	ends     [2]*process
+// connection is a connection between two processes.
+type connection struct {
+	ends [2]*process
+	// received is when a message last arrived over the connection, in either direction.
 	received time.Time
 	broken   bool
 }
@@ -70,15 +75,15 @@
 type delivery struct {
 	due      time.Time
 	from, to *process
-	via      *link
+	via      *connection
 	message  yuccapeer.Message
 }
 
 // newWorld starts count daemons in each of the data centres.
 func newWorld(seed uint64, step time.Duration, centres, count int) *world {
 	wld := &world{now: time.Unix(1e6, 0), step: step, rng: rand.New(rand.NewPCG(seed, 0))}
-	wld.sent = func(_, _ *process, _ yuccapeer.Message) {}
-	wld.superseded = make(map[yuccaid.Incarnation]bool)
+	wld.onSend = func(_, _ *process, _ yuccapeer.Message) {}
+	wld.replaced = make(map[yuccaid.Incarnation]bool)
 	for i := range centres * count {
 		wld.listings = append(wld.listings, yuccapeer.Listing{
 			VM:      yuccaid.VM(fmt.Sprintf("vm-%03d", i)),
@@ -92,21 +97,22 @@
 	return wld
 }
 
+// start starts a process on a listing's VM.
 func (wld *world) start(listing yuccapeer.Listing) *process {
-	wld.nonces++
-	wld.disturbed(wld.now)
+	wld.lastNonce++
+	wld.recordDisturbance(wld.now)
 	self := yuccapeer.Member{
 		VM: listing.VM, Centre: listing.Centre, Address: listing.Address,
-		Incarnation: yuccaid.NewIncarnation(listing.VM, [16]byte{byte(wld.nonces), byte(wld.nonces >> 8)}),
+		Incarnation: yuccaid.NewIncarnation(listing.VM, [16]byte{byte(wld.lastNonce), byte(wld.lastNonce >> 8)}),
 	}
 	proc := &process{
-		Member:   self,
-		peers:    yuccapeer.New(self),
-		links:    make(map[yuccaid.Incarnation]*link),
-		received: make(map[yuccaid.Incarnation]time.Time),
-		latest:   make(map[yuccaid.VM]yuccaid.Incarnation),
-		replaced: make(map[yuccaid.Incarnation]bool),
-		leaving:  make(map[yuccaid.Incarnation]bool),
+		Member:       self,
+		peers:        yuccapeer.New(self),
+		connections:  make(map[yuccaid.Incarnation]*connection),
+		received:     make(map[yuccaid.Incarnation]time.Time),
+		latest:       make(map[yuccaid.VM]yuccaid.Incarnation),
+		seenReplaced: make(map[yuccaid.Incarnation]bool),
+		seenLeaving:  make(map[yuccaid.Incarnation]bool),
 	}
 	proc.peers.SetListings(wld.now, wld.listings)
 	wld.processes = append(wld.processes, proc)
@@ -116,18 +122,18 @@
 // replace starts a successor on a process's VM. If the old process has died, the successor
 // has its address, and otherwise a new one, which is entered in the platform's list.
 func (wld *world) replace(old *process, died bool) {
-	wld.superseded[old.Incarnation] = true
+	wld.replaced[old.Incarnation] = true
 	old.dead = died
 	listing := yuccapeer.Listing{VM: old.VM, Centre: old.Centre, Address: old.Address}
 	if !died {
-		listing.Address = fmt.Sprintf("10.9.0.%d:7400", wld.nonces)
+		listing.Address = fmt.Sprintf("10.9.0.%d:7400", wld.lastNonce)
 	}
 	i := slices.IndexFunc(wld.listings, func(item yuccapeer.Listing) bool { return item.VM == old.VM })
 	wld.listings[i] = listing
 	for _, item := range wld.processes {
 		item.peers.SetListings(wld.now, wld.listings)
 	}
-	wld.start(listing).partition = old.partition
+	wld.start(listing).side = old.side
 }
 
 // advance advances the time by some steps.
@@ -143,8 +149,9 @@
 	}
 }
 
-// disturbed records that the network or a process misbehaves until the given time.
-func (wld *world) disturbed(until time.Time) {
+// recordDisturbance records that until the given time messages are lost or late, or processes
+// are started, stopped or changed, so that views may differ.
+func (wld *world) recordDisturbance(until time.Time) {
 	if until.After(wld.lastDisturbance) {
 		wld.lastDisturbance = until
 	}
@@ -167,24 +174,24 @@
 func (wld *world) apply(proc *process, change yuccapeer.Change) {
 	for _, joined := range change.Joined {
 		inc := joined.Incarnation
-		if proc.replaced[inc] || (proc.leaving[inc] && !joined.Leaving) {
+		if proc.seenReplaced[inc] || (proc.seenLeaving[inc] && !joined.Leaving) {
 			wld.violation = fmt.Sprintf("%s added %s to its view again", proc.VM, inc)
 		}
-		if before, ok := proc.latest[joined.VM]; ok && before != inc && wld.superseded[before] {
-			proc.replaced[before] = true
+		if before, ok := proc.latest[joined.VM]; ok && before != inc && wld.replaced[before] {
+			proc.seenReplaced[before] = true
 		}
 		proc.latest[joined.VM] = inc
-		proc.leaving[inc] = joined.Leaving
+		proc.seenLeaving[inc] = joined.Leaving
 	}
 	for _, message := range change.Messages {
 		wld.send(proc, message)
 	}
 }
 
-// send sends a message over the sender's connection. A noisy network may lose, duplicate or
-// delay it.
+// send sends a message over the sender's connection. An unreliable network may lose,
+// duplicate or delay it.
 func (wld *world) send(from *process, message yuccapeer.Message) {
-	via := from.links[message.To]
+	via := from.connections[message.To]
 	if via == nil {
 		return
 	}
@@ -192,18 +199,18 @@
 	if to == from {
 		to = via.ends[1]
 	}
-	wld.sent(from, to, message)
-	copies, late := 1, delay
-	if wld.noisy {
+	wld.onSend(from, to, message)
+	copies, latency := 1, messageDelay
+	if wld.unreliable {
 		copies = []int{0, 1, 1, 1, 2}[wld.rng.IntN(5)]
-		wld.disturbed(wld.now)
+		wld.recordDisturbance(wld.now)
 	}
 	for range copies {
-		if wld.noisy && wld.rng.IntN(4) == 0 {
-			late = time.Duration(wld.rng.Int64N(int64(8 * time.Second)))
-			wld.disturbed(wld.now.Add(late))
+		if wld.unreliable && wld.rng.IntN(4) == 0 {
+			latency = time.Duration(wld.rng.Int64N(int64(8 * time.Second)))
+			wld.recordDisturbance(wld.now.Add(latency))
 		}
-		wld.deliveries = append(wld.deliveries, delivery{due: wld.now.Add(late), from: from, to: to, via: via, message: message})
+		wld.deliveries = append(wld.deliveries, delivery{due: wld.now.Add(latency), from: from, to: to, via: via, message: message})
 	}
 }
 
@@ -221,10 +228,11 @@
 	})
 }
 
-// receive has a process handle a message, unless its connection was closed meanwhile.
+// receive has a process handle a message, unless the message's connection has been closed
+// since it arrived.
 func (wld *world) receive(dlv delivery) {
 	proc, from := dlv.to, dlv.from.Incarnation
-	if proc.links[from] != dlv.via {
+	if proc.connections[from] != dlv.via {
 		return
 	}
 	proc.received[from] = wld.now
@@ -237,10 +245,11 @@
 
 // canReach reports whether two processes run on the same side of the network partition.
 func (wld *world) canReach(a, b *process) bool {
-	return a.partition == b.partition && !a.dead && !b.dead
+	return a.side == b.side && !a.dead && !b.dead
 }
 
-// connect opens the connections that processes want to dial and can.
+// connect opens the connections that the processes' Dial asks for, if both ends run and can
+// reach each other.
 func (wld *world) connect() {
 	byAddress := make(map[string]*process)
 	for _, proc := range wld.processes {
@@ -254,34 +263,34 @@
 		}
 		for _, address := range proc.peers.Dial() {
 			other := byAddress[address]
-			if other != nil && !other.paused && wld.canReach(proc, other) && proc.links[other.Incarnation] == nil {
-				wld.link(proc, other)
+			if other != nil && !other.paused && wld.canReach(proc, other) && proc.connections[other.Incarnation] == nil {
+				wld.openConnection(proc, other)
 			}
 		}
 	}
 }
 
-// link connects two processes.
-func (wld *world) link(a, b *process) {
-	conn := &link{ends: [2]*process{a, b}, received: wld.now}
-	a.links[b.Incarnation], b.links[a.Incarnation] = conn, conn
+// openConnection connects two processes.
+func (wld *world) openConnection(a, b *process) {
+	conn := &connection{ends: [2]*process{a, b}, received: wld.now}
+	a.connections[b.Incarnation], b.connections[a.Incarnation] = conn, conn
 	wld.apply(a, a.peers.HandleConnect(wld.now, b.Member))
 	wld.apply(b, b.peers.HandleConnect(wld.now, a.Member))
 }
 
-// closeSilent closes connections of which an end has died, or that have delivered no message
-// for silenceLimit.
+// closeSilent closes the connections that have delivered no message for silenceLimit, and
+// those that have a dead process at either end.
 func (wld *world) closeSilent() {
 	for _, proc := range wld.processes {
-		for inc, conn := range proc.links {
+		for inc, conn := range proc.connections {
 			died := conn.ends[0].dead || conn.ends[1].dead
 			if !died && !conn.broken && wld.now.Sub(conn.received) < silenceLimit {
 				continue
 			}
 			conn.broken = true
-			delete(proc.links, inc)
+			delete(proc.connections, inc)
 			proc.inbox = append(proc.inbox, func() {
-				if proc.links[inc] == nil {
+				if proc.connections[inc] == nil {
 					proc.peers.HandleDisconnect(wld.now, inc)
 				}
 			})
@@ -292,7 +301,7 @@
 // current returns the processes that run and have no successor.
 func (wld *world) current() []*process {
 	return slices.DeleteFunc(slices.Clone(wld.processes), func(proc *process) bool {
-		return proc.dead || proc.paused || wld.superseded[proc.Incarnation]
+		return proc.dead || proc.paused || wld.replaced[proc.Incarnation]
 	})
 }
 
@@ -300,6 +309,6 @@
 // lead a pool.
 func (wld *world) quiet() bool {
 	timing := yuccapeer.DefaultTiming()
-	bound := timing.ExpireAfter + timing.HeartbeatEvery + delay + 3*wld.step
+	bound := timing.ExpireAfter + timing.HeartbeatEvery + messageDelay + 3*wld.step
 	return wld.now.Sub(wld.lastDisturbance) > bound
 }
