--- a/core/yuccapeer/cost_test.go
+++ b/core/yuccapeer/cost_test.go
@@ -22,10 +22,9 @@
 // cost is what membership costs a daemon. Bytes are totals in fleet.costs, and per second in
 // the result of measure.
 type cost struct {
-	// frames is the bytes of the frames that the daemon sent.
-	frames float64
-	// sent and received are bytes including headers and acknowledgements.
-	sent, received float64
+	// frames is the bytes of the frames that the daemon sent. sent and received are its bytes
+	// including headers and acknowledgements.
+	frames, sent, received float64
 	// connectionCount counts all connections, and remoteCount those to other data centres.
 	connectionCount, remoteCount int
 }
