--- a/core/yuccapeer/beat.go
+++ b/core/yuccapeer/beat.go
@@ -50,7 +50,7 @@
 
 // isInView reports whether an incarnation is in the view.
 func (peers *Peers) isInView(inc yuccaid.Incarnation) bool {
-	other := peers.peers[inc.VM]
+	other := peers.byVM[inc.VM]
 	return other != nil && other.inView && other.member.Incarnation == inc
 }
 
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -123,7 +123,7 @@
 	for vm, candidate := range peers.received {
 		all[vm] = candidate.Listing
 	}
-	for vm, other := range peers.peers {
+	for vm, other := range peers.byVM {
 		if other.inView {
 			all[vm] = listingOf(other.member)
 		}
--- a/core/yuccapeer/cost_test.go
+++ b/core/yuccapeer/cost_test.go
@@ -79,7 +79,7 @@
 	for _, proc := range flt.processes {
 		proc.number++
 		digest := yuccaid.Digest(fmt.Sprintf("%064d", proc.number))
-		flt.apply(proc, proc.peers.SetConfig(flt.now, proc.number, digest))
+		flt.apply(proc, proc.view.SetConfig(flt.now, proc.number, digest))
 	}
 }
 
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -68,7 +68,7 @@
 // isConnectedToVM reports whether the daemon on a VM is in the view and connected to this
 // daemon.
 func (peers *Peers) isConnectedToVM(vm yuccaid.VM) bool {
-	other := peers.peers[vm]
+	other := peers.byVM[vm]
 	return other != nil && other.inView && peers.isConnected(other.member.Incarnation)
 }
 
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -21,8 +21,8 @@
 	listed map[yuccaid.VM]Listing
 	// received are the candidates received from peers, until the platform's list has been read.
 	received map[yuccaid.VM]receivedListing
-	// peers has the peer on each VM, in the view or not.
-	peers map[yuccaid.VM]*peer
+	// byVM has the peer on each VM, in the view or not.
+	byVM map[yuccaid.VM]*peer
 	// replaced are the incarnations that were replaced by another on their VM, with the time at
 	// which each is forgotten.
 	replaced map[yuccaid.Incarnation]time.Time
@@ -82,7 +82,7 @@
 		gatewayCount: DefaultGateways,
 		listed:       make(map[yuccaid.VM]Listing),
 		received:     make(map[yuccaid.VM]receivedListing),
-		peers:        make(map[yuccaid.VM]*peer),
+		byVM:         make(map[yuccaid.VM]*peer),
 		replaced:     make(map[yuccaid.Incarnation]time.Time),
 		connected:    make(map[yuccaid.Incarnation]Member),
 		rosterSent:   make(map[yuccaid.Incarnation]bool),
@@ -144,7 +144,7 @@
 func (peers *Peers) HandleDisconnect(now time.Time, inc yuccaid.Incarnation) {
 	delete(peers.connected, inc)
 	delete(peers.rosterSent, inc)
-	disconnected := peers.peers[inc.VM]
+	disconnected := peers.byVM[inc.VM]
 	if disconnected == nil || disconnected.member.Incarnation != inc {
 		return
 	}
@@ -260,7 +260,7 @@
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
 	}
-	if other := peers.peers[vm]; other != nil && other.inView {
+	if other := peers.byVM[vm]; other != nil && other.inView {
 		return other.member, true
 	}
 	listing, ok := peers.candidates()[vm]
@@ -286,7 +286,7 @@
 	if self := peers.Self(); match(self) {
 		all = append(all, self)
 	}
-	for _, other := range peers.peers {
+	for _, other := range peers.byVM {
 		if other.inView && match(other.member) {
 			all = append(all, other.member)
 		}
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -21,7 +21,7 @@
 func leaders(proc *process) []yuccaid.Incarnation {
 	var all []yuccaid.Incarnation
 	for i := range 8 {
-		if leader, ok := proc.peers.Leader(poolNamed(i)); ok {
+		if leader, ok := proc.view.Leader(poolNamed(i)); ok {
 			all = append(all, leader.Incarnation)
 		}
 	}
@@ -33,7 +33,7 @@
 // empty if there is none.
 func (wld *world) disagreement() string {
 	for _, proc := range wld.current() {
-		for _, member := range proc.peers.Live(proc.Centre) {
+		for _, member := range proc.view.Live(proc.Centre) {
 			age := wld.now.Sub(proc.received[member.Incarnation])
 			if member.Incarnation != proc.Incarnation && age > yuccapeer.DefaultTiming().ExpireAfter+wld.step {
 				return fmt.Sprintf("%s still has %s in its view, %s after its last message", proc.VM, member.VM, age)
@@ -60,10 +60,10 @@
 				return fmt.Sprintf("%s names %v and %s names %v", proc.VM, named, other.VM, otherNamed)
 			}
 		}
-		if !proc.peers.Settled() {
+		if !proc.view.Settled() {
 			return fmt.Sprintf("%s names no leaders, although it has been undisturbed for long enough to settle", proc.VM)
 		}
-		if found := proc.peers.NewerConfig().Number; highest > proc.number && found != highest {
+		if found := proc.view.NewerConfig().Number; highest > proc.number && found != highest {
 			return fmt.Sprintf("%s has configuration %d and reports %d as the highest of its peers, instead of %d", proc.VM, proc.number, found, highest)
 		}
 	}
@@ -117,14 +117,14 @@
 			}),
 			"leave": disturb(func(proc *process) {
 				if !proc.paused {
-					wld.apply(proc, proc.peers.Leave(wld.now))
+					wld.apply(proc, proc.view.Leave(wld.now))
 				}
 			}),
 			"accept": disturb(func(proc *process) {
 				if !proc.paused {
 					proc.number++
 					digest := yuccaid.Digest(fmt.Sprint(proc.number))
-					wld.apply(proc, proc.peers.SetConfig(wld.now, proc.number, digest))
+					wld.apply(proc, proc.view.SetConfig(wld.now, proc.number, digest))
 				}
 			}),
 			"": func(t *rapid.T) {
@@ -206,65 +206,65 @@
 			Expect(change.Resumed).To(BeTrue())
 			Expect(change.PausedFor).To(BeNumerically(">=", time.Minute))
 			Expect(change.Removed).To(HaveLen(2))
-			Expect(first.peers.Live(first.Centre)).To(Equal([]yuccapeer.Member{first.Member}))
-			_, settled := first.peers.Leader("drafts")
+			Expect(first.view.Live(first.Centre)).To(Equal([]yuccapeer.Member{first.Member}))
+			_, settled := first.view.Leader("drafts")
 			Expect(settled).To(BeFalse())
 		},
 		Entry("that its own ticks show", func() yuccapeer.Change {
-			return first.peers.Tick(wld.now.Add(time.Minute))
+			return first.view.Tick(wld.now.Add(time.Minute))
 		}),
 		Entry("that only the wall clock shows", func() yuccapeer.Change {
-			return first.peers.CheckClocks(wld.now, 100*time.Millisecond, time.Minute+100*time.Millisecond)
+			return first.view.CheckClocks(wld.now, 100*time.Millisecond, time.Minute+100*time.Millisecond)
 		}),
 	)
 
 	It("doesn't expire when the wall clock is set back or runs a little ahead", func() {
 		for _, wall := range []time.Duration{-time.Hour, 0, 2 * time.Second} {
-			Expect(first.peers.CheckClocks(wld.now, time.Second, wall)).To(BeZero())
+			Expect(first.view.CheckClocks(wld.now, time.Second, wall)).To(BeZero())
 		}
 	})
 
 	It("keeps a member whose connection broke for long enough to dial again", func() {
-		first.peers.HandleDisconnect(wld.now, second.Incarnation)
-		Expect(first.peers.Tick(wld.now.Add(900 * time.Millisecond)).Removed).To(BeEmpty())
-		Expect(first.peers.Tick(wld.now.Add(1100 * time.Millisecond)).Removed).To(ConsistOf(second.Member))
+		first.view.HandleDisconnect(wld.now, second.Incarnation)
+		Expect(first.view.Tick(wld.now.Add(900 * time.Millisecond)).Removed).To(BeEmpty())
+		Expect(first.view.Tick(wld.now.Add(1100 * time.Millisecond)).Removed).To(ConsistOf(second.Member))
 	})
 
 	It("ignores messages whose sender isn't connected", func() {
-		first.peers.HandleDisconnect(wld.now, second.Incarnation)
+		first.view.HandleDisconnect(wld.now, second.Incarnation)
 		wld.now = wld.now.Add(time.Second)
-		Expect(first.peers.HandlePulse(wld.now, second.Incarnation, yuccapeer.Pulse{Sequence: 1e6, Version: 1})).To(BeZero())
-		Expect(first.peers.Tick(wld.now).Removed).To(ConsistOf(second.Member))
+		Expect(first.view.HandlePulse(wld.now, second.Incarnation, yuccapeer.Pulse{Sequence: 1e6, Version: 1})).To(BeZero())
+		Expect(first.view.Tick(wld.now).Removed).To(ConsistOf(second.Member))
 	})
 
 	It("has leaving members lead only when there is no other member", func() {
 		for _, proc := range wld.processes[:2] {
-			wld.apply(proc, proc.peers.Leave(wld.now))
+			wld.apply(proc, proc.view.Leave(wld.now))
 		}
 		wld.advance(10)
 		for i := range 8 {
-			leader, _ := first.peers.Leader(poolNamed(i))
+			leader, _ := first.view.Leader(poolNamed(i))
 			Expect(leader).To(Equal(wld.processes[2].Member))
 		}
 		wld.processes[2].dead = true
 		wld.advance(100)
-		leader, ok := first.peers.Leader("drafts")
+		leader, ok := first.view.Leader("drafts")
 		Expect(ok).To(BeTrue())
 		Expect(leader.Leaving).To(BeTrue())
 	})
 
 	It("reports peers that have another configuration under the same number", func() {
-		wld.apply(first, first.peers.SetConfig(wld.now, 1, "a"))
-		heartbeat := second.peers.Heartbeat()
+		wld.apply(first, first.view.SetConfig(wld.now, 1, "a"))
+		heartbeat := second.view.Heartbeat()
 		heartbeat.Sequence, heartbeat.Version, heartbeat.Number, heartbeat.Digest = 1e6, 1e6, 1, "b"
-		Expect(first.peers.HandleHeartbeat(wld.now, heartbeat).Diverged).To(HaveLen(1))
+		Expect(first.view.HandleHeartbeat(wld.now, heartbeat).Diverged).To(HaveLen(1))
 	})
 
 	It("reports that the platform lists its own VM as leaving", func() {
 		wld.listings[0].Leaving = true
-		first.peers.SetListings(wld.now, wld.listings)
-		Expect(first.peers.ListedLeaving()).To(BeTrue())
-		Expect(second.peers.ListedLeaving()).To(BeFalse())
+		first.view.SetListings(wld.now, wld.listings)
+		Expect(first.view.ListedLeaving()).To(BeTrue())
+		Expect(second.view.ListedLeaving()).To(BeFalse())
 	})
 
 	// The platform's service is down while a VM is replaced. The new daemon only knows the
@@ -276,9 +276,9 @@
 		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address))
 		newcomer.Tick(wld.now)
 		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
-		second.peers.HandleConnect(wld.now, self)
-		Expect(second.peers.HandleHeartbeat(wld.now, newcomer.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
-		newcomer.AddListings(wld.now, second.peers.Roster())
+		second.view.HandleConnect(wld.now, self)
+		Expect(second.view.HandleHeartbeat(wld.now, newcomer.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
+		newcomer.AddListings(wld.now, second.view.Roster())
 		Expect(newcomer.Dial()).To(HaveLen(3))
 		newcomer.Tick(wld.now.Add(2 * time.Hour))
 		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
@@ -296,7 +296,7 @@
 		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, remote.Address, "10.2.0.1:7400", self.Address))
 		newcomer.Tick(wld.now)
 		newcomer.HandleConnect(wld.now, second.Member)
-		newcomer.HandleHeartbeat(wld.now, second.peers.Heartbeat())
+		newcomer.HandleHeartbeat(wld.now, second.view.Heartbeat())
 		Expect(newcomer.Dial()).To(Equal([]string{second.Address, remote.Address, "10.2.0.1:7400"}))
 		newcomer.AddListings(wld.now, []yuccapeer.Listing{{VM: remote.VM, Centre: remote.Centre, Address: remote.Address}})
 		Expect(newcomer.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
@@ -316,7 +316,7 @@
 		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address, remote.Address))
 		newcomer.Tick(wld.now)
 		newcomer.HandleConnect(wld.now, second.Member)
-		newcomer.HandleHeartbeat(wld.now, second.peers.Heartbeat())
+		newcomer.HandleHeartbeat(wld.now, second.view.Heartbeat())
 		newcomer.HandleConnect(wld.now, remote)
 		newcomer.HandleHeartbeat(wld.now, remotePeers.Heartbeat())
 		newcomer.HandleDisconnect(wld.now, remote.Incarnation)
@@ -333,29 +333,29 @@
 	// change of the configuration causes a full heartbeat from every peer, so if each
 	// heartbeat were answered, a hundred daemons would send one another ten thousand rosters.
 	It("sends a roster once for each connection", func() {
-		unlisted := second.peers.Heartbeat()
+		unlisted := second.view.Heartbeat()
 		unlisted.Unlisted = true
 		unlisted.Sequence += 10
-		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
+		Expect(first.view.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
 		unlisted.Sequence++
 		unlisted.Version++
-		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(BeEmpty())
-		first.peers.HandleDisconnect(wld.now, unlisted.Incarnation)
-		first.peers.HandleConnect(wld.now, second.Member)
+		Expect(first.view.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(BeEmpty())
+		first.view.HandleDisconnect(wld.now, unlisted.Incarnation)
+		first.view.HandleConnect(wld.now, second.Member)
 		unlisted.Sequence++
-		Expect(first.peers.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
+		Expect(first.view.HandleHeartbeat(wld.now, unlisted).RosterRecipients).To(HaveLen(1))
 	})
 
 	It("finds daemons of other data centres on the list", func() {
 		wld.listings = append(wld.listings, yuccapeer.Listing{VM: "far", Centre: "milano", Address: "10.1.0.1:7400"})
-		first.peers.SetListings(wld.now, wld.listings)
-		found, ok := first.peers.Find("far")
+		first.view.SetListings(wld.now, wld.listings)
+		found, ok := first.view.Find("far")
 		Expect(ok).To(BeTrue())
 		Expect(found.Address).To(Equal("10.1.0.1:7400"))
-		Expect(first.peers.Candidates("milano")).To(HaveLen(1))
-		_, ok = first.peers.Find("nowhere")
+		Expect(first.view.Candidates("milano")).To(HaveLen(1))
+		_, ok = first.view.Find("nowhere")
 		Expect(ok).To(BeFalse())
-		Expect(first.peers.Status()).To(Equal(yuccapeer.Status{Settled: true, Centres: []yuccapeer.CentreStatus{
+		Expect(first.view.Status()).To(Equal(yuccapeer.Status{Settled: true, Centres: []yuccapeer.CentreStatus{
 			{Centre: first.Centre, Candidates: 3, Live: 3},
 			{Centre: "milano", Candidates: 1},
 		}}))
@@ -371,7 +371,7 @@
 		leaderVMs := func() []yuccaid.VM {
 			var vms []yuccaid.VM
 			for i := range pools {
-				leader, ok := watcher.peers.Leader(poolNamed(i))
+				leader, ok := watcher.view.Leader(poolNamed(i))
 				Expect(ok).To(BeTrue())
 				vms = append(vms, leader.VM)
 			}
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -20,7 +20,7 @@
 	pick    func(count int) int
 	now     time.Time
 	members []yuccapeer.Member
-	peers   []*yuccapeer.Peers
+	views   []*yuccapeer.Peers
 	// byAddress has the index of the daemon that listens at an address.
 	byAddress map[string]int
 	// connected has the pairs of indices of daemons that are connected, in both orders.
@@ -47,7 +47,7 @@
 		seeds = append(seeds, cold.members[i].Address)
 	}
 	for _, member := range cold.members {
-		cold.peers = append(cold.peers, yuccapeer.New(member, yuccapeer.WithSeeds(seeds...)))
+		cold.views = append(cold.views, yuccapeer.New(member, yuccapeer.WithSeeds(seeds...)))
 	}
 	return cold
 }
@@ -55,14 +55,14 @@
 // step performs one of the possible events, and reports whether there was any.
 func (cold *coldStart) step() bool {
 	var possible []func()
-	for i, from := range cold.peers {
+	for i, from := range cold.views {
 		for _, address := range from.Dial() {
 			j, exists := cold.byAddress[address]
 			if exists && !cold.connected[[2]int{i, j}] {
 				possible = append(possible, func() { cold.connect(i, j) })
 			}
 		}
-		for j := range cold.peers {
+		for j := range cold.views {
 			if len(cold.queues[[2]int{i, j}]) > 0 {
 				possible = append(possible, func() { cold.deliver(i, j) })
 			}
@@ -78,8 +78,8 @@
 // connect connects two daemons.
 func (cold *coldStart) connect(i, j int) {
 	cold.connected[[2]int{i, j}], cold.connected[[2]int{j, i}] = true, true
-	cold.send(i, cold.peers[i].HandleConnect(cold.now, cold.members[j]))
-	cold.send(j, cold.peers[j].HandleConnect(cold.now, cold.members[i]))
+	cold.send(i, cold.views[i].HandleConnect(cold.now, cold.members[j]))
+	cold.send(j, cold.views[j].HandleConnect(cold.now, cold.members[i]))
 }
 
 // send queues the full heartbeats and the rosters that a change contains.
@@ -93,7 +93,7 @@
 	for _, to := range change.RosterRecipients {
 		cold.rosters++
 		pair := [2]int{from, cold.indexOf(to)}
-		cold.queues[pair] = append(cold.queues[pair], cold.peers[from].Roster())
+		cold.queues[pair] = append(cold.queues[pair], cold.views[from].Roster())
 	}
 }
 
@@ -114,9 +114,9 @@
 	cold.queues[pair] = cold.queues[pair][1:]
 	switch message := message.(type) {
 	case yuccapeer.Heartbeat:
-		cold.send(to, cold.peers[to].HandleHeartbeat(cold.now, message))
+		cold.send(to, cold.views[to].HandleHeartbeat(cold.now, message))
 	case []yuccapeer.Listing:
-		cold.peers[to].AddListings(cold.now, message)
+		cold.views[to].AddListings(cold.now, message)
 	}
 }
 
@@ -130,9 +130,9 @@
 		cold := newColdStart(pick, rapid.IntRange(2, 14).Draw(rt, "daemons"), rapid.IntRange(1, 2).Draw(rt, "seeds"))
 		for cold.step() {
 		}
-		for i, peers := range cold.peers {
-			if known := len(peers.Live("odessa")); known != len(cold.peers) {
-				rt.Fatalf("%s knows %d of %d daemons", cold.members[i].VM, known, len(cold.peers))
+		for i, view := range cold.views {
+			if known := len(view.Live("odessa")); known != len(cold.views) {
+				rt.Fatalf("%s knows %d of %d daemons", cold.members[i].VM, known, len(cold.views))
 			}
 		}
 	})
@@ -146,8 +146,8 @@
 		cold := newColdStart(rand.New(rand.NewPCG(seed, 0)).IntN, daemons, 2)
 		last := daemons - 1
 		// First, all daemons but the newcomer connect to each other and exchange rosters.
-		newcomer := cold.peers[last]
-		cold.peers = cold.peers[:last]
+		newcomer := cold.views[last]
+		cold.views = cold.views[:last]
 		for i := range last {
 			for j := range i {
 				cold.connect(i, j)
@@ -159,7 +159,7 @@
 			}
 		}
 		// Then the newcomer joins, and only the rosters sent from here on count.
-		cold.peers = append(cold.peers, newcomer)
+		cold.views = append(cold.views, newcomer)
 		cold.rosters = 0
 		for cold.step() {
 		}
--- a/core/yuccapeer/share_test.go
+++ b/core/yuccapeer/share_test.go
@@ -26,19 +26,19 @@
 				listings = append(listings, yuccapeer.Listing{VM: inc.VM, Centre: "odessa-1", Address: address})
 				views = append(views, yuccapeer.New(yuccapeer.Member{VM: inc.VM, Centre: "odessa-1", Address: address, Incarnation: inc}))
 			}
-			for i, peers := range views {
-				peers.SetListings(now, listings)
+			for i, view := range views {
+				view.SetListings(now, listings)
 				for j, other := range views {
 					if i != j && side(i) == side(j) {
-						peers.HandleHeartbeat(now, other.Heartbeat())
+						view.HandleHeartbeat(now, other.Heartbeat())
 					}
 				}
 			}
 			for t := range 200 {
 				target := yuccaid.Target(fmt.Sprintf("engine-%d", t))
 				usingSides := make(map[int]bool)
-				for i, peers := range views {
-					if share := peers.TargetShare(); !share.Whole() && share.Contains(target) {
+				for i, view := range views {
+					if share := view.TargetShare(); !share.Whole() && share.Contains(target) {
 						usingSides[side(i)] = true
 					}
 				}
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -19,7 +19,7 @@
 	if _, replaced := peers.replaced[inc]; replaced || !peers.isConnected(inc) {
 		return nil
 	}
-	current := peers.peers[inc.VM]
+	current := peers.byVM[inc.VM]
 	if current != nil && current.member.Incarnation != inc {
 		if !peers.tryReplace(now, current, peers.connected[inc], change) {
 			return nil
@@ -28,7 +28,7 @@
 	}
 	if current == nil {
 		current = &peer{member: peers.connected[inc]}
-		peers.peers[inc.VM] = current
+		peers.byVM[inc.VM] = current
 	}
 	if current.sequence >= sequence && current.sequence > 0 {
 		return nil
@@ -72,7 +72,7 @@
 		peers.replaced[inc] = now.Add(peers.timing.ForgetAfter)
 		delete(peers.connected, inc)
 	}
-	delete(peers.peers, inc.VM)
+	delete(peers.byVM, inc.VM)
 	peers.remove(current, change)
 	return true
 }
@@ -92,7 +92,7 @@
 // still have them in its view, but name other leaders than they do, and send requests to
 // the wrong one.
 func (peers *Peers) expireSilent(now time.Time, change *Change) {
-	for _, other := range peers.peers {
+	for _, other := range peers.byVM {
 		if !now.Before(other.expiresAt) {
 			peers.remove(other, change)
 		}
@@ -104,7 +104,7 @@
 // pulses that request their full heartbeats.
 func (peers *Peers) expireAll(now time.Time, pausedFor time.Duration) Change {
 	change := Change{Resumed: true, PausedFor: pausedFor}
-	for _, other := range peers.peers {
+	for _, other := range peers.byVM {
 		peers.remove(other, &change)
 	}
 	slices.SortFunc(change.Removed, compareMembers)
@@ -117,9 +117,9 @@
 // older than ForgetAfter. VMs are replaced all the time, so otherwise the maps would grow
 // without bound.
 func (peers *Peers) deleteOld(now time.Time) {
-	for vm, other := range peers.peers {
+	for vm, other := range peers.byVM {
 		if now.Sub(other.expiresAt) > peers.timing.ForgetAfter {
-			delete(peers.peers, vm)
+			delete(peers.byVM, vm)
 		}
 	}
 	for vm, candidate := range peers.received {
@@ -140,7 +140,7 @@
 // by name is returned, so that the choice is stable.
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
-	for _, other := range peers.peers {
+	for _, other := range peers.byVM {
 		config := other.config
 		higher := config.Number > best.Number
 		firstByName := config.Number == best.Number && config.Number > peers.self.Number &&
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -44,7 +44,7 @@
 // process is one daemon's process and what it has received.
 type process struct {
 	yuccapeer.Member
-	peers *yuccapeer.Peers
+	view *yuccapeer.Peers
 	// side is the side of the network partition that the process is on, 0 or 1.
 	side   int
 	paused bool
@@ -107,14 +107,14 @@
 	}
 	proc := &process{
 		Member:       self,
-		peers:        yuccapeer.New(self),
+		view:         yuccapeer.New(self),
 		connections:  make(map[yuccaid.Incarnation]*connection),
 		received:     make(map[yuccaid.Incarnation]time.Time),
 		latest:       make(map[yuccaid.VM]yuccaid.Incarnation),
 		seenReplaced: make(map[yuccaid.Incarnation]bool),
 		seenLeaving:  make(map[yuccaid.Incarnation]bool),
 	}
-	proc.peers.SetListings(wld.now, wld.listings)
+	proc.view.SetListings(wld.now, wld.listings)
 	wld.processes = append(wld.processes, proc)
 	return proc
 }
@@ -131,7 +131,7 @@
 	i := slices.IndexFunc(wld.listings, func(item yuccapeer.Listing) bool { return item.VM == old.VM })
 	wld.listings[i] = listing
 	for _, item := range wld.processes {
-		item.peers.SetListings(wld.now, wld.listings)
+		item.view.SetListings(wld.now, wld.listings)
 	}
 	wld.start(listing).side = old.side
 }
@@ -163,7 +163,7 @@
 	if proc.paused || proc.dead {
 		return
 	}
-	wld.apply(proc, proc.peers.Tick(wld.now))
+	wld.apply(proc, proc.view.Tick(wld.now))
 	for _, event := range proc.inbox {
 		event()
 	}
@@ -237,10 +237,10 @@
 	}
 	proc.received[from] = wld.now
 	if dlv.message.Heartbeat != nil {
-		wld.apply(proc, proc.peers.HandleHeartbeat(wld.now, *dlv.message.Heartbeat))
+		wld.apply(proc, proc.view.HandleHeartbeat(wld.now, *dlv.message.Heartbeat))
 		return
 	}
-	wld.apply(proc, proc.peers.HandlePulse(wld.now, from, dlv.message.Pulse))
+	wld.apply(proc, proc.view.HandlePulse(wld.now, from, dlv.message.Pulse))
 }
 
 // canReach reports whether two processes run on the same side of the network partition.
@@ -261,7 +261,7 @@
 		if proc.dead || proc.paused {
 			continue
 		}
-		for _, address := range proc.peers.Dial() {
+		for _, address := range proc.view.Dial() {
 			other := byAddress[address]
 			if other != nil && !other.paused && wld.canReach(proc, other) && proc.connections[other.Incarnation] == nil {
 				wld.openConnection(proc, other)
@@ -274,8 +274,8 @@
 func (wld *world) openConnection(a, b *process) {
 	conn := &connection{ends: [2]*process{a, b}, received: wld.now}
 	a.connections[b.Incarnation], b.connections[a.Incarnation] = conn, conn
-	wld.apply(a, a.peers.HandleConnect(wld.now, b.Member))
-	wld.apply(b, b.peers.HandleConnect(wld.now, a.Member))
+	wld.apply(a, a.view.HandleConnect(wld.now, b.Member))
+	wld.apply(b, b.view.HandleConnect(wld.now, a.Member))
 }
 
 // closeSilent closes the connections that have delivered no message for silenceLimit, and
@@ -291,7 +291,7 @@
 			delete(proc.connections, inc)
 			proc.inbox = append(proc.inbox, func() {
 				if proc.connections[inc] == nil {
-					proc.peers.HandleDisconnect(wld.now, inc)
+					proc.view.HandleDisconnect(wld.now, inc)
 				}
 			})
 		}
