--- a/core/yuccaqueue/account.go
+++ b/core/yuccaqueue/account.go
@@ -31,8 +31,8 @@
 //
 // virtualService is the service that the account has received in the tier for each unit
 // of weight, in seconds. It is raised to the tier's floor when the account has requests
-// waiting again, so that an idle account cannot save up a claim to service and later
-// shut out the others.
+// waiting again. Otherwise an account that was idle for long would be served before all
+// other accounts until it had caught up with them.
 type accountTier struct {
 	account        *account
 	tier           *tier
--- a/core/yuccaqueue/ask.go
+++ b/core/yuccaqueue/ask.go
@@ -9,16 +9,16 @@
 // BlockTokens is the number of prompt tokens that one prefix hash covers.
 //
 // Engines cache in blocks of 16 to 64 tokens. The coarser block of 256 loses less than
-// one block of each shared prefix, a few per cent of a rulebook, and keeps the message
-// for a prompt of 30,000 tokens near one kilobyte.
+// one block of each shared prefix, which is a few per cent of a long shared text such as
+// a rulebook, and keeps the message for a prompt of 30,000 tokens near one kilobyte.
 const BlockTokens yuccaid.Tokens = 256
 
 // Request is what a pool's leader knows of a waiting request.
 //
-// Remaining is the time left until the deadline; a duration is sent because clocks of
-// different VMs are never compared. Prompt and Answer are the owner's estimates of the
-// lengths in tokens. Prefixes[i] is the hash of the first (i+1)*BlockTokens tokens of
-// the prompt.
+// Rank is the rank of the tier; rank 0 is served first. Remaining is the time left until
+// the deadline; a duration is sent because clocks of different VMs are never compared.
+// Prompt and Answer are the owner's estimates of the lengths in tokens. Prefixes[i] is
+// the hash of the first (i+1)*BlockTokens tokens of the prompt.
 type Request struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
--- a/core/yuccaqueue/bounds.go
+++ b/core/yuccaqueue/bounds.go
@@ -3,7 +3,7 @@
 import "yuccacleat/core/yuccaid"
 
 // Bounds limits the number and the tokens of waiting requests: of the whole queue, of
-// one client account, and of all tiers below the top one.
+// one client account, and of all tiers below the top one together.
 //
 // Without bounds an overload turns into waits longer than any deadline, and the queue
 // then serves only requests that are already late. The last admitted request may exceed
@@ -35,7 +35,7 @@
 	return bounds
 }
 
-func (bounds *Bounds) poolFull(ld load) bool {
+func (bounds *Bounds) queueFull(ld load) bool {
 	return ld.requests >= bounds.Requests || ld.tokens >= bounds.Tokens
 }
 
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -3,7 +3,8 @@
 // flow holds the waiting requests of one account in one class, the earliest Params.Key
 // first.
 //
-// The pos fields are the flow's positions in the heaps of its class.
+// posInService, posInEligible and posInAhead are the flow's positions in the heaps
+// byService, eligible and ahead of its class.
 type flow struct {
 	accountTier *accountTier
 	class       *class
@@ -25,27 +26,31 @@
 // one target set that are all short or all long.
 //
 // Accounts whose virtual service is at most window above that of the account served
-// least compete by deadline; the others wait until that account has caught up. With
-// spare capacity all accounts are within the window, and the pure deadline order loses
-// no request that could meet its deadline. Under load an account with many requests
-// cannot displace one with few by early deadlines alone.
+// least compete by deadline; accounts further ahead wait until that account has caught
+// up. With spare capacity all accounts are within the window, and in pure deadline order
+// no request that could meet its deadline misses it. Under load an account with many
+// requests cannot push back one with few by early deadlines alone.
 //
-// floor is the highest value so far of the least virtual service among the class's
-// flows. parked says that no request of the class finds a free slot; held lists
-// requests for which the free slots are unsuitable. Neither is tried again before
-// unpark. asideTurn is the call of Serve that last parked the class or held one of its
-// requests.
+// byService holds all flows that have a request to serve, the least virtual service
+// first. Each of them is also in eligible, ordered by deadline, if it is within the
+// window, otherwise in ahead, ordered by virtual service. floor is the highest value so
+// far of the least virtual service among the class's flows.
+//
+// parked says that no request of the class finds a free slot; held lists requests for
+// which the free slots are unsuitable. Parked classes and held requests are not tried
+// again before unpark. lastSetAside is the value of Queue.serveTurn when the class was
+// last parked or one of its requests held.
 type class struct {
-	targetSet TargetSet
-	long      bool
-	window    float64
-	floor     float64
-	parked    bool
-	asideTurn uint64
-	held      []*Item
-	byService heap[*flow]
-	eligible  heap[*flow]
-	ahead     heap[*flow]
+	targetSet    TargetSet
+	long         bool
+	window       float64
+	floor        float64
+	parked       bool
+	lastSetAside uint64
+	held         []*Item
+	byService    heap[*flow]
+	eligible     heap[*flow]
+	ahead        heap[*flow]
 }
 
 func newClass(targetSet TargetSet, long bool, window float64) *class {
@@ -62,7 +67,7 @@
 }
 
 // reposition updates a flow's positions in the heaps after a change of its virtual
-// service, its first item or its account's blocking.
+// service or its first item, or after its account was blocked or unblocked.
 func (cls *class) reposition(fl *flow) {
 	if fl.items.len() == 0 || fl.accountTier.account.blocked {
 		cls.byService.remove(fl)
@@ -87,8 +92,8 @@
 	cls.ahead.fix(fl)
 }
 
-// advanceFloor raises the floor to the least virtual service and makes the flows
-// eligible that are now within the window.
+// advanceFloor raises the floor to the least virtual service and moves the flows that
+// are now within the window from the ahead heap to the eligible heap.
 func (cls *class) advanceFloor() {
 	if cls.byService.len() == 0 {
 		return
@@ -99,7 +104,7 @@
 	}
 }
 
-// head returns the flow to be served next, or nil.
+// head returns the flow to be served next, or nil if the class is parked or has none.
 func (cls *class) head() *flow {
 	if cls.parked || cls.eligible.len() == 0 {
 		return nil
@@ -112,15 +117,17 @@
 	return cls.parked || len(cls.held) > 0
 }
 
-// park sets the whole class aside, because no free slot was found for it, until unpark.
+// park keeps the whole class, for which no free slot was found, from being tried until
+// unpark.
 func (cls *class) park(serveTurn uint64) {
 	cls.parked = true
-	cls.asideTurn = serveTurn
+	cls.lastSetAside = serveTurn
 }
 
-// hold sets a request aside, for which the free slots are unsuitable, until unpark.
+// hold keeps a request, for which the free slots are unsuitable, from being tried until
+// unpark. It parks the class once maxHeldItems of its requests are held.
 func (cls *class) hold(serveTurn uint64, item *Item) {
-	cls.asideTurn = serveTurn
+	cls.lastSetAside = serveTurn
 	item.held = true
 	item.flow.items.remove(item)
 	cls.held = append(cls.held, item)
@@ -133,8 +140,8 @@
 // unpark lets all requests of the class, held ones included, be served again.
 func (cls *class) unpark() {
 	cls.parked = false
-	for at, item := range cls.held {
-		cls.held[at] = nil
+	for i, item := range cls.held {
+		cls.held[i] = nil
 		item.held = false
 		item.flow.items.push(item)
 		cls.reposition(item.flow)
@@ -142,12 +149,12 @@
 	cls.held = cls.held[:0]
 }
 
-// release removes a request from held without queueing it again.
+// release removes a request from held without adding it to its flow again.
 func (cls *class) release(item *Item) {
-	for at, other := range cls.held {
+	for i, other := range cls.held {
 		if other == item {
 			last := len(cls.held) - 1
-			cls.held[at] = cls.held[last]
+			cls.held[i] = cls.held[last]
 			cls.held[last] = nil
 			cls.held = cls.held[:last]
 			item.held = false
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -14,9 +14,10 @@
 	TargetSet TargetSet
 	// Long marks a prompt that occupies a target long enough to delay short requests.
 	Long bool
-	// Key orders the requests of an account, the earliest first.
+	// Key orders the requests of one account, and those of the accounts that compete by
+	// deadline, the earliest first.
 	Key time.Time
-	// CheckAt is when NextToCheck returns the request if it still waits.
+	// CheckAt is the time from which NextToCheck returns the request if it still waits.
 	CheckAt time.Time
 	// LatestStart is the last moment at which a target could still meet the deadline.
 	LatestStart time.Time
@@ -31,11 +32,11 @@
 	Arrived  time.Time
 	Deadline time.Time
 
-	flow      *flow
-	held      bool
-	posInFlow int
-	posInDue  int
-	links     [2]arrivalLinks
+	flow         *flow
+	held         bool
+	posInFlow    int
+	posInCheckAt int
+	links        [2]arrivalLinks
 }
 
 // Remaining returns the time left until the deadline.
@@ -69,14 +70,14 @@
 }
 
 func (list *arrivals) remove(item *Item) {
-	at := item.links[list.kind]
-	if at.older != nil {
-		at.older.links[list.kind].newer = at.newer
+	links := item.links[list.kind]
+	if links.older != nil {
+		links.older.links[list.kind].newer = links.newer
 	}
-	if at.newer != nil {
-		at.newer.links[list.kind].older = at.older
+	if links.newer != nil {
+		links.newer.links[list.kind].older = links.older
 	} else {
-		list.newest = at.older
+		list.newest = links.older
 	}
 	item.links[list.kind] = arrivalLinks{}
 }
--- a/core/yuccaqueue/push.go
+++ b/core/yuccaqueue/push.go
@@ -22,7 +22,8 @@
 // loses least. When the arrival's account is at its own bound, it displaces a request
 // of the same account only. Displaced requests have left the queue, and the caller has
 // to refuse them. An arrival is refused only when no lower tier has a waiting request
-// that it may displace.
+// that it may displace. Once an arrival has displaced a request it is queued, even if a
+// bound is still reached.
 func (q *Queue) Push(now time.Time, req Request, params Params) ([]Displaced, Reason) {
 	acc := q.account(req.Account)
 	tr := q.tier(req.Tier, req.Rank)
@@ -46,23 +47,27 @@
 	return displaced, ""
 }
 
-// Restore queues a request again that left the queue for a target but did not get it
-// after all. It checks no bound: the last admitted request may have exceeded the bound
-// on tokens, and this request, admitted before, would be refused for that.
+// Restore queues a request again that was placed and then lost its target before the
+// grant was sent. It checks no bound: a request that was admitted in the meantime may
+// have exceeded the bound on tokens, and the restored request, which was admitted
+// earlier, must not be refused because of that.
 func (q *Queue) Restore(now time.Time, req Request, params Params) {
 	q.add(now, q.account(req.Account), q.tier(req.Tier, req.Rank), req, params)
 }
 
+// boundReached returns the reason to refuse an arrival of the given rank, or "" if no
+// bound is reached.
 func (q *Queue) boundReached(acc *account, rank int) Reason {
 	if q.bounds.accountFull(acc.load) {
 		return ReasonLimit
 	}
-	if q.bounds.poolFull(q.load) || rank > 0 && q.bounds.lowerTiersFull(q.lowerTierLoad()) {
+	if q.bounds.queueFull(q.load) || rank > 0 && q.bounds.lowerTiersFull(q.lowerTierLoad()) {
 		return ReasonOverload
 	}
 	return ""
 }
 
+// lowerTierLoad returns the load of all tiers except the top one, which has rank 0.
 func (q *Queue) lowerTierLoad() load {
 	sum := q.load
 	if len(q.tiers) > 0 && q.tiers[0].rank == 0 {
@@ -92,6 +97,8 @@
 	return nil
 }
 
+// newestBelow returns the account's newest waiting request in the lowest tier below the
+// given rank, or nil.
 func (acc *account) newestBelow(rank int) *Item {
 	var lowest *accountTier
 	for _, accTier := range acc.accountTiers {
@@ -116,7 +123,7 @@
 	item.flow.items.push(item)
 	cls.reposition(item.flow)
 	q.items[req.ID] = item
-	q.due.push(item)
+	q.byCheckAt.push(item)
 	tr.arrivals.add(item)
 	accTier.arrivals.add(item)
 	tr.work.add(item)
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -30,7 +30,7 @@
 }
 
 // WithFairWindow sets how many seconds of service for each unit of weight an account
-// may be ahead of the one served least and still compete by deadline.
+// may be ahead of the account served least and still compete by deadline.
 func WithFairWindow(seconds float64) Option {
 	return func(q *Queue) { q.window = seconds }
 }
@@ -50,7 +50,8 @@
 // Queue holds one pool's waiting requests in strict tiers; within a tier, requests are
 // in deadline order between accounts that are within a window of their fair share.
 //
-// due orders all waiting requests by Params.CheckAt; serveTurn counts the calls of Serve.
+// byCheckAt orders all waiting requests by Params.CheckAt; serveTurn counts the calls of
+// Serve.
 type Queue struct {
 	bounds    Bounds
 	window    float64
@@ -59,7 +60,7 @@
 	items     map[yuccaid.RequestID]*Item
 	accounts  map[yuccaid.Account]*account
 	tiers     []*tier
-	due       heap[*Item]
+	byCheckAt heap[*Item]
 	serveTurn uint64
 	load      load
 }
@@ -73,9 +74,9 @@
 		rechecks:  true,
 		items:     map[yuccaid.RequestID]*Item{},
 		accounts:  map[yuccaid.Account]*account{},
-		due: heap[*Item]{
+		byCheckAt: heap[*Item]{
 			less:     func(a, b *Item) bool { return a.Params.CheckAt.Before(b.Params.CheckAt) },
-			position: func(item *Item) *int { return &item.posInDue },
+			position: func(item *Item) *int { return &item.posInCheckAt },
 		},
 	}
 	for _, option := range options {
@@ -129,7 +130,7 @@
 		fl.class.reposition(fl)
 	}
 	delete(q.items, item.Request.ID)
-	q.due.remove(item)
+	q.byCheckAt.remove(item)
 	tr.arrivals.remove(item)
 	fl.accountTier.arrivals.remove(item)
 	tr.work.remove(item)
@@ -139,40 +140,43 @@
 }
 
 // RemoveServed removes a request that got a target and charges its work to its account.
-// Serve calls it itself; the caller calls it for a request that it placed outside
-// Serve.
+// It is meant for requests that the caller placed outside Serve; Serve does this for
+// those that it places.
 func (q *Queue) RemoveServed(item *Item) {
 	q.Remove(item)
 	item.flow.accountTier.charge(item.Params.Work.Seconds())
 }
 
-// Serve passes the waiting requests to try in the order of service, the highest tier
-// first, until no further request can be placed.
+// Serve calls try for one waiting request after another, in the order of service with
+// the highest tier first, until no further request can be placed.
 //
-// A class that found no free slot is parked until Unpark, so an arrival at a full pool
-// costs no scan of the targets. A request for which the free slots are unsuitable is
-// held until then as well. But a slot can also become usable merely because time
-// passes. Before a tier is served, whatever an earlier call of Serve parked or held in
-// the higher tiers is therefore tried again; otherwise a lower tier could take those
-// slots.
+// A class consists of the requests of a tier that have the same TargetSet and the same
+// value of Params.Long. When try returns NoFreeSlot, the request's class is parked until
+// Unpark, so an arrival at a full pool costs no scan of the targets. When try returns
+// Unsuitable, the request is held until Unpark. But a slot can also become usable merely
+// because time passes. Before a tier is served, whatever an earlier call of Serve parked
+// or held in the higher tiers is therefore tried again; otherwise a lower tier could
+// take those slots.
 func (q *Queue) Serve(try func(*Item) ServeResult) {
 	q.serveTurn++
-	for at := 0; at < len(q.tiers); at++ {
-		fl := q.tiers[at].next()
+	for i := 0; i < len(q.tiers); i++ {
+		fl := q.tiers[i].next()
 		if fl == nil {
 			continue
 		}
-		if q.unparkAbove(at) {
-			at = -1
+		if q.unparkAbove(i) {
+			// Start again with the highest tier.
+			i = -1
 			continue
 		}
-		for ; fl != nil; fl = q.tiers[at].next() {
-			q.serveOne(fl, try)
+		for ; fl != nil; fl = q.tiers[i].next() {
+			q.tryFirst(fl, try)
 		}
 	}
 }
 
-func (q *Queue) serveOne(fl *flow, try func(*Item) ServeResult) {
+// tryFirst calls try for the first request of a flow and applies the result.
+func (q *Queue) tryFirst(fl *flow, try func(*Item) ServeResult) {
 	item := fl.items.top()
 	switch try(item) {
 	case Placed:
@@ -184,16 +188,16 @@
 	}
 }
 
-// unparkAbove unparks the classes of higher tiers that earlier calls of Serve parked or
-// held requests of, and reports whether there were any.
-func (q *Queue) unparkAbove(at int) bool {
+// unparkAbove unparks the classes in the tiers above q.tiers[tierIndex] that an earlier
+// call of Serve parked or in which it held requests. It reports whether there were any.
+func (q *Queue) unparkAbove(tierIndex int) bool {
 	unparked := false
 	if !q.rechecks {
 		return false
 	}
-	for _, tr := range q.tiers[:at] {
+	for _, tr := range q.tiers[:tierIndex] {
 		for _, cls := range tr.classes {
-			if cls.anySetAside() && cls.asideTurn < q.serveTurn {
+			if cls.anySetAside() && cls.lastSetAside < q.serveTurn {
 				cls.unpark()
 				unparked = true
 			}
@@ -202,7 +206,7 @@
 	return unparked
 }
 
-// Unpark lets all requests of the matching target sets be served again.
+// Unpark lets Serve try all parked and held requests of the matching target sets again.
 func (q *Queue) Unpark(match func(TargetSet) bool) {
 	for _, tr := range q.tiers {
 		for _, cls := range tr.classes {
@@ -216,24 +220,25 @@
 // NextToCheck returns the request with the earliest Params.CheckAt if that time has
 // come, or nil.
 func (q *Queue) NextToCheck(now time.Time) *Item {
-	if q.due.len() == 0 || q.due.top().Params.CheckAt.After(now) {
+	if q.byCheckAt.len() == 0 || q.byCheckAt.top().Params.CheckAt.After(now) {
 		return nil
 	}
-	return q.due.top()
+	return q.byCheckAt.top()
 }
 
-// NextCheck returns the earliest Params.CheckAt of all waiting requests.
+// NextCheck returns the earliest Params.CheckAt of all waiting requests, or false if
+// none waits.
 func (q *Queue) NextCheck() (time.Time, bool) {
-	if q.due.len() == 0 {
+	if q.byCheckAt.len() == 0 {
 		return time.Time{}, false
 	}
-	return q.due.top().Params.CheckAt, true
+	return q.byCheckAt.top().Params.CheckAt, true
 }
 
 // Defer changes a request's Params.CheckAt.
-func (q *Queue) Defer(item *Item, due time.Time) {
-	item.Params.CheckAt = due
-	q.due.fix(item)
+func (q *Queue) Defer(item *Item, checkAt time.Time) {
+	item.Params.CheckAt = checkAt
+	q.byCheckAt.fix(item)
 }
 
 // WorkAhead returns the total work that would be served before a request of the given
@@ -296,11 +301,11 @@
 	item.flow = accTier.flowFor(accTier.tier.classFor(&params, q.window))
 	item.flow.items.push(item)
 	item.flow.class.reposition(item.flow)
-	q.due.fix(item)
+	q.byCheckAt.fix(item)
 }
 
-// PruneClasses removes empty classes; it is called after the target sets were
-// renumbered.
+// PruneClasses removes empty classes. The caller calls it after it has renumbered the
+// target sets.
 func (q *Queue) PruneClasses() {
 	empty := func(cls *class) bool { return cls.byService.len() == 0 && len(cls.held) == 0 }
 	for _, acc := range q.accounts {
@@ -315,6 +320,7 @@
 	}
 }
 
+// hasFlows reports whether an account still has a flow in the class.
 func (q *Queue) hasFlows(cls *class) bool {
 	for _, acc := range q.accounts {
 		for _, accTier := range acc.accountTiers {
@@ -338,12 +344,12 @@
 }
 
 func (q *Queue) tier(name yuccaid.Tier, rank int) *tier {
-	at, found := slices.BinarySearchFunc(q.tiers, rank, func(tr *tier, rank int) int { return tr.rank - rank })
+	index, found := slices.BinarySearchFunc(q.tiers, rank, func(tr *tier, rank int) int { return tr.rank - rank })
 	if !found {
 		fresh := &tier{name: name, rank: rank, arrivals: arrivals{kind: listOfTier}}
-		q.tiers = slices.Insert(q.tiers, at, fresh)
+		q.tiers = slices.Insert(q.tiers, index, fresh)
 	}
-	return q.tiers[at]
+	return q.tiers[index]
 }
 
 func (q *Queue) accountTier(acc *account, tr *tier) *accountTier {
--- a/core/yuccaqueue/queue_test.go
+++ b/core/yuccaqueue/queue_test.go
@@ -55,21 +55,22 @@
 	It("serves by deadline within a window and by weight beyond it", func() {
 		q := yuccaqueue.New(yuccaqueue.WithFairWindow(2))
 		q.SetWeight("large", 3)
-		for at := range 20 {
-			push(q, fmt.Sprintf("large-%d", at), "large", 0, time.Duration(10+at)*time.Second)
-			push(q, fmt.Sprintf("small-%d", at), "small", 0, time.Hour)
+		for i := range 20 {
+			push(q, fmt.Sprintf("large-%d", i), "large", 0, time.Duration(10+i)*time.Second)
+			push(q, fmt.Sprintf("small-%d", i), "small", 0, time.Hour)
 		}
-		count := map[byte]int{}
+		// The accounts are told apart by the first letter of the request's id.
+		countByLetter := map[byte]int{}
 		for _, id := range serve(q, 16) {
-			count[id[0]]++
+			countByLetter[id[0]]++
 		}
-		Expect(count['l']).To(BeNumerically("~", 12, 3))
-		Expect(count['s']).To(BeNumerically(">=", 2))
+		Expect(countByLetter['l']).To(BeNumerically("~", 12, 3))
+		Expect(countByLetter['s']).To(BeNumerically(">=", 2))
 	})
 
 	// An urgent request finds the queue full of low-tier requests. It must not be
-	// refused, and the newest low-tier request goes, because an older one has waited
-	// longer.
+	// refused, and the newest low-tier request is displaced, because an older one has
+	// waited longer.
 	It("displaces the lowest tier's newest request for one of a higher tier", func() {
 		bounds := yuccaqueue.BoundsFor(4, 1000)
 		bounds.AccountRequests, bounds.LowerTierRequests = 4, 4
@@ -102,6 +103,8 @@
 		Expect(reason).To(BeEmpty())
 	})
 
+	// Guards against a wrong sum, from which callers would be told to retry too early or
+	// too late: the tier below and later deadlines in the same tier do not count.
 	It("sums the work ahead of a request", func() {
 		q := yuccaqueue.New()
 		push(q, "note", "hotline", 0, time.Hour)
@@ -114,7 +117,8 @@
 
 // Guards against requests that are lost in the queue and wait for ever, and against
 // requests that are served twice or before a higher tier. Either happens when the heaps
-// and lists that hold an item disagree. The oracle is a plain map.
+// and lists that hold an item disagree. The queue is compared with a plain map from the
+// id to the rank of each waiting request.
 func TestQueueKeepsEverything(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := yuccaqueue.New(yuccaqueue.WithBounds(yuccaqueue.BoundsFor(30, 300)), yuccaqueue.WithFairWindow(1))
@@ -146,15 +150,15 @@
 			},
 			"serve": func(rt *rapid.T) {
 				results := rapid.SliceOfN(rapid.IntRange(0, 2), 1, 10).Draw(rt, "answers")
-				turn, last := 0, 0
+				turn, lastRank := 0, 0
 				q.Serve(func(item *yuccaqueue.Item) yuccaqueue.ServeResult {
 					if blocked[item.Request.Account] || model[string(item.Request.ID)] != item.Request.Rank {
 						rt.Fatalf("served request %s of account %s, which is blocked or no longer waits", item.Request.ID, item.Request.Account)
 					}
-					if item.Request.Rank < last {
-						rt.Fatalf("served rank %d after rank %d", item.Request.Rank, last)
+					if item.Request.Rank < lastRank {
+						rt.Fatalf("served rank %d after rank %d", item.Request.Rank, lastRank)
 					}
-					last = item.Request.Rank
+					lastRank = item.Request.Rank
 					result := yuccaqueue.NoFreeSlot
 					if turn < len(results) {
 						result = yuccaqueue.ServeResult(results[turn])
--- a/core/yuccaqueue/tier.go
+++ b/core/yuccaqueue/tier.go
@@ -15,8 +15,8 @@
 	arrivals arrivals
 	classes  []*class
 	work     histogram
-	// floor is the least virtual service with which an account starts again after it
-	// had nothing waiting.
+	// floor is the virtual service to which an account is raised, if it has less, when
+	// a request of it arrives and none was waiting.
 	floor float64
 }
 
@@ -33,23 +33,24 @@
 
 // next returns the flow to be served next over all classes that are not parked, or nil.
 //
-// A class is passed over if its best flow is more than a window ahead of the least
-// served flow of all these classes, so that fairness holds across classes too. The scan
-// is over the classes, at most two for each distinct set of targets, not over accounts.
+// A class is passed over if the flow that it would serve next is more than a window
+// ahead of the least served flow of all classes that are not parked, so that fairness
+// holds across classes too. The scan is over the classes, at most two for each distinct
+// set of targets, not over accounts.
 func (tr *tier) next() *flow {
 	var best *flow
-	least := math.Inf(1)
+	leastService := math.Inf(1)
 	for _, cls := range tr.classes {
 		if cls.head() != nil {
-			least = min(least, max(cls.floor, cls.byService.top().accountTier.virtualService))
+			leastService = min(leastService, max(cls.floor, cls.byService.top().accountTier.virtualService))
 		}
 	}
-	if !math.IsInf(least, 1) {
-		tr.floor = max(tr.floor, least)
+	if !math.IsInf(leastService, 1) {
+		tr.floor = max(tr.floor, leastService)
 	}
 	for _, cls := range tr.classes {
 		fl := cls.head()
-		if fl == nil || fl.accountTier.virtualService > least+cls.window {
+		if fl == nil || fl.accountTier.virtualService > leastService+cls.window {
 			continue
 		}
 		if best == nil || fl.items.top().Params.Key.Before(best.items.top().Params.Key) {
@@ -60,6 +61,10 @@
 }
 
 // histogram sums waiting work by deadline.
+//
+// buckets is a ring: the bucket of a deadline follows from the absolute time, so nothing
+// moves as time passes. later sums the work whose deadline, at arrival, was beyond the
+// span of the ring; total sums all work.
 type histogram struct {
 	buckets [bucketCount]time.Duration
 	later   time.Duration
@@ -87,7 +92,8 @@
 	hist.total -= item.Params.Work
 }
 
-// workBefore sums the work with deadlines from now until the given deadline.
+// workBefore sums the work with deadlines from now until the given deadline, to the
+// precision of a bucket. For a deadline beyond the span of the ring it returns all work.
 func (hist *histogram) workBefore(now, deadline time.Time) time.Duration {
 	if hist.total == 0 || deadline.Before(now) {
 		return 0
