--- a/core/yuccapool/bench_test.go
+++ b/core/yuccapool/bench_test.go
@@ -15,8 +15,8 @@
 )
 
 // bench is a leader whose targets are full and whose queue holds a constant number of
-// requests: each step finishes one run, which frees a slot for another, and submits a
-// new request.
+// requests: each step finishes one run, which frees a slot for a waiting request, and
+// submits a new request.
 type bench struct {
 	lead     *yuccapool.Leader
 	now      time.Time
@@ -28,8 +28,8 @@
 
 func newBench(waiting, targets, accounts int) *bench {
 	config := yuccapool.PoolConfig{Targets: fleet(targets), Accounts: map[yuccaid.Account]yuccapool.AccountConfig{}}
-	for at := range accounts {
-		config.Accounts[benchAccount(at)] = yuccapool.AccountConfig{Weight: 1 + at%3}
+	for i := range accounts {
+		config.Accounts[benchAccount(i)] = yuccapool.AccountConfig{Weight: 1 + i%3}
 	}
 	bounds := yuccaqueue.BoundsFor(10*waiting+1000, 1<<50)
 	bounds.AccountRequests = bounds.Requests
@@ -43,7 +43,7 @@
 	for range 10 * targets {
 		bn.now = bn.now.Add(time.Millisecond)
 		bn.submit()
-		bn.firstTokens()
+		bn.reportFirstTokens()
 	}
 	for range waiting {
 		bn.submit()
@@ -51,8 +51,8 @@
 	return bn
 }
 
-func benchAccount(at int) yuccaid.Account {
-	return yuccaid.Account(fmt.Sprintf("account-%d", at))
+func benchAccount(i int) yuccaid.Account {
+	return yuccaid.Account(fmt.Sprintf("account-%d", i))
 }
 
 func (bn *bench) collect(dec yuccapool.Decisions) { bn.granted = append(bn.granted, dec.Grants...) }
@@ -67,8 +67,8 @@
 	bn.collect(bn.lead.Submit(bn.now, req))
 }
 
-// firstTokens reports the first token of every granted run.
-func (bn *bench) firstTokens() {
+// reportFirstTokens reports the first token of every granted run.
+func (bn *bench) reportFirstTokens() {
 	for len(bn.granted) > 0 {
 		grant := bn.granted[0]
 		bn.granted = append(bn.granted[:0], bn.granted[1:]...)
@@ -81,19 +81,20 @@
 // request.
 func (bn *bench) step() {
 	bn.now = bn.now.Add(time.Millisecond)
-	at := bn.next % len(bn.running)
-	done := bn.running[at]
-	bn.running[at] = bn.running[len(bn.running)-1]
+	index := bn.next % len(bn.running)
+	done := bn.running[index]
+	bn.running[index] = bn.running[len(bn.running)-1]
 	bn.running = bn.running[:len(bn.running)-1]
 	bn.collect(bn.lead.RunFinished(bn.now, yuccapool.Finished{
 		ID: done.ID, Target: done.Target, Ran: true, Prompt: 500, Cached: 256, Answer: 100,
 		Prefill: 50 * time.Millisecond, Decode: 2 * time.Second,
 	}))
-	bn.firstTokens()
+	bn.reportFirstTokens()
 	bn.submit()
-	bn.firstTokens()
+	bn.reportFirstTokens()
 }
 
+// stepDecisions is the number of decisions in one step.
 const stepDecisions = 3
 
 func BenchmarkDecisions(b *testing.B) {
--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -36,8 +36,8 @@
 		acc := lead.account(name)
 		acc.targetSet = lead.targetSetIndex(indexByKey, accConfig.Targets)
 		acc.limits = accConfig.Limits
-		acc.requests.set(now, accConfig.Limits.RequestsPerSecond)
-		acc.tokens.set(now, float64(accConfig.Limits.TokensPerSecond))
+		acc.requests.setRate(now, accConfig.Limits.RequestsPerSecond)
+		acc.tokens.setRate(now, float64(accConfig.Limits.TokensPerSecond))
 		lead.queue.SetWeight(name, accConfig.Weight)
 	}
 	for name, acc := range lead.accounts {
@@ -45,8 +45,8 @@
 	}
 }
 
-// targetSetIndex returns the index of the set of the given targets and adds the set if
-// no account before had the same one.
+// targetSetIndex returns the index in Leader.targetSets of the set of the given targets.
+// It adds the set unless an earlier account has the same one.
 func (lead *Leader) targetSetIndex(indexByKey map[string]int, targets []yuccaid.Target) int {
 	names := make([]string, 0, len(targets))
 	for _, tgt := range targets {
@@ -63,7 +63,8 @@
 	return index
 }
 
-// updateParams recomputes the scheduling parameters of every waiting request.
+// updateParams recomputes the scheduling parameters of every waiting request. Unless the
+// leader gathers, it refuses those whose account may no longer use any target.
 func (lead *Leader) updateParams(now time.Time, dec *Decisions) {
 	var items []*yuccaqueue.Item
 	lead.queue.ForEach(func(item *yuccaqueue.Item) { items = append(items, item) })
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -31,7 +31,7 @@
 }
 
 // handleKnown reports whether the request is waiting or running already. It repeats a
-// grant that the owner has not used yet.
+// grant that the owner has not used yet, because the first message may have been lost.
 func (lead *Leader) handleKnown(req *Ask, dec *Decisions) bool {
 	if _, waiting := lead.queue.Get(req.ID); waiting {
 		return true
@@ -45,7 +45,8 @@
 
 // admit applies the checks that need no queue: the account's rate limits, its targets,
 // and whether even an idle pool could meet the deadline. A caller that is refused at
-// once has time left to try elsewhere.
+// once has time left to try elsewhere. While the leader gathers, every request is
+// admitted.
 func (lead *Leader) admit(now time.Time, acc *account, req *Ask, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return true
@@ -68,7 +69,7 @@
 	return true
 }
 
-// shape returns what the estimates of the fleet need of a request.
+// shape returns the properties of a request from which the fleet estimates its times.
 func (lead *Leader) shape(req *Ask, deadline time.Time) yuccaplace.Shape {
 	shape := yuccaplace.Shape{
 		Prompt:   req.Prompt,
@@ -82,7 +83,7 @@
 }
 
 // params computes the scheduling parameters of a request: requests are ordered by
-// deadline, and one is checked shortly before the slowest target could no longer meet
+// deadline, and each is checked shortly before the slowest target could no longer meet
 // its deadline, the earliest moment at which a slot may have to be freed for it.
 func (lead *Leader) params(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
 	targetSet := lead.targetSets[acc.targetSet]
@@ -97,8 +98,9 @@
 	}
 }
 
-// push queues a request. If the queue holds only requests of its own tier and higher
-// ones and is full, a run of a lower tier is cancelled before the request is refused.
+// push queues a request. If the queue is full and holds no request of a lower tier to
+// displace, a run of a lower tier is cancelled, if possible, rather than the request
+// refused.
 func (lead *Leader) push(now time.Time, req Ask, params yuccaqueue.Params, dec *Decisions) {
 	displaced, reason := lead.queue.Push(now, req, params)
 	if reason == yuccaqueue.ReasonOverload && lead.evictForQueued(now, &req, dec) {
@@ -115,8 +117,9 @@
 	lead.refuseDisplaced(now, displaced, dec)
 }
 
-// evictForQueued frees a place in a full queue: it cancels a run of a lower tier and
-// grants its slot to the first waiting request of the new request's tier or above.
+// evictForQueued makes room in a full queue for a new request: it cancels a run of a
+// lower tier and grants its slot to the first waiting request of the new request's tier
+// or above.
 func (lead *Leader) evictForQueued(now time.Time, req *Ask, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return false
@@ -129,8 +132,9 @@
 	return true
 }
 
-// evictForNew grants a request that the full queue cannot hold the slot of a run of a
-// lower tier, when no waiting request could use that slot.
+// evictForNew cancels a run of a lower tier and grants its slot to a new request for
+// which the queue is full. It is tried only if no run can be cancelled for a waiting
+// request of the same tier or above, or if the queue is still full after that.
 func (lead *Leader) evictForNew(now time.Time, req Ask, dec *Decisions) bool {
 	return !lead.gathering(now) && lead.evict(now, &req, now.Add(req.Remaining), dec)
 }
@@ -168,15 +172,16 @@
 
 // check handles a request that is about to miss its deadline.
 //
-// First it may use the slots that are reserved for others, unless a request of a higher
-// tier waits; then a run of a lower tier is cancelled for it. If nothing has helped by
-// its last possible start, it is refused at once: served late, it would take target
-// time from requests that can still meet their deadlines.
+// First the request may use the slots that are reserved for short requests or for higher
+// tiers, unless a request of a higher tier waits; then a run of a lower tier is cancelled
+// for it. If the request has no slot by Params.LatestStart, it is refused at once: served
+// late, it would take target time from requests that can still meet their deadlines.
 func (lead *Leader) check(now time.Time, item *yuccaqueue.Item, dec *Decisions) {
 	if !now.After(item.Params.LatestStart) && lead.placeOrEvict(now, item, dec) {
 		return
 	}
 	if item.Params.CheckAt.After(now) {
+		// evictIfDue has deferred the check.
 		return
 	}
 	if !now.Before(item.Params.LatestStart) {
@@ -207,8 +212,9 @@
 	return lead.evictIfDue(now, item, dec)
 }
 
-// evictIfDue cancels runs for a waiting request, but not before the last moment that
-// helps, because until then a run may finish by itself.
+// evictIfDue cancels runs for a waiting request if the last moment at which that helps is
+// at most evictionLead away. Otherwise it defers the check, because a run may finish by
+// itself until then.
 func (lead *Leader) evictIfDue(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
 	eviction, found := lead.eviction(now, &item.Request, item.Deadline)
 	if !found {
@@ -222,7 +228,8 @@
 	return lead.applyEviction(now, &item.Request, item.Deadline, eviction, dec)
 }
 
-// placeOnReserved grants a request a free slot even if the slot is reserved for others.
+// placeOnReserved grants a request a free slot even if the slot is reserved for short
+// requests or for higher tiers.
 func (lead *Leader) placeOnReserved(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
 	if lead.account(item.Request.Account).atRunningLimit() {
 		return false
@@ -238,13 +245,14 @@
 	return true
 }
 
-// evict cancels runs of lower tiers for a request and grants it their slot, if it can
-// meet its deadline there.
+// evict cancels runs of lower tiers for a request and grants it a slot that they held, if
+// the request can meet its deadline there.
 func (lead *Leader) evict(now time.Time, req *Ask, deadline time.Time, dec *Decisions) bool {
 	eviction, found := lead.eviction(now, req, deadline)
 	return found && lead.applyEviction(now, req, deadline, eviction, dec)
 }
 
+// applyEviction cancels the runs of an eviction and grants the request the slot.
 func (lead *Leader) applyEviction(now time.Time, req *Ask, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
 	for _, victim := range eviction.Runs {
 		lead.cancel(now, lead.runs[victim.ID], dec)
@@ -265,19 +273,21 @@
 	if found {
 		return eviction, true
 	}
-	// No eviction lets a long answer meet the deadline, but one may let an ordinary
-	// answer meet it. A run of a lower tier is worth less than that chance.
+	// No eviction lets a long answer meet the deadline, but an eviction may let an answer
+	// of ordinary length meet it. The request's chance to meet its deadline takes
+	// precedence over a run of a lower tier, so that eviction is tried too.
 	shape.Urgent = true
 	return lead.fleet.Evict(now, lead.targetSets[acc.targetSet], &shape)
 }
 
-// cancel takes a run's slot away. A grant made in the same decision has not been sent
-// yet: it is removed from the decision and its request is queued again.
+// cancel ends a run to free its slot. If dec still holds the run's grant, the grant has
+// not been sent yet: it is removed from dec and its request is queued again. Otherwise
+// the owner is asked to cancel the run.
 func (lead *Leader) cancel(now time.Time, run *grantedRun, dec *Decisions) {
 	lead.endRun(now, run)
-	unsent := slices.IndexFunc(dec.Grants, func(grant Grant) bool { return grant.ID == run.req.ID })
-	if unsent >= 0 {
-		dec.Grants = slices.Delete(dec.Grants, unsent, unsent+1)
+	unsentIndex := slices.IndexFunc(dec.Grants, func(grant Grant) bool { return grant.ID == run.req.ID })
+	if unsentIndex >= 0 {
+		dec.Grants = slices.Delete(dec.Grants, unsentIndex, unsentIndex+1)
 		lead.requeue(now, run)
 		return
 	}
@@ -287,7 +297,8 @@
 	})
 }
 
-// requeue queues the request of a run again whose grant was removed before it was sent.
+// requeue queues the request of a run again, after the run's grant was removed before it
+// was sent.
 func (lead *Leader) requeue(now time.Time, run *grantedRun) {
 	lead.onRequeue(run.Target())
 	run.req.Remaining = run.deadline.Sub(now)
@@ -323,8 +334,8 @@
 	return drain + time.Duration(lead.rng.Float64()*retryJitter*float64(drain))
 }
 
-// Withdraw removes a waiting request. A grant that was already sent is given back by
-// RunFinished.
+// Withdraw removes a waiting request that its owner no longer wants served. If its grant
+// was already sent, the owner gives the slot back with RunFinished.
 func (lead *Leader) Withdraw(now time.Time, id yuccaid.RequestID) Decisions {
 	var dec Decisions
 	if item, waiting := lead.queue.Get(id); waiting {
--- a/core/yuccapool/doc.go
+++ b/core/yuccapool/doc.go
@@ -1,12 +1,14 @@
-// Package yuccapool implements the leader of one pool in one data centre. The leader
-// receives requests from the daemons that own them and answers with grants, refusals
-// and cancels.
+// Package yuccapool implements the leader of one pool, a group of targets, in one data
+// centre. The owner of a request is the daemon that received it from its caller. Owners
+// submit requests to the leader, which answers each with a grant, the permission to run
+// the request on one target, or with a refusal. It may also cancel a run.
 //
-// It uses yuccaqueue to order requests and yuccaplace to choose targets. It adds what
-// needs both: limits of accounts, grants and their return, runs whose owners are lost,
-// and preemption, which cancels a run of a lower tier for a request that would
-// otherwise be refused. The caller passes in each event with the present time and sends
-// the returned decisions; it calls Tick at least every 100 milliseconds.
+// The package uses yuccaqueue to order requests and yuccaplace to choose targets. It
+// enforces the limits of accounts, keeps a slot for each grant until the owner reports
+// that the run has finished, and frees the slots of runs whose owner is lost. By
+// preemption (also called eviction) it cancels a run of a lower tier for a request that
+// would otherwise be refused. The caller passes in each event with the present time,
+// sends the returned decisions and calls Tick at least every 100 milliseconds.
 //
 // The leader's state is not stored. Two leaders at the same time can overcommit a
 // target for a short while; owners make sure that a request runs at most once.
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -22,8 +22,9 @@
 	return func(lead *Leader) { lead.fleet = yuccaplace.New(options...) }
 }
 
-// grantedRun is a run whose grant has not been given back. dispatched says that the
-// owner has used the grant; orphaned says that the owner's daemon is lost.
+// grantedRun is a grant together with the run that it allows; it holds its slot until
+// endRun. dispatched says that the owner has used the grant; orphaned says that the
+// owner is lost.
 type grantedRun struct {
 	yuccaplace.Run
 	req        Ask
@@ -35,29 +36,32 @@
 // Leader makes the decisions for one pool in one data centre.
 //
 // It is not safe for concurrent use: only the daemon's control goroutine calls it.
+//
+// The leader gathers until holdGrantsUntil: it withholds all grants. preempts is false
+// only in tests. overdueCheckedAt is the time of the last search for overdue runs.
 type Leader struct {
-	pool           yuccaid.Pool
-	self           yuccaid.Incarnation
-	rng            *rand.Rand
-	config         PoolConfig
-	withholdUntil  time.Time
-	preempts       bool
-	fleet          *yuccaplace.Fleet
-	queue          *yuccaqueue.Queue
-	targetSets     []*yuccaplace.Reach
-	accounts       map[yuccaid.Account]*account
-	runs           map[yuccaid.RequestID]*grantedRun
-	overdueChecked time.Time
+	pool             yuccaid.Pool
+	self             yuccaid.Incarnation
+	rng              *rand.Rand
+	config           PoolConfig
+	holdGrantsUntil  time.Time
+	preempts         bool
+	fleet            *yuccaplace.Fleet
+	queue            *yuccaqueue.Queue
+	targetSets       []*yuccaplace.Reach
+	accounts         map[yuccaid.Account]*account
+	runs             map[yuccaid.RequestID]*grantedRun
+	overdueCheckedAt time.Time
 	// onRequeue is called with the target of each grant that is removed before it was
 	// sent; tests set it.
 	onRequeue func(yuccaid.Target)
 }
 
 // New returns a leader without targets; Configure sets them.
-func New(pool yuccaid.Pool, leader yuccaid.Incarnation, rng *rand.Rand, options ...Option) *Leader {
+func New(pool yuccaid.Pool, self yuccaid.Incarnation, rng *rand.Rand, options ...Option) *Leader {
 	lead := &Leader{
 		pool:     pool,
-		self:     leader,
+		self:     self,
 		rng:      rng,
 		preempts: true,
 		fleet:    yuccaplace.New(),
@@ -79,17 +83,18 @@
 //
 // A leader that grants before it knows what runs would fill every target a second time,
 // and urgent requests would wait behind the surplus inside the targets.
-func (lead *Leader) HoldGrantsUntil(_, withholdUntil time.Time) {
-	lead.withholdUntil = withholdUntil
+func (lead *Leader) HoldGrantsUntil(_, holdGrantsUntil time.Time) {
+	lead.holdGrantsUntil = holdGrantsUntil
 }
 
-// gathering reports whether the leader withholds all grants until its owners have
-// reported what runs.
+// gathering reports whether the leader withholds all grants, as set by HoldGrantsUntil,
+// because owners are still reporting what runs.
 func (lead *Leader) gathering(now time.Time) bool {
-	return now.Before(lead.withholdUntil)
+	return now.Before(lead.holdGrantsUntil)
 }
 
-// AddRunning adds a run that its owner reports to a new leader.
+// AddRunning adds a run that its owner reports to a new leader. It ignores a run that the
+// leader already has and one on a target that is not in the configuration.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
 	node, found := lead.fleet.Node(running.Target)
 	if _, known := lead.runs[running.Request.ID]; known || !found {
@@ -123,7 +128,8 @@
 	return dec
 }
 
-// RunFinished frees the slot of a grant and learns speeds and lengths from the run.
+// RunFinished frees the slot of a grant and updates the estimates of speeds and answer
+// lengths with the measurements of the run.
 func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
@@ -151,13 +157,13 @@
 }
 
 // DropOwner removes the waiting requests of a lost daemon. Its runs keep their slots
-// until a report of the target shows that they are gone or LongestRun has passed,
+// until a report of the target shows that they have finished or LongestRun has passed,
 // because a target does not know that the owner no longer waits for the answer.
-func (lead *Leader) DropOwner(now time.Time, inc yuccaid.Incarnation) Decisions {
+func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	var owned []*yuccaqueue.Item
 	lead.queue.ForEach(func(item *yuccaqueue.Item) {
-		if item.Request.Owner == inc {
+		if item.Request.Owner == owner {
 			owned = append(owned, item)
 		}
 	})
@@ -165,7 +171,7 @@
 		lead.queue.Remove(item)
 	}
 	for _, run := range lead.runs {
-		if run.req.Owner == inc {
+		if run.req.Owner == owner {
 			run.orphaned = true
 			run.Cancellable = false
 		}
@@ -178,7 +184,7 @@
 func (lead *Leader) ApplyReport(now time.Time, report LoadReport) Decisions {
 	var dec Decisions
 	lead.fleet.Leave(now, report.Target, report.Leaving, report.Age)
-	lead.endLostRuns(now, &report)
+	lead.endOrphanedRuns(now, &report)
 	lead.fleet.Report(now, report.Target, yuccaplace.Load{
 		Age: report.Age, Waiting: report.Waiting, Running: report.Running,
 	})
@@ -187,14 +193,15 @@
 	return dec
 }
 
-// endLostRuns ends runs of lost owners that the target's report no longer shows. Only
-// runs that began before the report was made are compared with it.
-func (lead *Leader) endLostRuns(now time.Time, report *LoadReport) {
-	made := now.Add(-report.Age)
+// endOrphanedRuns ends runs of lost owners when a target's report shows fewer runs than
+// the leader counts there, as many as the report lacks. Only runs that started before
+// the report was made are counted.
+func (lead *Leader) endOrphanedRuns(now time.Time, report *LoadReport) {
+	reportedAt := now.Add(-report.Age)
 	var orphaned []*grantedRun
 	counted := 0
 	for _, run := range lead.runs {
-		if run.Target() != report.Target || run.Began.After(made) {
+		if run.Target() != report.Target || run.Began.After(reportedAt) {
 			continue
 		}
 		counted++
@@ -226,21 +233,23 @@
 }
 
 // NextCheck returns when a waiting request has to be checked, or false if none waits.
+// While the leader gathers, nothing is checked before the end of that time.
 func (lead *Leader) NextCheck(now time.Time) (time.Time, bool) {
 	check, found := lead.queue.NextCheck()
-	if found && lead.gathering(now) && check.Before(lead.withholdUntil) {
-		return lead.withholdUntil, true
+	if found && lead.gathering(now) && check.Before(lead.holdGrantsUntil) {
+		return lead.holdGrantsUntil, true
 	}
 	return check, found
 }
 
 // endOverdueRuns ends runs that have lasted longer than LongestRun allows, such as
-// those of lost owners on targets that report nothing.
+// those of lost owners on targets that report nothing. A run is timed from its grant, and
+// its owner may use the grant up to grantTTL later.
 func (lead *Leader) endOverdueRuns(now time.Time) {
-	if now.Sub(lead.overdueChecked) < overdueInterval {
+	if now.Sub(lead.overdueCheckedAt) < overdueInterval {
 		return
 	}
-	lead.overdueChecked = now
+	lead.overdueCheckedAt = now
 	longest := lead.config.LongestRun
 	if longest <= 0 {
 		longest = defaultLongestRun
@@ -252,7 +261,7 @@
 	}
 }
 
-// startRun records a run on the chosen target and counts it for its account.
+// startRun records a run on the chosen target and counts it as running for its account.
 func (lead *Leader) startRun(now time.Time, req Ask, choice yuccaplace.Choice, deadline time.Time) *grantedRun {
 	run := &grantedRun{req: req, deadline: deadline}
 	run.Run = yuccaplace.Run{
@@ -307,7 +316,7 @@
 
 // account returns the state of a client account and creates it if needed. It also
 // accepts accounts that the configuration does not list: the owner may have a newer
-// configuration, and it refuses by itself what is not allowed.
+// configuration, and the owner itself refuses accounts that are not allowed.
 func (lead *Leader) account(name yuccaid.Account) *account {
 	acc, found := lead.accounts[name]
 	if !found {
--- a/core/yuccapool/limit.go
+++ b/core/yuccapool/limit.go
@@ -11,9 +11,9 @@
 	filledAt time.Time
 }
 
-// set changes the rate and keeps the level, so that a new configuration does not allow
+// setRate changes the rate and keeps the level, so that a new configuration does not allow
 // a new burst.
-func (bk *bucket) set(now time.Time, rate float64) {
+func (bk *bucket) setRate(now time.Time, rate float64) {
 	bk.fill(now)
 	if bk.filledAt.IsZero() || bk.rate <= 0 {
 		bk.level = bk.burst(rate)
@@ -23,10 +23,12 @@
 	bk.level = min(bk.level, bk.burst(rate))
 }
 
+// burst returns the level of a full bucket.
 func (bk *bucket) burst(rate float64) float64 {
 	return max(rate*burstSpan.Seconds(), 1)
 }
 
+// fill adds what the rate has given since the last call.
 func (bk *bucket) fill(now time.Time) {
 	if bk.filledAt.IsZero() || bk.rate <= 0 {
 		return
@@ -38,7 +40,7 @@
 }
 
 // wait returns how long it takes until the bucket has reached the given level, or zero
-// if it has.
+// if it has reached it already.
 func (bk *bucket) wait(now time.Time, level float64) time.Duration {
 	if bk.rate <= 0 {
 		return 0
@@ -58,7 +60,8 @@
 
 // account is the leader's state of one client account.
 //
-// The leader sees every request of the account to this pool, so its limits are exact.
+// The leader sees every request of the account to this pool, so it enforces the limits
+// exactly.
 // Charges of a grant that was not used are refunded.
 type account struct {
 	// targetSet is the index in Leader.targetSets of the targets that the account may use.
@@ -69,8 +72,8 @@
 	running   int
 }
 
-// levelTolerance absorbs the rounding errors of a bucket that was filled in many small
-// steps.
+// levelTolerance, in requests or tokens, absorbs the rounding errors of a bucket that was
+// filled in many small steps.
 const levelTolerance = 1e-6
 
 // rateLimitWait returns how long the account has to wait until its rate limits allow
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -13,18 +13,23 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
+// triage is an urgent request: a triage note of a hotline.
 func triage() yuccapool.Ask {
 	return yuccapool.Ask{Account: "hotline", Rank: 0, Idempotent: true, Remaining: 10 * time.Second, Prompt: 2000, Answer: 150}
 }
 
+// letter is a request of the lowest tier with a long answer and a late deadline.
 func letter() yuccapool.Ask {
 	return yuccapool.Ask{Account: "office", Rank: 2, Idempotent: true, Remaining: time.Minute, Prompt: 4000, Answer: 800}
 }
 
+// lookup is a short request of the middle tier with an early deadline.
 func lookup() yuccapool.Ask {
 	return yuccapool.Ask{Account: "members", Rank: 1, Idempotent: true, Remaining: 2 * time.Second, Prompt: 200, Answer: 20}
 }
 
+// rulebook is a request of the middle tier with a prompt a hundred times as long as a
+// lookup's.
 func rulebook() yuccapool.Ask {
 	return yuccapool.Ask{Account: "marshals", Rank: 1, Idempotent: true, Remaining: 90 * time.Second, Prompt: 20_000, Answer: 300}
 }
@@ -43,9 +48,10 @@
 func configWithFleet(n int) yuccapool.PoolConfig { return yuccapool.PoolConfig{Targets: fleet(n)} }
 
 var _ = Describe("callers under load", func() {
-	// A storm brings four times the usual urgent requests (triage notes) for twenty
-	// seconds while low-tier requests (letters) fill the engines. Unless the leader
-	// orders them, the urgent requests wait behind letters and miss their deadlines.
+	// Four times the usual number of urgent requests (triage notes) arrive for twenty
+	// seconds, as in a storm, while low-tier requests (letters) fill the engines. Unless
+	// the leader orders them, the urgent requests wait behind letters and miss their
+	// deadlines.
 	It("serves every urgent request through a burst, whatever else runs", func() {
 		sim := newSimulation(configWithFleet(4))
 		sim.stream(250*time.Millisecond, 60*time.Second, letter)
@@ -55,8 +61,9 @@
 		Expect(sim.goodput(ofRank(0))).To(BeNumerically(">=", 0.99))
 	})
 
-	// One account sends ten times as many requests as the others. The requests of a
-	// small account must not wait behind them.
+	// One account, a script, sends more than ten times as many requests (one every 60 ms)
+	// as a small account (one every 2 s). The requests of the small account must not wait
+	// behind those of the script.
 	It("keeps a small account served beside a large one in the same tier", func() {
 		sim := newSimulation(configWithFleet(2))
 		sim.stream(60*time.Millisecond, 60*time.Second, func() yuccapool.Ask { return withAccount("script", triage()) })
@@ -77,15 +84,15 @@
 		sim.run(6 * time.Minute)
 		Expect(sim.count(outcomeMissed, anyRequest)).To(BeNumerically("<=", 4))
 		Expect(sim.goodput(anyRequest)).To(BeNumerically(">=", 0.98))
-		late := func(req *request) bool {
-			return req.engine != nil && req.engine.Name == "engine-0" && req.began.After(epoch.Add(200*time.Second))
+		onRecovered := func(req *request) bool {
+			return req.engine != nil && req.engine.Name == "engine-0" && req.startedAt.After(epoch.Add(200*time.Second))
 		}
-		Expect(sim.count(outcomeMet, late)).To(BeNumerically(">=", 10))
+		Expect(sim.count(outcomeMet, onRecovered)).To(BeNumerically(">=", 10))
 	})
 
 	// An engine stops making progress and keeps its connections open. Because it
-	// finishes nothing, no finished request shows that it is slow, and one request
-	// after the other is sent to it.
+	// finishes nothing, no finished request shows that it is slow. Without another sign
+	// of a stall, one request after the other would be sent to it.
 	It("sends a stalled target a handful of requests at most", func() {
 		sim := newSimulation(configWithFleet(4))
 		sim.stream(300*time.Millisecond, 2*time.Minute, triage)
@@ -95,8 +102,8 @@
 	})
 
 	// Prompts a hundred times as long as a lookup arrive one after the other. A lookup
-	// behind one of them misses its deadline; but if lookups always went first, the
-	// long prompts would starve.
+	// that waits behind one of them misses its deadline; but if lookups always went
+	// first, the long prompts would starve.
 	It("serves short lookups beside long rulebooks and starves neither", func() {
 		sim := newSimulation(configWithFleet(4))
 		sim.stream(1500*time.Millisecond, 2*time.Minute, rulebook)
@@ -106,10 +113,10 @@
 		Expect(sim.goodput(ofAccount("marshals"))).To(BeNumerically(">=", 0.9))
 	})
 
-	// Demand is twice the capacity for minutes; a leader that grants everything
-	// finishes nothing in time. Urgent requests leave letters 0.18 of the capacity that
+	// Demand is twice the capacity for minutes; a leader that granted everything would
+	// finish nothing in time. Urgent requests leave letters 0.18 of the capacity that
 	// they need: 900 of the 1,920 slot seconds in two minutes and 960 in the following
-	// one, while each of the 600 letters takes 17 slot seconds.
+	// minute, while each of the 600 letters takes 17 slot seconds.
 	It("when saturated, fills the fleet with requests that meet their deadline, and the lowest tier loses first", func() {
 		sim := newSimulation(configWithFleet(2))
 		sim.stream(400*time.Millisecond, 2*time.Minute, triage)
@@ -129,8 +136,8 @@
 		Expect(sim.count(outcomeRefused, anyRequest)).To(BeNumerically(">", 20))
 		var retries []*request
 		for _, req := range sim.reqs {
-			if req.outcome == outcomeRefused && req.ended.After(epoch.Add(15*time.Second)) {
-				sim.at(req.ended.Add(req.retryAfter), func() { retries = append(retries, sim.submit(triage())) })
+			if req.outcome == outcomeRefused && req.endedAt.After(epoch.Add(15*time.Second)) {
+				sim.at(req.endedAt.Add(req.retryAfter), func() { retries = append(retries, sim.submit(triage())) })
 			}
 		}
 		sim.run(2 * time.Minute)
@@ -146,8 +153,8 @@
 })
 
 var _ = Describe("a single decision", func() {
-	// A request whose deadline no target can meet waits until the deadline has passed,
-	// and its caller has no time left to try elsewhere.
+	// Guards against a request whose deadline no target can meet and which nevertheless
+	// waits until the deadline has passed: its caller has no time left to try elsewhere.
 	It("refuses at once what even an idle pool couldn't finish in time", func() {
 		sim := newSimulation(configWithFleet(1))
 		msg := rulebook()
@@ -175,8 +182,9 @@
 		}
 	})
 
-	// A run of a lower tier holds the only slot and continues to its end, while an
-	// urgent request misses its deadline.
+	// Guards against an urgent request that misses its deadline because runs of a lower
+	// tier hold all slots and continue to their end, and against cancelling the run
+	// whose prefill took longer, or a run that might still have finished by itself.
 	It("cancels the run that wastes the least prefill, at the last moment that helps", func() {
 		config := configWithFleet(2)
 		config.Targets[0].Slots, config.Targets[1].Slots = 1, 1
@@ -217,8 +225,8 @@
 		Expect(req.outcome).To(Equal(outcomeRunning))
 	})
 
-	// A target that is about to leave is sent new requests and cuts them off when it
-	// leaves.
+	// Guards against sending new requests to a target that is about to leave, which cuts
+	// them off when it leaves.
 	DescribeTable("sends nothing to a target that leaves",
 		func(announce func(*simulation)) {
 			sim := newSimulation(configWithFleet(1))
@@ -239,8 +247,8 @@
 		}),
 	)
 
-	// A daemon dies while its run continues on the engine. A leader that frees the slot
-	// at once sends the next request to wait behind that run.
+	// A daemon dies while its run continues on the engine. If the leader freed the slot
+	// at once, the next request would wait behind that run.
 	It("keeps the slot of a lost owner until the target's report or the longest run ends it", func() {
 		config := configWithFleet(1)
 		config.Targets[0].Slots = 1
@@ -263,9 +271,9 @@
 		}
 	})
 
-	// An owner does not use a grant, or never receives it. If the slot is not given
-	// back, the target idles; if the second submission is charged too, the account is
-	// limited too early.
+	// An owner does not use a grant, or never receives it and submits the request again.
+	// If the slot were not freed, the target would idle; if the second submission were
+	// charged too, the account would reach its rate limit too early.
 	It("frees the slot of an unused grant and repeats a lost grant", func() {
 		config := configWithFleet(1)
 		config.Targets[0].Slots = 1
@@ -280,8 +288,8 @@
 		Expect(lead.Submit(epoch, msg).Grants).To(HaveLen(1))
 	})
 
-	// During a partition two leaders fill the same target, and each takes it for a slow
-	// one.
+	// During a partition two leaders fill the same target. If neither counted the runs of
+	// the other, each would see only that the target is slow.
 	It("counts runs of other leaders that a target's report shows", func() {
 		config := configWithFleet(1)
 		sim := newSimulation(config)
@@ -302,14 +310,16 @@
 			"tokens": {Limits: yuccapool.Limits{TokensPerSecond: 1000}},
 		}
 		sim := newSimulation(config)
-		most := 0
-		sim.check = func(yuccapool.Decisions) { most = max(most, sim.count(outcomeRunning, ofAccount("few"))) }
+		maxRunning := 0
+		sim.check = func(yuccapool.Decisions) { maxRunning = max(maxRunning, sim.count(outcomeRunning, ofAccount("few"))) }
 		for _, acc := range []yuccaid.Account{"rated", "few", "tokens"} {
 			sim.stream(50*time.Millisecond, 20*time.Second, func() yuccapool.Ask { return withAccount(acc, lookup()) })
 		}
 		sim.run(time.Minute)
+		// Each rate allows 20 seconds' worth and a burst of one second's worth; a lookup
+		// has 220 tokens.
 		Expect(sim.count(outcomeMet, ofAccount("rated"))).To(BeNumerically("~", 105, 2))
-		Expect(most).To(Equal(2))
+		Expect(maxRunning).To(Equal(2))
 		Expect(sim.count(outcomeMet, ofAccount("tokens")) * 220).To(BeNumerically("~", 21_000, 500))
 		limited := func(req *request) bool { return req.reason == yuccaqueue.ReasonLimit && req.retryAfter > 0 }
 		Expect(sim.count(outcomeRefused, limited)).To(BeNumerically(">", 400))
@@ -318,13 +328,13 @@
 
 var _ = Describe("a target that can't be reached", func() {
 	// The process of an engine has died. Each request sent there fails at once, so the
-	// engine looks idle and attracts the next request too; callers are refused one
-	// after the other while another engine works.
+	// engine looks idle, and the next request would be sent there too. Callers would be
+	// refused one after the other while another engine works.
 	It("is sent one request and then no more", func() {
 		lead := yuccapool.New("draft", yuccaid.Incarnation{VM: "entry-1"}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_700_000_000, 0)
 		lead.Configure(now, configWithFleet(2))
-		failed := make(map[yuccaid.Target]int)
+		failures := make(map[yuccaid.Target]int)
 		for i := range 20 {
 			now = now.Add(100 * time.Millisecond)
 			msg := triage()
@@ -332,43 +342,43 @@
 			for _, grant := range lead.Submit(now, msg).Grants {
 				dead := grant.Target == configWithFleet(2).Targets[0].Name
 				if dead {
-					failed[grant.Target]++
+					failures[grant.Target]++
 				}
 				lead.RunFinished(now, yuccapool.Finished{ID: grant.ID, Target: grant.Target, Ran: !dead, Failed: dead})
 			}
 		}
-		for _, times := range failed {
-			Expect(times).To(Equal(1))
+		for _, count := range failures {
+			Expect(count).To(Equal(1))
 		}
 	})
 })
 
 var _ = Describe("engines whose configured speed is only an estimate", func() {
 	// The configuration states the speed for prompts of thousands of tokens. Short
-	// lookups have a fixed cost for each step and look many times slower, on all
-	// engines alike. If all engines counted as stragglers, callers would wait while the
-	// engines idle.
+	// lookups have a fixed cost for each step, so all engines alike look many times
+	// slower than configured. If all engines counted as stragglers, callers would wait
+	// while the engines idle.
 	DescribeTable("serve all requests",
-		func(fixed time.Duration, real float64, prompt yuccaid.Tokens) {
+		func(fixedCost time.Duration, prefillRate float64, prompt yuccaid.Tokens) {
 			lead := yuccapool.New("draft", yuccaid.Incarnation{VM: "entry-1"}, rand.New(rand.NewPCG(1, 2)))
 			now := time.Unix(1_700_000_000, 0)
 			lead.Configure(now, configWithFleet(4))
-			ends := map[time.Time][]yuccapool.Finished{}
+			finishedAt := map[time.Time][]yuccapool.Finished{}
 			served := 0
 			const step = 10 * time.Millisecond
-			prefill := fixed + time.Duration(float64(prompt)/real*float64(time.Second))
+			prefill := fixedCost + time.Duration(float64(prompt)/prefillRate*float64(time.Second))
 			decode := 400 * time.Millisecond
 			collect := func(dec yuccapool.Decisions) {
 				for _, grant := range dec.Grants {
 					at := now.Add((prefill + decode).Truncate(step) + step)
-					ends[at] = append(ends[at], yuccapool.Finished{
+					finishedAt[at] = append(finishedAt[at], yuccapool.Finished{
 						ID: grant.ID, Target: grant.Target, Ran: true, Prompt: prompt, Answer: 20, Prefill: prefill, Decode: decode,
 					})
 				}
 			}
 			for i := range 3000 {
 				now = now.Add(step)
-				for _, done := range ends[now] {
+				for _, done := range finishedAt[now] {
 					served++
 					collect(lead.RunFinished(now, done))
 				}
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -12,8 +12,8 @@
 
 // Grant allows an owner to dispatch one request to one target.
 //
-// ValidFor counts from when the leader sent the grant. The owner must not use it later,
-// because the leader may have granted the slot to another request by then.
+// ValidFor counts from when the leader sent the grant. The owner must not use the grant
+// after that time, because the leader may have granted the slot to another request.
 type Grant struct {
 	ID           yuccaid.RequestID    `msgpack:"id"`
 	Owner        yuccaid.Incarnation  `msgpack:"owner"`
@@ -35,7 +35,8 @@
 	RetryAfter time.Duration       `msgpack:"back"`
 }
 
-// Cancel asks an owner to stop a running request.
+// Cancel asks an owner to stop a running request. RetryAfter is the time after which a
+// retry makes sense.
 type Cancel struct {
 	ID         yuccaid.RequestID   `msgpack:"id"`
 	Owner      yuccaid.Incarnation `msgpack:"owner"`
@@ -67,21 +68,23 @@
 // Progress is an owner's report on a run: FirstToken says that the prefill has ended,
 // Answered how many answer tokens have been received.
 //
-// An owner sends one without tokens when it dispatches, one at the first token and some
-// during the answer. The more often it does, the sooner a straggler is detected.
+// An owner sends a report without tokens when it dispatches the request, one at the first
+// token and several during the answer. The more often it reports, the sooner a straggler
+// is detected.
 type Progress struct {
 	ID         yuccaid.RequestID `msgpack:"id"`
 	FirstToken bool              `msgpack:"firstToken"`
 	Answered   yuccaid.Tokens    `msgpack:"answered"`
 }
 
-// Finished gives back a grant because the run has ended or never began.
+// Finished gives back the slot of a grant because the run has finished or never started.
 //
 // Ran is false for a grant that was not used and for a request that the target refused
-// (Refused). Leaving says that the target refused it because it takes no more requests.
-// Partial says that the answer was cut short, so that nothing is learned from its
-// length. Prompt, Cached and Answer are numbers of tokens; Cached is the part of the
-// prompt that the target's prefix cache held.
+// (Refused). Leaving says that the target refused the request because it takes no more
+// requests. Partial says that the answer was cut short, so that its length must not
+// enter the estimates. Prefill and Decode are the times that these phases took. Prompt,
+// Cached and Answer are numbers of tokens; Cached is the part of the prompt that the
+// target's prefix cache held.
 type Finished struct {
 	ID      yuccaid.RequestID `msgpack:"id"`
 	Target  yuccaid.Target    `msgpack:"target"`
@@ -99,6 +102,10 @@
 }
 
 // LoadReport is a target's report on its load; Age is the time since it was made.
+//
+// Waiting and Running are the numbers of requests that wait and run inside the target,
+// whichever leader granted them; Queued is the number of tokens of the waiting ones.
+// Leaving says that the target takes no more requests.
 type LoadReport struct {
 	Target  yuccaid.Target `msgpack:"target"`
 	Age     time.Duration  `msgpack:"age"`
--- a/core/yuccapool/oracle_test.go
+++ b/core/yuccapool/oracle_test.go
@@ -16,17 +16,18 @@
 )
 
 // oracle checks the tier rule: no request is refused or kept waiting while one of a
-// lower tier is served in its stead. The rule breaks when a full queue refuses every
+// lower tier is served instead. The rule breaks when a full queue refuses every
 // arrival, when a run of a lower tier keeps its slot to the end, or when the order
 // among waiting requests is not strict. The oracle reads the trace of decisions and
 // knows the true state of the engines; it shares no estimate with the leader.
 type oracle struct {
 	sim *simulation
-	// freed lists the targets of grants that the present decision made and removed
-	// again.
+	// freed lists the targets of the grants that were made and then removed before the
+	// present decision was sent.
 	freed []yuccaid.Target
 }
 
+// check returns the first violation of the rule by a decision, or "".
 func (orc *oracle) check(dec yuccapool.Decisions) (fault string) {
 	for _, refusal := range dec.Refusals {
 		req := orc.sim.byID[refusal.ID]
@@ -57,16 +58,20 @@
 	return faults[max(slices.IndexFunc(faults, func(s string) bool { return s != "" }), 0)]
 }
 
+// evicts reports whether a decision cancels a run on the target.
 func evicts(dec yuccapool.Decisions, tgt yuccaid.Target) bool {
 	return slices.ContainsFunc(dec.Cancels, func(cancel yuccapool.Cancel) bool { return cancel.Target == tgt })
 }
 
+// stillWaits reports whether a request waits also after the decision.
 func (orc *oracle) stillWaits(req *request, dec yuccapool.Decisions) bool {
 	return req.outcome == outcomeWaiting &&
 		!slices.ContainsFunc(dec.Refusals, func(refusal yuccapool.Refusal) bool { return refusal.ID == req.ID }) &&
 		!slices.ContainsFunc(dec.Grants, func(grant yuccapool.Grant) bool { return grant.ID == req.ID })
 }
 
+// waitsBelow looks for a request of a lower tier that still waits while the given one is
+// refused.
 func (orc *oracle) waitsBelow(req *request, dec yuccapool.Decisions) string {
 	for _, other := range orc.sim.reqs {
 		if other.Rank > req.Rank && orc.stillWaits(other, dec) {
@@ -98,12 +103,12 @@
 		return ""
 	}
 	for _, eng := range orc.sim.engines {
-		remaining, below := orc.remainingRuns(eng, req, dec)
-		if below == 0 || len(remaining) >= eng.Slots || !orc.allowed(req, eng.Name) {
+		remaining, cancellable := orc.remainingRuns(eng, req, dec)
+		if cancellable == 0 || len(remaining) >= eng.Slots || !orc.allowed(req, eng.Name) {
 			continue
 		}
 		if orc.fits(eng, remaining, req, refusalMargin) {
-			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (%+v remaining %d wait %v service %v left %v)", req.ID, req.Rank, below, eng.Name, req.Ask, len(remaining), orc.wait(eng, remaining), orc.service(eng, req), req.deadline.Sub(orc.sim.now))
+			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (request %+v, other runs there %d, wait for their prefill %v, service time %v, time to the deadline %v)", req.ID, req.Rank, cancellable, eng.Name, req.Ask, len(remaining), orc.prefillWait(eng, remaining), orc.serviceTime(eng, req), req.deadline.Sub(orc.sim.now))
 		}
 	}
 	return ""
@@ -113,13 +118,13 @@
 // runs that could be cancelled for the request, and the number of these runs.
 func (orc *oracle) remainingRuns(eng *engine, req *request, dec yuccapool.Decisions) ([]*request, int) {
 	var remaining []*request
-	below := 0
+	cancellable := 0
 	for _, run := range slices.Concat(eng.running, eng.queue) {
 		isCancelled := slices.ContainsFunc(dec.Cancels, func(cancel yuccapool.Cancel) bool { return cancel.ID == run.ID })
 		switch {
 		case isCancelled:
 		case run.Idempotent && run.Rank > req.Rank:
-			below++
+			cancellable++
 		default:
 			remaining = append(remaining, run)
 		}
@@ -129,13 +134,15 @@
 			remaining = append(remaining, orc.sim.byID[grant.ID])
 		}
 	}
-	return remaining, below
+	return remaining, cancellable
 }
 
-func (orc *oracle) wait(eng *engine, remaining []*request) time.Duration {
+// prefillWait returns how long the remaining runs delay the prefill of a further request:
+// the prefill times of those without a first token.
+func (orc *oracle) prefillWait(eng *engine, remaining []*request) time.Duration {
 	var sum time.Duration
 	for _, run := range remaining {
-		if run.first.IsZero() {
+		if run.firstTokenAt.IsZero() {
 			sum += eng.prefillTime(run.Prompt)
 		}
 	}
@@ -154,12 +161,13 @@
 // fits reports whether a request would meet its deadline on a target beside the
 // remaining runs, with an answer longer than expected by the factor margin.
 func (orc *oracle) fits(eng *engine, remaining []*request, req *request, margin float64) bool {
-	long := *req
-	long.Answer = yuccaid.Tokens(float64(long.Answer) * margin)
-	return !orc.sim.now.Add(orc.wait(eng, remaining) + orc.service(eng, &long)).After(req.deadline)
+	longer := *req
+	longer.Answer = yuccaid.Tokens(float64(longer.Answer) * margin)
+	return !orc.sim.now.Add(orc.prefillWait(eng, remaining) + orc.serviceTime(eng, &longer)).After(req.deadline)
 }
 
-func (orc *oracle) service(eng *engine, req *request) time.Duration {
+// serviceTime returns how long an engine needs for a request, without cached prefixes.
+func (orc *oracle) serviceTime(eng *engine, req *request) time.Duration {
 	return eng.prefillTime(req.Prompt) + eng.decodeTime(req.Answer)
 }
 
@@ -168,6 +176,8 @@
 	return len(list) == 0 || slices.Contains(list, tgt)
 }
 
+// atLimit reports whether the request's account has reached its limit of running requests
+// after the decision.
 func (orc *oracle) atLimit(req *request, dec yuccapool.Decisions) bool {
 	limit := orc.sim.config.Accounts[req.Account].Limits.Running
 	same := func(other *request) bool { return other.Account == req.Account }
@@ -192,8 +202,8 @@
 	return req.Prompt >= longPrompt || req.Rank > 0
 }
 
-// overtakes looks for a request of a higher tier that waits while one of a lower tier
-// is granted a target on which the first would have met its deadline.
+// overtakes looks for a request of a higher tier that still waits although it would have
+// met its deadline on the target that is granted to a request of a lower tier.
 func (orc *oracle) overtakes(granted *request, tgt yuccaid.Target, dec yuccapool.Decisions) string {
 	eng := orc.sim.engines[tgt]
 	remaining := slices.Concat(eng.running, eng.queue)
@@ -205,7 +215,7 @@
 			continue
 		}
 		if orc.fits(eng, remaining, other, orderMargin) {
-			return fmt.Sprintf("%s of rank %d got %s while %s of rank %d waits (%d tokens, remaining %d, wait %v, service %v, left %v)", granted.ID, granted.Rank, tgt, other.ID, other.Rank, other.Prompt, len(remaining), orc.wait(eng, remaining), orc.service(eng, other), other.deadline.Sub(orc.sim.now))
+			return fmt.Sprintf("%s of rank %d got %s while %s of rank %d waits (prompt of %d tokens, other runs there %d, wait for their prefill %v, service time %v, time to the deadline %v)", granted.ID, granted.Rank, tgt, other.ID, other.Rank, other.Prompt, len(remaining), orc.prefillWait(eng, remaining), orc.serviceTime(eng, other), other.deadline.Sub(orc.sim.now))
 		}
 	}
 	return ""
@@ -242,14 +252,15 @@
 	}
 }
 
-// drive runs a leader with random arrivals and pauses and returns the first fault.
+// drive runs a leader with random arrivals and pauses and returns the first violation of
+// the tier rule, or "".
 func drive(rt *rapid.T, queue []yuccaqueue.Option, options []yuccapool.Option) (fault string) {
 	bounds := yuccaqueue.BoundsFor(12, 40_000)
 	bounds.AccountRequests = 8
 	queue = append([]yuccaqueue.Option{yuccaqueue.WithBounds(bounds)}, queue...)
 	orc := &oracle{}
-	freed := yuccapool.OnRequeue(func(tgt yuccaid.Target) { orc.freed = append(orc.freed, tgt) })
-	sim := newSimulation(oracleConfig(), append([]yuccapool.Option{yuccapool.WithQueue(queue...), freed}, options...)...)
+	recordFreed := yuccapool.OnRequeue(func(tgt yuccaid.Target) { orc.freed = append(orc.freed, tgt) })
+	sim := newSimulation(oracleConfig(), append([]yuccapool.Option{yuccapool.WithQueue(queue...), recordFreed}, options...)...)
 	orc.sim = sim
 	sim.check = func(dec yuccapool.Decisions) { fault = firstOf(fault, orc.check(dec)) }
 	steps := rapid.IntRange(20, 200).Draw(rt, "steps")
@@ -264,13 +275,15 @@
 		}
 	}
 	sim.run(2 * time.Minute)
-	left := sim.count(outcomeWaiting, anyRequest) + sim.count(outcomeRunning, anyRequest)
-	if left > 0 && fault == "" {
-		fault = fmt.Sprintf("%d requests are still waiting or running at the end", left)
+	unfinished := sim.count(outcomeWaiting, anyRequest) + sim.count(outcomeRunning, anyRequest)
+	if unfinished > 0 && fault == "" {
+		fault = fmt.Sprintf("%d requests are still waiting or running at the end", unfinished)
 	}
 	return fault
 }
 
+// Guards against decisions that break the tier rule (see oracle), and against requests
+// that still wait or run two minutes after the last arrival.
 func TestTierRule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if fault := drive(rt, nil, nil); fault != "" {
--- a/core/yuccapool/view.go
+++ b/core/yuccapool/view.go
@@ -13,7 +13,8 @@
 // Policy weighs goodput against wasted prefill.
 type Policy = yuccaplace.Policy
 
-// Limits bounds one client account's use of the pool; a zero field sets no limit.
+// Limits bounds one client account's use of the pool; a zero field sets no limit. Running
+// is the number of requests that may run at the same time.
 type Limits struct {
 	RequestsPerSecond float64
 	Running           int
@@ -22,8 +23,8 @@
 
 // AccountConfig is the configuration of one client account.
 //
-// Targets lists the targets that the account may use; an empty list allows all targets
-// of the pool.
+// Weight is the account's weight in the fair order within a tier. Targets lists the
+// targets that the account may use; an empty list allows all targets of the pool.
 type AccountConfig struct {
 	Weight  int
 	Limits  Limits
@@ -33,9 +34,9 @@
 // PoolConfig is the part of the configuration that concerns one pool in one data
 // centre.
 //
-// PlainService marks a service that is not a model: its targets have slots but no
-// tokens, and no run is cancelled. LongestRun bounds how long a run of a lost owner
-// keeps its slot.
+// PlainService marks a service that is not a model: its targets have slots but process no
+// tokens, and no run is cancelled. LongestRun bounds how long any run keeps its slot, so
+// that the run of a lost owner frees it.
 type PoolConfig struct {
 	ConfigNumber yuccaid.ConfigNumber
 	Targets      []Target
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -32,35 +32,37 @@
 	outcomeCancelled outcome = "cancelled"
 )
 
-// request is a request with its outcome, as its caller sees it.
+// request is a request with its outcome, as its caller sees it. It starts on an engine at
+// startedAt; cached is the part of its prompt that the engine's cache held.
 type request struct {
 	yuccapool.Ask
-	arrived    time.Time
-	deadline   time.Time
-	ended      time.Time
-	outcome    outcome
-	reason     yuccaqueue.Reason
-	retryAfter time.Duration
-	engine     *engine
-	cached     yuccaid.Tokens
-	began      time.Time
-	first      time.Time
+	arrived      time.Time
+	deadline     time.Time
+	endedAt      time.Time
+	outcome      outcome
+	reason       yuccaqueue.Reason
+	retryAfter   time.Duration
+	engine       *engine
+	cached       yuccaid.Tokens
+	startedAt    time.Time
+	firstTokenAt time.Time
 }
 
 func (req *request) uncached() yuccaid.Tokens { return req.Prompt - req.cached }
 
 // engine simulates a target with continuous batching: it prefills in the order of
 // arrival, decodes all running requests side by side and caches every prefix that it
-// has seen.
+// has prefilled. Its times are slowdown times as long as the configuration states; a
+// stalled engine makes no progress.
 type engine struct {
 	yuccapool.Target
-	slowdown     float64
-	stalled      bool
-	queue        []*request
-	running      []*request
-	prefilling   []*request
-	prefillStart time.Time
-	caches       map[uint64]bool
+	slowdown       float64
+	stalled        bool
+	queue          []*request
+	running        []*request
+	prefilling     []*request
+	prefillStart   time.Time
+	cachedPrefixes map[uint64]bool
 }
 
 func (eng *engine) prefillTime(tokens yuccaid.Tokens) time.Duration {
@@ -93,7 +95,9 @@
 	return ev
 }
 
-// simulation runs a leader with simulated engines in virtual time.
+// simulation runs a leader with simulated engines in virtual time. wasted counts the
+// prompt tokens that were prefilled for runs cancelled after their first token; check is called with each
+// decision of the leader before it is applied.
 type simulation struct {
 	now      time.Time
 	lead     *yuccapool.Leader
@@ -107,8 +111,8 @@
 	check    func(yuccapool.Decisions)
 }
 
-// noSharing tells the leader that requests on one simulated engine do not slow each
-// other.
+// noSharing tells the leader that requests on one simulated engine do not slow each other
+// down.
 var noSharing = yuccapool.WithFleet(yuccaplace.WithSharing(0, 0))
 
 func newSimulation(config yuccapool.PoolConfig, options ...yuccapool.Option) *simulation {
@@ -120,7 +124,7 @@
 		check:   func(yuccapool.Decisions) {},
 	}
 	for _, tgt := range config.Targets {
-		sim.engines[tgt.Name] = &engine{Target: tgt, slowdown: 1, caches: map[uint64]bool{}}
+		sim.engines[tgt.Name] = &engine{Target: tgt, slowdown: 1, cachedPrefixes: map[uint64]bool{}}
 	}
 	sim.lead.Configure(sim.now, config)
 	sim.scheduleTick()
@@ -130,8 +134,8 @@
 // fleet returns n equal targets with eight slots each.
 func fleet(n int) []yuccapool.Target {
 	var list []yuccapool.Target
-	for at := range n {
-		name := yuccaid.Target(fmt.Sprintf("engine-%d", at))
+	for i := range n {
+		name := yuccaid.Target(fmt.Sprintf("engine-%d", i))
 		list = append(list, yuccapool.Target{Name: name, Slots: 8, Prefill: 5000, Decode: 50, Cache: 200_000})
 	}
 	return list
@@ -173,20 +177,21 @@
 	return req
 }
 
-// stream submits a request at even intervals for a span.
-func (sim *simulation) stream(every, span time.Duration, msg func() yuccapool.Ask) {
-	for at := time.Duration(0); at < span; at += every {
+// stream submits a request at each interval for a span.
+func (sim *simulation) stream(interval, span time.Duration, msg func() yuccapool.Ask) {
+	for at := time.Duration(0); at < span; at += interval {
 		sim.after(at, func() { sim.submit(msg()) })
 	}
 }
 
+// apply does what the leader decided, as owners and engines would.
 func (sim *simulation) apply(dec yuccapool.Decisions) {
 	sim.check(dec)
 	for _, cancel := range dec.Cancels {
 		req := sim.byID[cancel.ID]
 		sim.end(req, outcomeCancelled)
 		req.reason, req.retryAfter = cancel.Reason, cancel.RetryAfter
-		sim.leave(req)
+		sim.removeFromEngine(req)
 	}
 	for _, refusal := range dec.Refusals {
 		req := sim.byID[refusal.ID]
@@ -195,16 +200,17 @@
 	}
 	for _, grant := range dec.Grants {
 		req := sim.byID[grant.ID]
-		req.outcome, req.engine, req.began = outcomeRunning, sim.engines[grant.Target], sim.now
+		req.outcome, req.engine, req.startedAt = outcomeRunning, sim.engines[grant.Target], sim.now
 		req.engine.queue = append(req.engine.queue, req)
 		sim.admit(req.engine)
 	}
 }
 
-func (sim *simulation) end(req *request, how outcome) {
-	req.outcome, req.ended = how, sim.now
+func (sim *simulation) end(req *request, result outcome) {
+	req.outcome, req.endedAt = result, sim.now
 }
 
+// admit starts queued requests on the free slots of an engine.
 func (sim *simulation) admit(eng *engine) {
 	for len(eng.queue) > 0 && len(eng.running) < eng.Slots && !eng.stalled {
 		req := eng.queue[0]
@@ -217,15 +223,16 @@
 	}
 }
 
+// prefill starts the prefill of an engine's next prompt; the decode follows it.
 func (sim *simulation) prefill(eng *engine) {
 	if len(eng.prefilling) == 0 || eng.stalled {
 		return
 	}
 	req := eng.prefilling[0]
 	eng.prefillStart = sim.now
-	for at, hash := range req.Prefixes {
-		if eng.caches[hash] {
-			req.cached = min(yuccaid.Tokens(at+1)*yuccaqueue.BlockTokens, req.Prompt)
+	for i, hash := range req.Prefixes {
+		if eng.cachedPrefixes[hash] {
+			req.cached = min(yuccaid.Tokens(i+1)*yuccaqueue.BlockTokens, req.Prompt)
 		}
 	}
 	sim.after(eng.prefillTime(req.uncached()), func() {
@@ -233,9 +240,9 @@
 			return
 		}
 		eng.prefilling = eng.prefilling[1:]
-		req.first = sim.now
+		req.firstTokenAt = sim.now
 		for _, hash := range req.Prefixes {
-			eng.caches[hash] = true
+			eng.cachedPrefixes[hash] = true
 		}
 		sim.prefill(eng)
 		sim.after(eng.decodeTime(req.Answer), func() { sim.finish(req) })
@@ -251,35 +258,35 @@
 	if sim.now.After(req.deadline) {
 		req.outcome = outcomeMissed
 	}
-	sim.leave(req)
+	sim.removeFromEngine(req)
 	sim.apply(sim.lead.RunFinished(sim.now, yuccapool.Finished{
 		ID: req.ID, Target: req.engine.Name, Ran: true, Prompt: req.Prompt, Cached: req.cached, Answer: req.Answer,
-		Prefill: req.engine.prefillTime(req.uncached()), Decode: sim.now.Sub(req.first),
+		Prefill: req.engine.prefillTime(req.uncached()), Decode: sim.now.Sub(req.firstTokenAt),
 	}))
 }
 
-// leave removes a request from its engine.
-func (sim *simulation) leave(req *request) {
+// removeFromEngine removes a request from its engine.
+func (sim *simulation) removeFromEngine(req *request) {
 	eng := req.engine
-	is := func(other *request) bool { return other == req }
-	eng.queue = slices.DeleteFunc(eng.queue, is)
-	eng.running = slices.DeleteFunc(eng.running, is)
-	head := len(eng.prefilling) > 0 && eng.prefilling[0] == req
-	eng.prefilling = slices.DeleteFunc(eng.prefilling, is)
-	if req.outcome == outcomeCancelled && !req.first.IsZero() {
+	isReq := func(other *request) bool { return other == req }
+	eng.queue = slices.DeleteFunc(eng.queue, isReq)
+	eng.running = slices.DeleteFunc(eng.running, isReq)
+	wasPrefilling := len(eng.prefilling) > 0 && eng.prefilling[0] == req
+	eng.prefilling = slices.DeleteFunc(eng.prefilling, isReq)
+	if req.outcome == outcomeCancelled && !req.firstTokenAt.IsZero() {
 		sim.wasted += req.uncached()
 	}
-	if head {
+	if wasPrefilling {
 		sim.prefill(eng)
 	}
 	sim.admit(eng)
 }
 
 // count returns how many of the matching requests have the outcome.
-func (sim *simulation) count(how outcome, match func(*request) bool) int {
+func (sim *simulation) count(result outcome, match func(*request) bool) int {
 	sum := 0
 	for _, req := range sim.reqs {
-		if req.outcome == how && match(req) {
+		if req.outcome == result && match(req) {
 			sum++
 		}
 	}
