--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -58,10 +58,10 @@
 }
 
 // New returns a leader without targets; Configure sets them.
-func New(pool yuccaid.Pool, self yuccaid.Incarnation, rng *rand.Rand, options ...Option) *Leader {
+func New(pool yuccaid.Pool, leader yuccaid.Incarnation, rng *rand.Rand, options ...Option) *Leader {
 	lead := &Leader{
 		pool:     pool,
-		self:     self,
+		self:     leader,
 		rng:      rng,
 		preempts: true,
 		fleet:    yuccaplace.New(),
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -70,14 +70,14 @@
 }
 
 func (list *arrivals) remove(item *Item) {
-	links := item.links[list.kind]
-	if links.older != nil {
-		links.older.links[list.kind].newer = links.newer
+	itemLinks := item.links[list.kind]
+	if itemLinks.older != nil {
+		itemLinks.older.links[list.kind].newer = itemLinks.newer
 	}
-	if links.newer != nil {
-		links.newer.links[list.kind].older = links.older
+	if itemLinks.newer != nil {
+		itemLinks.newer.links[list.kind].older = itemLinks.older
 	} else {
-		list.newest = links.older
+		list.newest = itemLinks.older
 	}
 	item.links[list.kind] = arrivalLinks{}
 }
