--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -59,10 +59,10 @@
 type Grant struct {
 	ID     ID
 	Target yuccaid.Target
-	// ExpectedFirst is the expected time from sending to the first event, and Busy the number
+	// ExpectedTimeToFirst is the expected time from sending to the first event, and Busy the number
 	// of slots that were occupied on the target before the grant; both are logged.
-	ExpectedFirst time.Duration
-	Busy          int
+	ExpectedTimeToFirst time.Duration
+	Busy                int
 }
 
 // Reason is why a request is refused.
--- a/core/yuccagrant/bench_test.go
+++ b/core/yuccagrant/bench_test.go
@@ -24,7 +24,7 @@
 			}
 			list = append(list, target)
 		}
-		lead.Configure(now, list)
+		lead.SetTargets(now, list)
 		number := uint64(0)
 		serve := func() {
 			number++
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -28,7 +28,7 @@
 			}
 			targets = append(targets, target)
 		}
-		lead.Configure(now, targets)
+		lead.SetTargets(now, targets)
 		for number := range uint64(rapid.IntRange(0, 60).Draw(rt, "requests")) {
 			req := Request{
 				ID: ID{Number: number}, Prompt: yuccaid.Tokens(rapid.IntRange(1, 20_000).Draw(rt, "prompt")),
--- a/core/yuccagrant/empty_test.go
+++ b/core/yuccagrant/empty_test.go
@@ -17,7 +17,7 @@
 	}
 	leaderWithoutTargets := func() *yuccagrant.Leader {
 		lead := yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
-		Expect(lead.Configure(start, nil)).To(BeZero())
+		Expect(lead.SetTargets(start, nil)).To(BeZero())
 		return lead
 	}
 
@@ -27,7 +27,7 @@
 	It("serves a request that came just before its first target", func() {
 		lead := leaderWithoutTargets()
 		Expect(lead.Submit(start, newRequest(1, start))).To(BeZero())
-		dec := lead.Configure(start.Add(50*time.Millisecond), []yuccagrant.Target{{Name: "a", Slots: 1}})
+		dec := lead.SetTargets(start.Add(50*time.Millisecond), []yuccagrant.Target{{Name: "a", Slots: 1}})
 		Expect(dec.Grants).To(HaveLen(1))
 		Expect(dec.Grants[0].Target).To(BeEquivalentTo("a"))
 	})
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -37,9 +37,9 @@
 	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengthModel: newLengthModel(), sizeStats: newSizeStats()}
 }
 
-// Configure sets the targets. What was learned of a target is kept until its process is
+// SetTargets sets the targets. What was learned of a target is kept until its process is
 // restarted. Runs on targets that are no longer listed continue.
-func (lead *Leader) Configure(now time.Time, configured []Target) Decisions {
+func (lead *Leader) SetTargets(now time.Time, configured []Target) Decisions {
 	old := lead.targetsByName
 	lead.targetsByName = make(map[yuccaid.Target]*targetState, len(configured))
 	lead.targets = make([]*targetState, 0, len(configured))
@@ -244,10 +244,10 @@
 	}
 }
 
-// SetRemoteLoads sets how many runs the leaders of other data centres have on the given
+// SetOtherCentreLoads sets how many runs the leaders of other data centres have on the given
 // targets. It adopts the paces that those leaders have learned for targets of which this leader
 // has too few samples.
-func (lead *Leader) SetRemoteLoads(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
+func (lead *Leader) SetOtherCentreLoads(now time.Time, loads map[yuccaid.Target]TargetLoad) Decisions {
 	var dec Decisions
 	for target, load := range loads {
 		if tgt, found := lead.targetsByName[target]; found {
@@ -261,8 +261,8 @@
 	return dec
 }
 
-// ClearRemoteLoads clears the numbers of runs that were set by SetRemoteLoads.
-func (lead *Leader) ClearRemoteLoads() {
+// ClearOtherCentreLoads clears the numbers of runs that were set by SetRemoteLoads.
+func (lead *Leader) ClearOtherCentreLoads() {
 	for _, tgt := range lead.targets {
 		tgt.otherCentreRuns = 0
 	}
--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -181,7 +181,7 @@
 func leaderWithHistory(classes ...class) (eightSlotLeader, time.Time) {
 	lead := eightSlotLeader{yuccagrant.New(rand.New(rand.NewPCG(1, 1)))}
 	now := time.Unix(1_700_000_000, 0)
-	lead.Configure(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
+	lead.SetTargets(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
 	for number := range uint64(40) {
 		cls := classes[number%uint64(len(classes))]
 		req := requestOf(1000+number, cls, now)
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -60,7 +60,7 @@
 	lead.sizeStats.learn(entry.effectiveRank(), entry.expectedWork, true)
 	busySlots := best.targetState.busySlots(now)
 	lead.addRun(now, best.targetState, entry.Request)
-	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.targetState.Name, ExpectedFirst: best.expectedTimeToFirst, Busy: busySlots})
+	dec.Grants = append(dec.Grants, Grant{ID: entry.ID, Target: best.targetState.Name, ExpectedTimeToFirst: best.expectedTimeToFirst, Busy: busySlots})
 	return true
 }
 
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -127,7 +127,7 @@
 	for _, eng := range sim.engines {
 		targets = append(targets, yuccagrant.Target{Name: eng.name, Slots: eng.slots})
 	}
-	sim.apply(sim.lead.Configure(sim.now, targets))
+	sim.apply(sim.lead.SetTargets(sim.now, targets))
 }
 
 // newEngines returns one engine for each of the given paces, each with the given number of slots.
--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// Roster returns all candidates that this daemon knows, itself included, in the order of
+// AllCandidates returns all candidates that this daemon knows, itself included, in the order of
 // their VMs' names. It is sent to peers that can't read the platform's list. In this package
 // a roster lists daemons, unlike that of package yuccaroster, which lists targets.
-func (peers *Peers) Roster() []Listing {
+func (peers *Peers) AllCandidates() []Listing {
 	return slices.SortedFunc(maps.Values(peers.candidates()), compareListings)
 }
 
@@ -96,7 +96,7 @@
 // order of their names. The slice is shared between callers and must not be modified.
 func (peers *Peers) Candidates(centre yuccaid.Centre) []Listing {
 	return cached(&peers.viewCache.candidates, centre, func() []Listing {
-		return slices.DeleteFunc(peers.Roster(), func(listing Listing) bool {
+		return slices.DeleteFunc(peers.AllCandidates(), func(listing Listing) bool {
 			return listing.Centre != centre
 		})
 	})
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -20,10 +20,10 @@
 	tried map[yuccaid.VM]bool
 }
 
-// Dial returns the addresses that this daemon must have a control connection to: those of
+// WantedConnections returns the addresses that this daemon must have a control connection to: those of
 // all candidates of its own data centre, one in each data centre that it is a gateway to,
 // and the seeds that are still to be dialled.
-func (peers *Peers) Dial() []string {
+func (peers *Peers) WantedConnections() []string {
 	candidates := peers.candidates()
 	addresses := make(map[string]bool)
 	for vm, listing := range candidates {
--- a/core/yuccapeer/example_test.go
+++ b/core/yuccapeer/example_test.go
@@ -17,7 +17,7 @@
 	peers := yuccapeer.New(first)
 	peers.Tick(now)
 	peers.SetListings(now, []yuccapeer.Listing{{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400"}})
-	fmt.Println("dial", peers.Dial())
+	fmt.Println("dial", peers.WantedConnections())
 
 	second := yuccaid.NewIncarnation("vm-2", [16]byte{2})
 	peers.HandleConnect(now, yuccapeer.Member{VM: "vm-2", Centre: "padova", Address: "10.0.0.2:7400", Incarnation: second})
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -275,13 +275,13 @@
 		self.Incarnation = yuccaid.NewIncarnation("vm-9", [16]byte{9})
 		newcomer := yuccapeer.New(self, yuccapeer.WithSeeds(second.Address))
 		newcomer.Tick(wld.now)
-		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
+		Expect(newcomer.WantedConnections()).To(Equal([]string{second.Address}))
 		second.view.HandleConnect(wld.now, self)
 		Expect(second.view.HandleHeartbeat(wld.now, newcomer.Heartbeat()).RosterRecipients).To(ConsistOf(self.Incarnation))
-		newcomer.AddListings(wld.now, second.view.Roster())
-		Expect(newcomer.Dial()).To(HaveLen(3))
+		newcomer.AddListings(wld.now, second.view.AllCandidates())
+		Expect(newcomer.WantedConnections()).To(HaveLen(3))
 		newcomer.Tick(wld.now.Add(2 * time.Hour))
-		Expect(newcomer.Dial()).To(Equal([]string{second.Address}))
+		Expect(newcomer.WantedConnections()).To(Equal([]string{second.Address}))
 	})
 
 	// A fleet starts while the platform's list can't be read, and the first seed that a daemon
@@ -297,9 +297,9 @@
 		newcomer.Tick(wld.now)
 		newcomer.HandleConnect(wld.now, second.Member)
 		newcomer.HandleHeartbeat(wld.now, second.view.Heartbeat())
-		Expect(newcomer.Dial()).To(Equal([]string{second.Address, remote.Address, "10.2.0.1:7400"}))
+		Expect(newcomer.WantedConnections()).To(Equal([]string{second.Address, remote.Address, "10.2.0.1:7400"}))
 		newcomer.AddListings(wld.now, []yuccapeer.Listing{{VM: remote.VM, Centre: remote.Centre, Address: remote.Address}})
-		Expect(newcomer.Dial()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
+		Expect(newcomer.WantedConnections()).To(Equal([]string{second.Address, "10.2.0.1:7400"}))
 	})
 
 	// A hundred daemons start and each dials the seeds in other data centres. The daemons that
@@ -326,7 +326,7 @@
 		Expect(newcomer.Candidates("milano")).To(HaveLen(1))
 		newcomer.Tick(wld.now.Add(2 * time.Hour))
 		Expect(newcomer.Candidates("milano")).To(BeEmpty())
-		Expect(newcomer.Dial()).To(ContainElement(remote.Address), "the seed should be dialled again once its listing is forgotten")
+		Expect(newcomer.WantedConnections()).To(ContainElement(remote.Address), "the seed should be dialled again once its listing is forgotten")
 	})
 
 	// While the platform's list can't be read, full heartbeats are answered by a roster. Each
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -56,7 +56,7 @@
 func (cold *coldStart) step() bool {
 	var possible []func()
 	for i, from := range cold.views {
-		for _, address := range from.Dial() {
+		for _, address := range from.WantedConnections() {
 			j, exists := cold.byAddress[address]
 			if exists && !cold.connected[[2]int{i, j}] {
 				possible = append(possible, func() { cold.connect(i, j) })
@@ -93,7 +93,7 @@
 	for _, to := range change.RosterRecipients {
 		cold.rosters++
 		pair := [2]int{from, cold.indexOf(to)}
-		cold.queues[pair] = append(cold.queues[pair], cold.views[from].Roster())
+		cold.queues[pair] = append(cold.queues[pair], cold.views[from].AllCandidates())
 	}
 }
 
--- a/core/yuccapeer/status.go
+++ b/core/yuccapeer/status.go
@@ -29,7 +29,7 @@
 // Status returns a summary of the view, with the data centres in the order of their names.
 func (peers *Peers) Status() Status {
 	status := Status{Settled: peers.Settled(), Behind: peers.NewerConfig() != PeerConfig{}}
-	for _, listing := range peers.Roster() {
+	for _, listing := range peers.AllCandidates() {
 		status.centre(listing.Centre).Candidates++
 	}
 	for _, member := range peers.members(func(Member) bool { return true }) {
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -261,7 +261,7 @@
 		if proc.dead || proc.paused {
 			continue
 		}
-		for _, address := range proc.view.Dial() {
+		for _, address := range proc.view.WantedConnections() {
 			other := byAddress[address]
 			if other != nil && !other.paused && wld.canReach(proc, other) && proc.connections[other.Incarnation] == nil {
 				wld.openConnection(proc, other)
--- a/core/yuccapool/bench_test.go
+++ b/core/yuccapool/bench_test.go
@@ -59,7 +59,7 @@
 
 func (bn *bench) submit() {
 	bn.next++
-	req := yuccapool.Ask{
+	req := yuccapool.Request{
 		ID: yuccaid.RequestID(fmt.Sprintf("r%d", bn.next)), Owner: self, Tier: "tier", Rank: bn.next % 3,
 		Account: benchAccount(bn.next % bn.accounts), Idempotent: true, Remaining: time.Hour,
 		Prompt: 500, Answer: 100, Prefixes: []uint64{uint64(bn.next % 50)},
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -13,7 +13,7 @@
 //
 // A request that is already known is not counted again, because an owner that lost its
 // connection submits all its requests again.
-func (lead *Leader) Submit(now time.Time, req Ask) Decisions {
+func (lead *Leader) Submit(now time.Time, req Request) Decisions {
 	var dec Decisions
 	if lead.handleKnown(&req, &dec) {
 		return dec
@@ -32,7 +32,7 @@
 
 // handleKnown reports whether the request is waiting or running already. It repeats a
 // grant that the owner has not used yet, because the first message may have been lost.
-func (lead *Leader) handleKnown(req *Ask, dec *Decisions) bool {
+func (lead *Leader) handleKnown(req *Request, dec *Decisions) bool {
 	if _, waiting := lead.queue.Get(req.ID); waiting {
 		return true
 	}
@@ -47,7 +47,7 @@
 // and whether even an idle pool could meet the deadline. A caller that is refused at
 // once has time left to try elsewhere. While the leader gathers, every request is
 // admitted.
-func (lead *Leader) admit(now time.Time, acc *account, req *Ask, dec *Decisions) bool {
+func (lead *Leader) admit(now time.Time, acc *account, req *Request, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return true
 	}
@@ -70,7 +70,7 @@
 }
 
 // shape returns the properties of a request from which the fleet estimates its times.
-func (lead *Leader) shape(req *Ask, deadline time.Time) yuccaplace.Shape {
+func (lead *Leader) shape(req *Request, deadline time.Time) yuccaplace.Shape {
 	shape := yuccaplace.Shape{
 		Prompt:   req.Prompt,
 		Answer:   req.Answer,
@@ -101,7 +101,7 @@
 // push queues a request. If the queue is full and holds no request of a lower tier to
 // displace, a run of a lower tier is cancelled, if possible, rather than the request
 // refused.
-func (lead *Leader) push(now time.Time, req Ask, params yuccaqueue.Params, dec *Decisions) {
+func (lead *Leader) push(now time.Time, req Request, params yuccaqueue.Params, dec *Decisions) {
 	displaced, reason := lead.queue.Push(now, req, params)
 	if reason == yuccaqueue.ReasonOverload && lead.evictForQueued(now, &req, dec) {
 		displaced, reason = lead.queue.Push(now, req, params)
@@ -120,7 +120,7 @@
 // evictForQueued makes room in a full queue for a new request: it cancels a run of a
 // lower tier and grants its slot to the first waiting request of the new request's tier
 // or above.
-func (lead *Leader) evictForQueued(now time.Time, req *Ask, dec *Decisions) bool {
+func (lead *Leader) evictForQueued(now time.Time, req *Request, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return false
 	}
@@ -135,7 +135,7 @@
 // evictForNew cancels a run of a lower tier and grants its slot to a new request for
 // which the queue is full. It is tried only if no run can be cancelled for a waiting
 // request of the same tier or above, or if the queue is still full after that.
-func (lead *Leader) evictForNew(now time.Time, req Ask, dec *Decisions) bool {
+func (lead *Leader) evictForNew(now time.Time, req Request, dec *Decisions) bool {
 	return !lead.gathering(now) && lead.evict(now, &req, now.Add(req.Remaining), dec)
 }
 
@@ -247,13 +247,13 @@
 
 // evict cancels runs of lower tiers for a request and grants it a slot that they held, if
 // the request can meet its deadline there.
-func (lead *Leader) evict(now time.Time, req *Ask, deadline time.Time, dec *Decisions) bool {
+func (lead *Leader) evict(now time.Time, req *Request, deadline time.Time, dec *Decisions) bool {
 	eviction, found := lead.eviction(now, req, deadline)
 	return found && lead.applyEviction(now, req, deadline, eviction, dec)
 }
 
 // applyEviction cancels the runs of an eviction and grants the request the slot.
-func (lead *Leader) applyEviction(now time.Time, req *Ask, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
+func (lead *Leader) applyEviction(now time.Time, req *Request, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
 	for _, victim := range eviction.Runs {
 		lead.cancel(now, lead.runs[victim.ID], dec)
 	}
@@ -263,7 +263,7 @@
 
 // eviction returns the runs to cancel so that a request can meet its deadline, or false
 // if no eviction helps or none is allowed.
-func (lead *Leader) eviction(now time.Time, req *Ask, deadline time.Time) (yuccaplace.Eviction, bool) {
+func (lead *Leader) eviction(now time.Time, req *Request, deadline time.Time) (yuccaplace.Eviction, bool) {
 	acc := lead.account(req.Account)
 	if !lead.preempts || acc.atRunningLimit() {
 		return yuccaplace.Eviction{}, false
@@ -320,14 +320,14 @@
 	})
 }
 
-func (lead *Leader) addRefusal(dec *Decisions, req *Ask, reason yuccaqueue.Reason, retryAfter time.Duration) {
+func (lead *Leader) addRefusal(dec *Decisions, req *Request, reason yuccaqueue.Reason, retryAfter time.Duration) {
 	dec.Refusals = append(dec.Refusals, Refusal{ID: req.ID, Owner: req.Owner, Reason: reason, RetryAfter: retryAfter})
 }
 
 // retryAfter estimates when the work queued ahead of a refused request with this rank
 // and deadline will be done, plus jitter, so that refused callers do not retry all
 // together.
-func (lead *Leader) retryAfter(now time.Time, req *Ask) time.Duration {
+func (lead *Leader) retryAfter(now time.Time, req *Request) time.Duration {
 	targetSet := lead.targetSet(req.Account)
 	ahead := lead.queue.WorkAhead(now, req.Rank, now.Add(req.Remaining))
 	drain := max(ahead/time.Duration(max(targetSet.Usable(), 1)), minRetryAfter)
--- a/core/yuccapool/example_test.go
+++ b/core/yuccapool/example_test.go
@@ -18,7 +18,7 @@
 		Targets:      []yuccapool.Target{{Name: "engine-1", Slots: 8, Prefill: 5000, Decode: 50}},
 		Accounts:     map[yuccaid.Account]yuccapool.AccountConfig{"hotline": {Weight: 1}},
 	})
-	dec := lead.Submit(now, yuccapool.Ask{
+	dec := lead.Submit(now, yuccapool.Request{
 		ID: "r1", Owner: self, Account: "hotline", Tier: "urgent", Remaining: 10 * time.Second,
 		Prompt: 2000, Answer: 200, Idempotent: true,
 	})
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -27,7 +27,7 @@
 // owner is lost.
 type grantedRun struct {
 	yuccaplace.Run
-	req        Ask
+	req        Request
 	dispatched bool
 	orphaned   bool
 	deadline   time.Time
@@ -262,7 +262,7 @@
 }
 
 // startRun records a run on the chosen target and counts it as running for its account.
-func (lead *Leader) startRun(now time.Time, req Ask, choice yuccaplace.Choice, deadline time.Time) *grantedRun {
+func (lead *Leader) startRun(now time.Time, req Request, choice yuccaplace.Choice, deadline time.Time) *grantedRun {
 	run := &grantedRun{req: req, deadline: deadline}
 	run.Run = yuccaplace.Run{
 		ID:          req.ID,
--- a/core/yuccapool/limit.go
+++ b/core/yuccapool/limit.go
@@ -82,12 +82,12 @@
 	return max(acc.requests.wait(now, 1-levelTolerance), acc.tokens.wait(now, levelTolerance))
 }
 
-func (acc *account) charge(req *Ask) {
+func (acc *account) charge(req *Request) {
 	acc.requests.charge(1)
 	acc.tokens.charge(float64(req.Tokens()))
 }
 
-func (acc *account) refund(req *Ask) {
+func (acc *account) refund(req *Request) {
 	acc.requests.charge(-1)
 	acc.tokens.charge(-float64(req.Tokens()))
 }
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -14,27 +14,27 @@
 )
 
 // triage is an urgent request: a triage note of a hotline.
-func triage() yuccapool.Ask {
-	return yuccapool.Ask{Account: "hotline", Rank: 0, Idempotent: true, Remaining: 10 * time.Second, Prompt: 2000, Answer: 150}
+func triage() yuccapool.Request {
+	return yuccapool.Request{Account: "hotline", Rank: 0, Idempotent: true, Remaining: 10 * time.Second, Prompt: 2000, Answer: 150}
 }
 
 // letter is a request of the lowest tier with a long answer and a late deadline.
-func letter() yuccapool.Ask {
-	return yuccapool.Ask{Account: "office", Rank: 2, Idempotent: true, Remaining: time.Minute, Prompt: 4000, Answer: 800}
+func letter() yuccapool.Request {
+	return yuccapool.Request{Account: "office", Rank: 2, Idempotent: true, Remaining: time.Minute, Prompt: 4000, Answer: 800}
 }
 
 // lookup is a short request of the middle tier with an early deadline.
-func lookup() yuccapool.Ask {
-	return yuccapool.Ask{Account: "members", Rank: 1, Idempotent: true, Remaining: 2 * time.Second, Prompt: 200, Answer: 20}
+func lookup() yuccapool.Request {
+	return yuccapool.Request{Account: "members", Rank: 1, Idempotent: true, Remaining: 2 * time.Second, Prompt: 200, Answer: 20}
 }
 
 // rulebook is a request of the middle tier with a prompt a hundred times as long as a
 // lookup's.
-func rulebook() yuccapool.Ask {
-	return yuccapool.Ask{Account: "marshals", Rank: 1, Idempotent: true, Remaining: 90 * time.Second, Prompt: 20_000, Answer: 300}
+func rulebook() yuccapool.Request {
+	return yuccapool.Request{Account: "marshals", Rank: 1, Idempotent: true, Remaining: 90 * time.Second, Prompt: 20_000, Answer: 300}
 }
 
-func withAccount(acc yuccaid.Account, msg yuccapool.Ask) yuccapool.Ask {
+func withAccount(acc yuccaid.Account, msg yuccapool.Request) yuccapool.Request {
 	msg.Account = acc
 	return msg
 }
@@ -66,8 +66,8 @@
 	// behind those of the script.
 	It("keeps a small account served beside a large one in the same tier", func() {
 		sim := newSimulation(configWithFleet(2))
-		sim.stream(60*time.Millisecond, 60*time.Second, func() yuccapool.Ask { return withAccount("script", triage()) })
-		sim.stream(2*time.Second, 60*time.Second, func() yuccapool.Ask { return withAccount("small", triage()) })
+		sim.stream(60*time.Millisecond, 60*time.Second, func() yuccapool.Request { return withAccount("script", triage()) })
+		sim.stream(2*time.Second, 60*time.Second, func() yuccapool.Request { return withAccount("small", triage()) })
 		sim.run(2 * time.Minute)
 		Expect(sim.goodput(ofAccount("script"))).To(BeNumerically("<", 0.5))
 		Expect(sim.goodput(ofAccount("small"))).To(BeNumerically(">=", 0.95))
@@ -192,7 +192,7 @@
 		large := letter()
 		large.Prompt, large.Answer, large.Remaining = 8000, 5000, 3*time.Minute
 		sim.submit(large)
-		small := sim.submit(func() yuccapool.Ask { msg := large; msg.Prompt = 500; return msg }())
+		small := sim.submit(func() yuccapool.Request { msg := large; msg.Prompt = 500; return msg }())
 		sim.run(5 * time.Second)
 		urgent := sim.submit(triage())
 		sim.run(time.Second)
@@ -313,7 +313,7 @@
 		maxRunning := 0
 		sim.check = func(yuccapool.Decisions) { maxRunning = max(maxRunning, sim.count(outcomeRunning, ofAccount("few"))) }
 		for _, acc := range []yuccaid.Account{"rated", "few", "tokens"} {
-			sim.stream(50*time.Millisecond, 20*time.Second, func() yuccapool.Ask { return withAccount(acc, lookup()) })
+			sim.stream(50*time.Millisecond, 20*time.Second, func() yuccapool.Request { return withAccount(acc, lookup()) })
 		}
 		sim.run(time.Minute)
 		// Each rate allows 20 seconds' worth and a burst of one second's worth; a lookup
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -7,8 +7,8 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// Ask is a request that waits for a grant.
-type Ask = yuccaqueue.Request
+// Request is a request that waits for a grant.
+type Request = yuccaqueue.Request
 
 // Grant allows an owner to dispatch one request to one target.
 //
@@ -60,7 +60,7 @@
 // Running is a run that an owner reports to a new leader; Answered is the number of
 // answer tokens received so far.
 type Running struct {
-	Request  Ask            `msgpack:"ask"`
+	Request  Request        `msgpack:"ask"`
 	Target   yuccaid.Target `msgpack:"target"`
 	Answered yuccaid.Tokens `msgpack:"answered"`
 }
--- a/core/yuccapool/oracle_test.go
+++ b/core/yuccapool/oracle_test.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		if orc.fits(eng, remaining, req, refusalMargin) {
-			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (request %+v, other runs there %d, wait for their prefill %v, service time %v, time to the deadline %v)", req.ID, req.Rank, cancellable, eng.Name, req.Ask, len(remaining), orc.prefillWait(eng, remaining), orc.serviceTime(eng, req), req.deadline.Sub(orc.sim.now))
+			return fmt.Sprintf("%s of rank %d was refused while %d of lower tiers run on %s (request %+v, other runs there %d, wait for their prefill %v, service time %v, time to the deadline %v)", req.ID, req.Rank, cancellable, eng.Name, req.Request, len(remaining), orc.prefillWait(eng, remaining), orc.serviceTime(eng, req), req.deadline.Sub(orc.sim.now))
 		}
 	}
 	return ""
@@ -240,9 +240,9 @@
 	}
 }
 
-func drawRequest(rt *rapid.T) yuccapool.Ask {
+func drawRequest(rt *rapid.T) yuccapool.Request {
 	prompt := rapid.SampledFrom([]yuccaid.Tokens{100, 400, 1200, longPrompt}).Draw(rt, "prompt")
-	return yuccapool.Ask{
+	return yuccapool.Request{
 		Account:    rapid.SampledFrom([]yuccaid.Account{"large", "small", "capped"}).Draw(rt, "account"),
 		Rank:       rapid.IntRange(0, 2).Draw(rt, "rank"),
 		Idempotent: rapid.IntRange(0, 3).Draw(rt, "idempotent") > 0,
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -35,7 +35,7 @@
 // request is a request with its outcome, as its caller sees it. It starts on an engine at
 // startedAt; cached is the part of its prompt that the engine's cache held.
 type request struct {
-	yuccapool.Ask
+	yuccapool.Request
 	arrived      time.Time
 	deadline     time.Time
 	endedAt      time.Time
@@ -166,11 +166,11 @@
 	sim.now = end
 }
 
-func (sim *simulation) submit(msg yuccapool.Ask) *request {
+func (sim *simulation) submit(msg yuccapool.Request) *request {
 	msg.ID = yuccaid.RequestID(fmt.Sprintf("r%d", len(sim.reqs)))
 	msg.Owner = self
 	msg.Tier = yuccaid.Tier(fmt.Sprintf("tier-%d", msg.Rank))
-	req := &request{Ask: msg, arrived: sim.now, deadline: sim.now.Add(msg.Remaining), outcome: outcomeWaiting}
+	req := &request{Request: msg, arrived: sim.now, deadline: sim.now.Add(msg.Remaining), outcome: outcomeWaiting}
 	sim.reqs = append(sim.reqs, req)
 	sim.byID[msg.ID] = req
 	sim.apply(sim.lead.Submit(sim.now, msg))
@@ -178,7 +178,7 @@
 }
 
 // stream submits a request at each interval for a span.
-func (sim *simulation) stream(interval, span time.Duration, msg func() yuccapool.Ask) {
+func (sim *simulation) stream(interval, span time.Duration, msg func() yuccapool.Request) {
 	for at := time.Duration(0); at < span; at += interval {
 		sim.after(at, func() { sim.submit(msg()) })
 	}
--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -363,7 +363,7 @@
 // span returns the window over which usage is counted. It is one bucket of a Sum longer than the
 // window of the tolerance, because a Sum drops its oldest bucket as a whole.
 func (led *Ledger) span() time.Duration {
-	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Parts
+	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Buckets
 }
 
 // QuotaUsage is the usage of an account within its window, and the usage up to which its requests
--- a/core/yuccaroster/entry.go
+++ b/core/yuccaroster/entry.go
@@ -19,10 +19,10 @@
 	Slots   int            `msgpack:"slots"`
 	// Leaving is set once the target accepts no new requests.
 	Leaving bool `msgpack:"leaving"`
-	// ProcessStart is when the target's process started, in Unix milliseconds. If it changes,
+	// StartMillis is when the target's process started, in Unix milliseconds. If it changes,
 	// the target has restarted under the same name, and the requests and caches of its previous
 	// process are lost.
-	ProcessStart int64 `msgpack:"born"`
+	StartMillis int64 `msgpack:"born"`
 	// WarmAfter is how long after its registration the target is still cold, and so slower.
 	WarmAfter time.Duration `msgpack:"warmAfter"`
 	Revision  Revision      `msgpack:"revision"`
--- a/core/yuccaroute/config.go
+++ b/core/yuccaroute/config.go
@@ -58,8 +58,8 @@
 // Engine describes each engine of a pool: how many requests it runs at once (Slots), and the size of
 // its KV cache in tokens (Cache).
 type Engine struct {
-	Slots int
-	Cache yuccaid.Tokens
+	Slots       int
+	CacheTokens yuccaid.Tokens
 }
 
 // Account is a client account with its keys.
--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// DefaultMaxTries is the number of other data centres that one request is offered to. Each
+	// DefaultMaxOffers is the number of other data centres that one request is offered to. Each
 	// offer costs a round trip out of the request's remaining time, and when all regions are
 	// overloaded, more offers would only add messages.
-	DefaultMaxTries = 2
+	DefaultMaxOffers = 2
 	// DefaultMaxPrice is the highest price of one request's traffic between regions, in the unit
 	// of the links' prices. It admits a prompt of a megabyte with its answer at a price of up to 5
 	// per gigabyte, and rejects a mistyped price.
@@ -50,8 +50,8 @@
 // Option configures a Planner.
 type Option func(*Planner)
 
-// WithMaxTries sets the number of other data centres that one request is offered to.
-func WithMaxTries(maxTries int) Option {
+// WithMaxOffers sets the number of other data centres that one request is offered to.
+func WithMaxOffers(maxTries int) Option {
 	return func(plan *Planner) { plan.maxTries = maxTries }
 }
 
@@ -62,7 +62,7 @@
 
 // New returns a Planner without any recorded refusals.
 func New(options ...Option) *Planner {
-	plan := &Planner{maxTries: DefaultMaxTries, maxPrice: DefaultMaxPrice, refusedUntil: make(map[refusalKey]time.Time)}
+	plan := &Planner{maxTries: DefaultMaxOffers, maxPrice: DefaultMaxPrice, refusedUntil: make(map[refusalKey]time.Time)}
 	for _, option := range options {
 		option(plan)
 	}
--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -3,12 +3,12 @@
 
 import "time"
 
-// Parts is the number of equal buckets that a window is divided into. The oldest bucket
-// expires as a whole, so a sum covers a time between that of Parts-1 and of Parts buckets.
-const Parts = 32
+// Buckets is the number of equal buckets that a window is divided into. The oldest bucket
+// expires as a whole, so a sum covers a time between that of Buckets-1 and of Buckets buckets.
+const Buckets = 32
 
 // buckets is the name of Parts within this package.
-const buckets = Parts
+const buckets = Buckets
 
 // Sum is the sum of the amounts that were added within a window. The zero value is empty; call
 // Advance before reading it.
--- a/io/yuccadaemon/daemon.go
+++ b/io/yuccadaemon/daemon.go
@@ -124,7 +124,7 @@
 	)
 	close(ready)
 	// While the platform is away no list comes, and only the seeds lead to the others.
-	d.control.Post(func(time.Time) { d.hub.Connect(d.peers.Dial()) })
+	d.control.Post(func(time.Time) { d.hub.Connect(d.peers.WantedConnections()) })
 	d.start(d.watchNotes)
 	d.start(d.watchList)
 	d.start(d.watchBaseline)
--- a/io/yuccadaemon/member.go
+++ b/io/yuccadaemon/member.go
@@ -32,7 +32,7 @@
 
 func (d *Daemon) onRoster(now time.Time, message roster) {
 	d.peers.AddListings(now, message.Listings)
-	d.hub.Connect(d.peers.Dial())
+	d.hub.Connect(d.peers.WantedConnections())
 }
 
 func (d *Daemon) onHeartbeat(now time.Time, from yuccaid.Incarnation, beat yuccapeer.Heartbeat) {
@@ -60,7 +60,7 @@
 		d.sendBeat(beat)
 	}
 	for _, peer := range change.RosterRecipients {
-		_ = d.send(peer, yuccawire.KindRoster, roster{Listings: d.peers.Roster()})
+		_ = d.send(peer, yuccawire.KindRoster, roster{Listings: d.peers.AllCandidates()})
 	}
 	if !change.NewerConfig.Peer.IsZero() {
 		d.pull(now, change.NewerConfig)
@@ -73,7 +73,7 @@
 	if len(change.Joined) == 0 && len(change.Removed) == 0 && !change.Resumed {
 		return
 	}
-	d.hub.Connect(d.peers.Dial())
+	d.hub.Connect(d.peers.WantedConnections())
 	d.refreshLeads(now)
 	d.tellLeaders(now)
 }
@@ -165,7 +165,7 @@
 	if d.peers.TargetShare().Whole() != whole {
 		d.refreshLeads(now)
 	}
-	d.hub.Connect(d.peers.Dial())
+	d.hub.Connect(d.peers.WantedConnections())
 }
 
 // markLeaving notes the targets whose VMs the platform is about to take away, and
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -75,7 +75,7 @@
 	if version := gate.roster.Version(); sched.rosterVersion != version {
 		sched.rosterVersion = version
 		sched.remoteReset = true
-		gate.apply(now, sched, sched.local.Configure(now, gate.targetsOf(sched)))
+		gate.apply(now, sched, sched.local.SetTargets(now, gate.targetsOf(sched)))
 	}
 }
 
@@ -121,7 +121,7 @@
 	sched.remoteReset = true
 	if ledBefore && !sched.leads {
 		sched.local.DropOtherOwners(gate.incarnation)
-		sched.local.ClearRemoteLoads()
+		sched.local.ClearOtherCentreLoads()
 	}
 	gate.configure(now, sched)
 	for _, plc := range gate.placements {
@@ -211,7 +211,7 @@
 	for _, grant := range decisions.Grants {
 		if grant.ID.Owner != gate.incarnation {
 			gate.send(grant.ID.Owner, yuccawire.KindPlaced, yuccawire.Placed{
-				Pool: sched.pool, Number: grant.ID.Number, Target: grant.Target, ExpectMillis: grant.ExpectedFirst.Milliseconds(), Busy: grant.Busy,
+				Pool: sched.pool, Number: grant.ID.Number, Target: grant.Target, ExpectMillis: grant.ExpectedTimeToFirst.Milliseconds(), Busy: grant.Busy,
 			})
 			continue
 		}
@@ -256,7 +256,7 @@
 	}
 	plc.decision <- decision{
 		target: target, address: entry.Address, withoutLeader: plc.decidedLocally && !sched.leads,
-		decisionInputs: gate.decisionInputs(now, sched, granted.ExpectedFirst, granted.Busy),
+		decisionInputs: gate.decisionInputs(now, sched, granted.ExpectedTimeToFirst, granted.Busy),
 	}
 }
 
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -74,7 +74,7 @@
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
 	sched.local = yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
-	sched.local.Configure(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
+	sched.local.SetTargets(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
 	sched.receiveLoads(now, 1, false, yuccawire.TargetLoad{Target: "a", Runs: 3}, yuccawire.TargetLoad{Target: "b", Runs: 3})
 	sched.passRemoteLoads(now)
 	if len(sched.remoteChanged) > 0 {
@@ -101,7 +101,7 @@
 	sched := newRemoteScheduler()
 	sched.local = yuccagrant.New(rand.New(rand.NewPCG(1, 1)))
 	sched.sentLoads = make(map[yuccaid.Target]yuccawire.TargetLoad)
-	sched.local.Configure(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
+	sched.local.SetTargets(now, []yuccagrant.Target{{Name: "a", Slots: 8}})
 	running := uint64(0)
 	setRuns := func(runs uint64) {
 		for ; running < runs; running++ {
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -144,7 +144,7 @@
 	if _, err := rand.Read(nonce[:]); err != nil {
 		return nil, err
 	}
-	bounds := yuccaspace.BoundsOf(settings.Machine)
+	bounds := yuccaspace.BoundsOf(settings.ProcessLimits)
 	gate := &Gate{
 		settings:      settings,
 		dialect:       dialect,
@@ -191,7 +191,7 @@
 		yuccalink.OnFault(gate.onFault),
 	)
 	close(ready)
-	gate.control.Post(func(time.Time) { gate.hub.Connect(gate.peers.Dial()) })
+	gate.control.Post(func(time.Time) { gate.hub.Connect(gate.peers.WantedConnections()) })
 	return gate, nil
 }
 
@@ -243,7 +243,7 @@
 		gate.peers.SetSeeds(settings.Seeds)
 		gate.ledger.SetTolerance(now, settings.Bounds.tolerance())
 		gate.resendBudget.SetBounds(settings.Bounds.resendBounds())
-		gate.hub.Connect(gate.peers.Dial())
+		gate.hub.Connect(gate.peers.WantedConnections())
 	})
 }
 
--- a/io/yuccagate/loads.go
+++ b/io/yuccagate/loads.go
@@ -175,14 +175,14 @@
 		clear(sched.remoteChanged)
 		return dec
 	case sched.remoteReset:
-		sched.local.ClearRemoteLoads()
-		dec = sched.local.SetRemoteLoads(now, sched.remoteTotals())
+		sched.local.ClearOtherCentreLoads()
+		dec = sched.local.SetOtherCentreLoads(now, sched.remoteTotals())
 	case len(sched.remoteChanged) > 0:
 		loads := make(map[yuccaid.Target]yuccagrant.TargetLoad, len(sched.remoteChanged))
 		for target := range sched.remoteChanged {
 			loads[target] = sched.remoteTotal(target)
 		}
-		dec = sched.local.SetRemoteLoads(now, loads)
+		dec = sched.local.SetOtherCentreLoads(now, loads)
 	}
 	sched.remoteReset = false
 	clear(sched.remoteChanged)
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -106,7 +106,7 @@
 	// daemons join or are removed, but also with time.
 	if now.Sub(gate.connsComparedAt) >= connCompareInterval {
 		gate.connsComparedAt = now
-		gate.hub.Connect(gate.peers.Dial())
+		gate.hub.Connect(gate.peers.WantedConnections())
 	}
 }
 
@@ -127,7 +127,7 @@
 		gate.sendHeartbeat(message)
 	}
 	for _, peer := range change.RosterRecipients {
-		gate.send(peer, yuccawire.KindRoster, peerListings{Listings: gate.peers.Roster()})
+		gate.send(peer, yuccawire.KindRoster, peerListings{Listings: gate.peers.AllCandidates()})
 	}
 	if !change.NewerConfig.Peer.IsZero() {
 		gate.pullTable(now, change.NewerConfig)
@@ -139,7 +139,7 @@
 	if len(change.Joined) == 0 && len(change.Removed) == 0 && !change.Resumed {
 		return
 	}
-	gate.hub.Connect(gate.peers.Dial())
+	gate.hub.Connect(gate.peers.WantedConnections())
 	gate.followLeaders(now)
 }
 
@@ -172,7 +172,7 @@
 // onRoster adds the addresses of daemons that a peer has sent.
 func (gate *Gate) onRoster(_ time.Time, message peerListings) {
 	gate.peers.AddListings(time.Now(), message.Listings)
-	gate.hub.Connect(gate.peers.Dial())
+	gate.hub.Connect(gate.peers.WantedConnections())
 }
 
 // onFrame handles one message from an authenticated peer. The work is queued for the control
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -105,7 +105,7 @@
 	case !awaitsLeader:
 	case message.Target != "":
 		gate.acceptGrant(now, gate.schedulers[plc.pool], yuccagrant.Grant{
-			ID: plc.request.ID, Target: message.Target, ExpectedFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
+			ID: plc.request.ID, Target: message.Target, ExpectedTimeToFirst: time.Duration(message.ExpectMillis) * time.Millisecond, Busy: message.Busy,
 		})
 	case message.Reason != "":
 		gate.deliverRefusal(yuccagrant.Refusal{
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -22,7 +22,7 @@
 // newGateWithLimits returns a gateway that may use the given memory and number of descriptors.
 func newGateWithLimits(memory, descriptors int) *gate {
 	return newGateOf(listen(), "odessa", "entry-1", func(set *yuccagate.Settings) {
-		set.Machine = yuccaspace.ProcessLimits{Memory: yuccaid.Bytes(memory), Descriptors: descriptors}
+		set.ProcessLimits = yuccaspace.ProcessLimits{Memory: yuccaid.Bytes(memory), Descriptors: descriptors}
 	})
 }
 
@@ -99,7 +99,7 @@
 		reservedEach := yuccaspace.RequestOverhead + sent + 1
 		for turn := range 5 {
 			dial(gt, requestHead("/lookup/", fmt.Sprint("letter", turn), 1<<20)+part)
-			Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(Equal(yuccaid.Bytes(turn+1) * reservedEach))
+			Eventually(func() yuccaid.Bytes { return gt.Status().ReservedBytes }).Should(Equal(yuccaid.Bytes(turn+1) * reservedEach))
 		}
 		Expect(readStatus(dial(gt, requestHead("/lookup/", "late", sent)+part))).To(Equal(http.StatusServiceUnavailable))
 		Expect(readStatus(dial(gt, requestHead("/ticket/", "urgent", 64<<10)+part[:64<<10]))).To(Equal(http.StatusOK))
@@ -118,9 +118,9 @@
 			Expect(call{path: "/lookup/", id: fmt.Sprint("r", turn), body: body}.do(gt).status).To(Equal(http.StatusOK))
 		}
 		conn := dial(gt, requestHead("/lookup/", "gone", 1<<20)+"begun")
-		Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).ShouldNot(BeZero())
+		Eventually(func() yuccaid.Bytes { return gt.Status().ReservedBytes }).ShouldNot(BeZero())
 		conn.Close()
-		Eventually(func() yuccaid.Bytes { return gt.Status().HeldBytes }).Should(BeZero())
+		Eventually(func() yuccaid.Bytes { return gt.Status().ReservedBytes }).Should(BeZero())
 	})
 
 	// The process has file descriptors for sixteen callers. All have been served and keep their
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -25,8 +25,8 @@
 	// FirstStart reports whether the whole fleet starts for the first time, so that no account
 	// has usage from before.
 	FirstStart bool
-	// Machine is the memory and the file descriptors that the process may use.
-	Machine yuccaspace.ProcessLimits
+	// ProcessLimits is the memory and the file descriptors that the process may use.
+	ProcessLimits yuccaspace.ProcessLimits
 }
 
 // Bounds are the operators' limits on the whole fleet.
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -28,10 +28,10 @@
 	// QuotaShare is the share of the accounts' quotas that this daemon may use.
 	QuotaShare   float64 `json:"quotaPart"`
 	OpenRequests int64   `json:"open"`
-	// HeldBytes is the memory reserved for open requests, in bytes.
-	HeldBytes yuccaid.Bytes  `json:"heldBytes"`
-	Pools     []PoolStatus   `json:"pools"`
-	Targets   []TargetStatus `json:"targets"`
+	// ReservedBytes is the memory reserved for open requests, in bytes.
+	ReservedBytes yuccaid.Bytes  `json:"heldBytes"`
+	Pools         []PoolStatus   `json:"pools"`
+	Targets       []TargetStatus `json:"targets"`
 	// Accounts lists the accounts that have a quota.
 	Accounts []AccountStatus `json:"accounts"`
 }
@@ -80,7 +80,7 @@
 	status := Status{
 		VM: gate.settings.VM, Centre: gate.settings.Centre, Address: gate.settings.Address, Ready: gate.Ready(), Leaving: gate.draining(),
 		Number: gate.configurationNumber(), SkipsPlatformReads: gate.skipsPlatformReads.Load(), PlatformAgeMillis: -1,
-		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), HeldBytes: gate.memory.reserved(),
+		QuotaShare: gate.ledger.QuotaShare(), OpenRequests: gate.openRequests.Load(), ReservedBytes: gate.memory.reserved(),
 	}
 	if age := gate.platformAge(now); age >= 0 {
 		status.PlatformAgeMillis = age.Milliseconds()
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -210,7 +210,7 @@
 		switch {
 		case !known:
 			added = append(added, entry.Target)
-		case before.ProcessStart != entry.ProcessStart:
+		case before.StartMillis != entry.StartMillis:
 			restarted = append(restarted, entry.Target)
 		}
 		if entry.Leaving && !before.Leaving {
@@ -244,7 +244,7 @@
 	usable := gate.roster.Usable(sched.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
 	for _, entry := range usable {
-		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), StartMillis: entry.ProcessStart}
+		target := yuccagrant.Target{Name: entry.Target, Slots: max(entry.Slots, 1), StartMillis: entry.StartMillis}
 		if gate.settings.Regions[entry.Centre] != gate.settings.Regions[gate.settings.Centre] {
 			target.Remote = true
 			target.RoundTrip = regionRoundTrip
--- a/io/yuccameasure/leader.go
+++ b/io/yuccameasure/leader.go
@@ -159,7 +159,7 @@
 	}
 	// The text is as long as a signed id.
 	id := yuccaid.RequestID(fmt.Sprintf("%s.%x.%x.%032x", bnc.self, bnc.number, bnc.now.UnixMilli(), bnc.number))
-	bnc.take(bnc.leader.Submit(bnc.now, yuccapool.Ask{
+	bnc.take(bnc.leader.Submit(bnc.now, yuccapool.Request{
 		ID: id, Owner: bnc.self, Account: accountName(bnc.number % bnc.size.accounts), Tier: tier, Rank: 1,
 		Pool: draftPool, Operation: "generate", Idempotent: true, Remaining: 24 * time.Hour,
 		Prompt: 1024, Answer: 200, Prefixes: prefixes, Centre: centreName(0),
