--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -14,23 +14,23 @@
 const (
 	// Found says that there is a target.
 	Found Verdict = iota
-	// NoRoom says that no target of the set has room.
-	NoRoom
-	// Unsuited says that those with room can't meet the deadline, or not without harm to
+	// NoFreeSlot says that no target of the set has room.
+	NoFreeSlot
+	// Unsuitable says that those with room can't meet the deadline, or not without harm to
 	// others; another request may still use that room.
-	Unsuited
-	// Better says that a target without room now is worth waiting for.
-	Better
+	Unsuitable
+	// WaitForBetter says that a target without room now is worth waiting for.
+	WaitForBetter
 )
 
 // Choice is a target for a request and what is expected there.
 type Choice struct {
-	Node   *Node
-	Cached yuccaid.Tokens
-	Wait   time.Duration
-	Finish time.Duration
-	high   time.Duration
-	cost   float64
+	TargetState *TargetState
+	Cached      yuccaid.Tokens
+	Wait        time.Duration
+	Finish      time.Duration
+	high        time.Duration
+	cost        float64
 }
 
 // Choose returns the cheapest target of the set that has room and meets the deadline.
@@ -40,11 +40,11 @@
 // prefill that another target's cache would have saved, each by its policy weight. So
 // a cached prefix draws a request to its target, and gives way as soon as waiting
 // there costs more than computing the prefix again.
-func (fleet *Fleet) Choose(now time.Time, reach *Reach, shape *Shape) (Choice, Verdict) {
+func (fleet *Placer) Choose(now time.Time, reach *TargetSet, shape *Request) (Choice, Verdict) {
 	fleet.stamp++
 	deepest := min(fleet.prefixes.mark(fleet.stamp, shape.Prefixes), shape.Prompt)
 	best := Choice{cost: math.Inf(1)}
-	verdict := NoRoom
+	verdict := NoFreeSlot
 	keep := fleet.longRoom(shape)
 	for _, node := range reach.nodes {
 		if keep && node.longs == 0 {
@@ -55,13 +55,13 @@
 		}
 		if reach.holds(node) {
 			if fleet.mayProbe(now, node, shape) {
-				return Choice{Node: node, Finish: fleet.usual(node, shape)}, Found
+				return Choice{TargetState: node, Finish: fleet.usual(node, shape)}, Found
 			}
 			continue
 		}
 		choice := fleet.estimate(now, node, shape, deepest, node.company(now))
-		if verdict == NoRoom {
-			verdict = Unsuited
+		if verdict == NoFreeSlot {
+			verdict = Unsuitable
 		}
 		if choice.late(now, shape) || choice.cost >= best.cost || fleet.spoils(now, node, shape, &choice) {
 			continue
@@ -70,7 +70,7 @@
 		best = choice
 	}
 	if verdict == Found && fleet.worthWaiting(now, reach, shape, deepest, &best) {
-		return best, Better
+		return best, WaitForBetter
 	}
 	return best, verdict
 }
@@ -78,8 +78,8 @@
 // worthWaiting reports whether a target without room now, which holds more of the
 // prompt than the best with room, is the better choice even with the wait. It looks
 // only when what the cache saves is more than the depth, so not for short requests.
-func (fleet *Fleet) worthWaiting(now time.Time, reach *Reach, shape *Shape, deepest yuccaid.Tokens, best *Choice) bool {
-	if fleet.plain || shape.Urgent || best.Node.prefillTime(deepest-best.Cached) <= fleet.depth {
+func (fleet *Placer) worthWaiting(now time.Time, reach *TargetSet, shape *Request, deepest yuccaid.Tokens, best *Choice) bool {
+	if fleet.plain || shape.LastAttempt || best.TargetState.prefillTime(deepest-best.Cached) <= fleet.depth {
 		return false
 	}
 	for _, node := range reach.nodes {
@@ -95,18 +95,18 @@
 
 // spoils reports whether the request would take from others on the target what they
 // need more. At its last moment a request is let in unless it makes a run late.
-func (fleet *Fleet) spoils(now time.Time, node *Node, shape *Shape, choice *Choice) bool {
+func (fleet *Placer) spoils(now time.Time, node *TargetState, shape *Request, choice *Choice) bool {
 	if fleet.plain {
 		return false
 	}
-	return node.harms(now, shape, choice) || !shape.Urgent && fleet.crowdsOut(now, node, shape, choice)
+	return node.harms(now, shape, choice) || !shape.LastAttempt && fleet.crowdsOut(now, node, shape, choice)
 }
 
 // later estimates a target that has no room now but holds more of the prompt than
 // nothing. Waiting for it is worth while as long as it costs less than computing the
 // prefix again somewhere else, which would also push out what is cached there.
-func (fleet *Fleet) later(now time.Time, node *Node, shape *Shape, deepest yuccaid.Tokens) (Choice, bool) {
-	if node.Gone() || node.probing {
+func (fleet *Placer) later(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens) (Choice, bool) {
+	if node.Leaving() || node.probing {
 		return Choice{}, false
 	}
 	with := node.company(now)
@@ -119,7 +119,7 @@
 }
 
 // slotWait is how long until the first of the target's runs is likely to end.
-func (node *Node) slotWait(now time.Time) time.Duration {
+func (node *TargetState) slotWait(now time.Time) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, run := range node.runs {
 		if !run.Prefilling() {
@@ -135,12 +135,12 @@
 // late reports whether the request is likely to miss its deadline. Until its last
 // moment it wants room even for a long answer: what ends late has cost the target its
 // prefill and its answer, and nobody gets anything for it.
-func (choice *Choice) late(now time.Time, shape *Shape) bool {
+func (choice *Choice) late(now time.Time, shape *Request) bool {
 	return now.Add(choice.needs(shape)).After(shape.Deadline)
 }
 
-func (choice *Choice) needs(shape *Shape) time.Duration {
-	if shape.Urgent {
+func (choice *Choice) needs(shape *Request) time.Duration {
+	if shape.LastAttempt {
 		return choice.Finish
 	}
 	return max(choice.Finish, choice.high)
@@ -150,13 +150,13 @@
 // one, because the others are kept for short requests. It counts over the whole fleet:
 // counted over each set of targets, a long prompt of a lower tier could find room in
 // its set which one of a higher tier is refused in another.
-func (fleet *Fleet) longRoom(shape *Shape) bool {
-	if !shape.Long || shape.Urgent {
+func (fleet *Placer) longRoom(shape *Request) bool {
+	if !shape.LongPrompt || shape.LastAttempt {
 		return false
 	}
 	occupied, usable := 0, 0
 	for _, node := range fleet.nodes {
-		if node.Gone() || node.probing {
+		if node.Leaving() || node.probing {
 			continue
 		}
 		usable++
@@ -172,17 +172,17 @@
 // Engines know no tiers and serve in order of arrival. What waits inside one can't be
 // overtaken by an urgent request, so little may wait there: nothing beyond its slots,
 // and prompts for no longer than the depth.
-func (fleet *Fleet) room(now time.Time, node *Node, shape *Shape) bool {
-	if node.Gone() || node.busy(now) >= node.Target.Slots+fleet.spare {
+func (fleet *Placer) room(now time.Time, node *TargetState, shape *Request) bool {
+	if node.Leaving() || node.busy(now) >= node.Target.Slots+fleet.spare {
 		return false
 	}
-	return fleet.plain || shape.Urgent || node.prefillWait(now) <= fleet.depth+fleet.saved(node, shape)
+	return fleet.plain || shape.LastAttempt || node.prefillWait(now) <= fleet.depth+fleet.saved(node, shape)
 }
 
 // saved is how long computing the cached part of the prompt would take. So much longer
 // may a request wait inside the target: there it costs others only what isn't cached,
 // while elsewhere it would compute the prefix again and push another one out.
-func (fleet *Fleet) saved(node *Node, shape *Shape) time.Duration {
+func (fleet *Placer) saved(node *TargetState, shape *Request) time.Duration {
 	if node.stamp != fleet.stamp {
 		return 0
 	}
@@ -192,18 +192,18 @@
 // mayProbe lets a single request find out whether a target is well again. It goes if
 // the target's usual speed would leave it half its time. The top tier goes only when
 // no lower one has gone for a while more: what a probe risks is its deadline.
-func (fleet *Fleet) mayProbe(now time.Time, node *Node, shape *Shape) bool {
+func (fleet *Placer) mayProbe(now time.Time, node *TargetState, shape *Request) bool {
 	at := node.probeAt
 	if shape.Rank == 0 {
 		at = at.Add(patience * node.probePause)
 	}
-	if shape.Urgent || len(node.runs) > 0 || now.Before(at) {
+	if shape.LastAttempt || len(node.runs) > 0 || now.Before(at) {
 		return false
 	}
 	return shape.Deadline.Sub(now) > 2*fleet.usual(node, shape)
 }
 
-func (fleet *Fleet) usual(node *Node, shape *Shape) time.Duration {
+func (fleet *Placer) usual(node *TargetState, shape *Request) time.Duration {
 	if fleet.plain {
 		return seconds(1 / node.call.usual)
 	}
@@ -218,7 +218,7 @@
 	prompts  float64
 }
 
-func (node *Node) company(now time.Time) company {
+func (node *TargetState) company(now time.Time) company {
 	return company{
 		wait:     node.prefillWait(now),
 		running:  float64(len(node.runs)),
@@ -227,19 +227,19 @@
 	}
 }
 
-func (fleet *Fleet) estimate(now time.Time, node *Node, shape *Shape, deepest yuccaid.Tokens, with company) Choice {
+func (fleet *Placer) estimate(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens, with company) Choice {
 	if fleet.plain {
 		finish := seconds(1 / node.call.recent)
-		return Choice{Node: node, Finish: finish, cost: finish.Seconds()}
+		return Choice{TargetState: node, Finish: finish, cost: finish.Seconds()}
 	}
 	var cached yuccaid.Tokens
 	if node.stamp == fleet.stamp {
 		cached = yuccaid.Tokens(float64(min(node.hit, shape.Prompt)) * node.trust)
 	}
 	start := with.wait + node.prefillBeside(shape.Prompt-cached, with.decoding)
-	choice := Choice{Node: node, Cached: cached, Wait: with.wait}
+	choice := Choice{TargetState: node, Cached: cached, Wait: with.wait}
 	choice.Finish = start + node.decodeBeside(float64(shape.Answer)*surety, with.running, with.prompts)
-	high := start + node.decodeBeside(float64(max(shape.High, shape.Answer)), with.running, with.prompts)
+	high := start + node.decodeBeside(float64(max(shape.AnswerP90, shape.Answer)), with.running, with.prompts)
 	again := node.prefillTime(deepest - cached).Seconds()
 	again += node.prefillTime(shape.Prompt-cached).Seconds() * node.cache.worth()
 	choice.high = high
@@ -259,7 +259,7 @@
 // harms reports whether the request would make a run of its tier or a higher one late
 // that is in time without it: its prompt takes the target's time from the answers, and
 // one answer more slows all of them.
-func (node *Node) harms(now time.Time, shape *Shape, choice *Choice) bool {
+func (node *TargetState) harms(now time.Time, shape *Request, choice *Choice) bool {
 	prompt := seconds(node.sharing.prompts * float64(shape.Prompt-choice.Cached) / node.prefill.recent)
 	before := float64(len(node.runs) - 1)
 	for _, run := range node.runs {
--- a/core/yuccaplace/failed.go
+++ b/core/yuccaplace/failed.go
@@ -6,13 +6,13 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Failed notes that a target could not be reached, refused a request, or broke off.
+// RecordFailure notes that a target could not be reached, refused a request, or broke off.
 //
 // A dead target ends each request at once and so always looks idle: it would draw
 // every request of the pool and fail it. Callers would see their requests refused one
 // after the other beside engines that work. So one failure leaves the target to
 // probes, whose pause grows while they fail.
-func (fleet *Fleet) Failed(now time.Time, name yuccaid.Target) {
+func (fleet *Placer) RecordFailure(now time.Time, name yuccaid.Target) {
 	node, found := fleet.byName[name]
 	if !found {
 		return
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -8,26 +8,26 @@
 )
 
 // Option changes a fleet at its construction.
-type Option func(*Fleet)
+type Option func(*Placer)
 
-// WithDepth sets how much prefill may wait in a target before it gets another request.
-func WithDepth(depth time.Duration) Option {
-	return func(fleet *Fleet) { fleet.depth = depth }
+// WithMaxPrefillWait sets how much prefill may wait in a target before it gets another request.
+func WithMaxPrefillWait(depth time.Duration) Option {
+	return func(fleet *Placer) { fleet.depth = depth }
 }
 
-// WithSpare sets how many requests beyond its slots a target may hold.
-func WithSpare(spare int) Option {
-	return func(fleet *Fleet) { fleet.spare = spare }
+// WithExtraSlots sets how many requests beyond its slots a target may hold.
+func WithExtraSlots(spare int) Option {
+	return func(fleet *Placer) { fleet.spare = spare }
 }
 
-// Fleet is the set of targets of one pool in one data centre.
-type Fleet struct {
+// Placer is the set of targets of one pool in one data centre.
+type Placer struct {
 	policy    Policy
 	plain     bool
 	depth     time.Duration
 	spare     int
-	nodes     []*Node
-	byName    map[yuccaid.Target]*Node
+	nodes     []*TargetState
+	byName    map[yuccaid.Target]*TargetState
 	prefixes  prefixes
 	stamp     uint64
 	sharing   *sharing
@@ -38,15 +38,15 @@
 }
 
 // New returns a fleet without targets.
-func New(options ...Option) *Fleet {
-	fleet := &Fleet{
+func New(options ...Option) *Placer {
+	fleet := &Placer{
 		policy:   Policy{GoodputWeight: 1, WasteWeight: 1},
 		depth:    defaultDepth,
 		spare:    defaultSpare,
-		byName:   map[yuccaid.Target]*Node{},
+		byName:   map[yuccaid.Target]*TargetState{},
 		sharing:  &sharing{crowding: crowdingGuess, prompts: promptsGuess},
 		lengths:  map[yuccaid.Operation]*length{},
-		prefixes: prefixes{holders: map[uint64][]*Node{}},
+		prefixes: prefixes{holders: map[uint64][]*TargetState{}},
 	}
 	for _, option := range options {
 		option(fleet)
@@ -55,14 +55,14 @@
 }
 
 // Configure takes over the targets; what was learned of those that stay is kept.
-func (fleet *Fleet) Configure(policy Policy, plain bool, targets []Target) {
+func (fleet *Placer) Configure(policy Policy, plain bool, targets []Target) {
 	fleet.plain = plain
 	fleet.policy = Policy{
 		GoodputWeight: orElse(policy.GoodputWeight, 1),
 		WasteWeight:   orElse(policy.WasteWeight, 1),
 	}
 	before := fleet.byName
-	fleet.byName = make(map[yuccaid.Target]*Node, len(targets))
+	fleet.byName = make(map[yuccaid.Target]*TargetState, len(targets))
 	fleet.nodes = fleet.nodes[:0]
 	for _, tgt := range targets {
 		node, found := before[tgt.Name]
@@ -80,7 +80,7 @@
 	}
 }
 
-func (fleet *Fleet) update(node *Node, tgt Target) {
+func (fleet *Placer) update(node *TargetState, tgt Target) {
 	if tgt.Prefill != node.Target.Prefill || tgt.Decode != node.Target.Decode {
 		node.guess(tgt)
 	}
@@ -91,20 +91,20 @@
 	}
 }
 
-// Nodes returns the targets in the order of the configuration.
-func (fleet *Fleet) Nodes() []*Node {
+// TargetStates returns the targets in the order of the configuration.
+func (fleet *Placer) TargetStates() []*TargetState {
 	return fleet.nodes
 }
 
-// Node returns a target by its name.
-func (fleet *Fleet) Node(name yuccaid.Target) (*Node, bool) {
+// TargetState returns a target by its name.
+func (fleet *Placer) TargetState(name yuccaid.Target) (*TargetState, bool) {
 	node, found := fleet.byName[name]
 	return node, found
 }
 
-// Leave notes a target's word, age ago, on whether it takes new work. An old report
+// SetLeaving notes a target's word, age ago, on whether it takes new work. An old report
 // that says it does can't undo a younger word that it leaves.
-func (fleet *Fleet) Leave(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
+func (fleet *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
 	node, found := fleet.byName[name]
 	at := now.Add(-age)
 	if !found || at.Before(node.leftAt) {
@@ -114,36 +114,36 @@
 	node.leftAt = at
 }
 
-// Begin counts a run on a target and records its prompt as cached there.
-func (fleet *Fleet) Begin(now time.Time, node *Node, run *Run, hashes []uint64) {
+// StartRun counts a run on a target and records its prompt as cached there.
+func (fleet *Placer) StartRun(now time.Time, node *TargetState, run *Run, hashes []uint64) {
 	node.begin(now, run)
 	fleet.prefixes.sent(node, hashes)
 }
 
-// First notes the end of a run's prefill.
-func (fleet *Fleet) First(now time.Time, run *Run) {
+// FinishPrefill notes the end of a run's prefill.
+func (fleet *Placer) FinishPrefill(now time.Time, run *Run) {
 	if !run.Prefilling() {
 		return
 	}
 	run.node.prefilled(now, run)
-	run.First = now
+	run.FirstTokenAt = now
 }
 
-// End gives back what a run held.
-func (fleet *Fleet) End(now time.Time, run *Run) {
+// ReleaseRun gives back what a run held.
+func (fleet *Placer) ReleaseRun(now time.Time, run *Run) {
 	run.node.end(now, run)
 }
 
-// Observed is what an owner measured of a finished run.
-type Observed struct {
+// RunMeasurement is what an owner measured of a finished run.
+type RunMeasurement struct {
 	Prompt, Cached, Answer yuccaid.Tokens
 	Prefill, Decode        time.Duration
-	// Whole says that the answer came to its end.
-	Whole bool
+	// Complete says that the answer came to its end.
+	Complete bool
 }
 
-// Learn takes a finished run's speeds into the target's rates.
-func (fleet *Fleet) Learn(now time.Time, run *Run, seen Observed) {
+// LearnFromRun takes a finished run's speeds into the target's rates.
+func (fleet *Placer) LearnFromRun(now time.Time, run *Run, seen RunMeasurement) {
 	node := run.node
 	node.newsAt = now
 	node.failing = false
@@ -152,7 +152,7 @@
 		weight = probeWeight
 	}
 	if fleet.plain {
-		node.call.observe(1/max(now.Sub(run.Began).Seconds(), 0.001), weight)
+		node.call.observe(1/max(now.Sub(run.StartedAt).Seconds(), 0.001), weight)
 		node.judge(now)
 		return
 	}
@@ -162,7 +162,7 @@
 		rate := float64(work) / seen.Prefill.Seconds()
 		node.prefill.observe(rate/node.promptPart(company), weight)
 	}
-	if run.Answer > 0 && seen.Whole {
+	if run.Answer > 0 && seen.Complete {
 		fleet.length(run.Operation).observe(float64(seen.Answer) / float64(run.Answer))
 	}
 	if seen.Answer > 1 && seen.Decode > 0 {
@@ -183,7 +183,7 @@
 
 // judge decides from the rates whether the target goes on, is left to probes, or is
 // taken back.
-func (node *Node) judge(now time.Time) {
+func (node *TargetState) judge(now time.Time) {
 	slow := node.prefill.slow() || node.decode.slow() || node.call.slow()
 	switch {
 	case slow:
@@ -194,7 +194,7 @@
 }
 
 // Tick looks for targets that show no progress, and lets old news fade.
-func (fleet *Fleet) Tick(now time.Time) {
+func (fleet *Placer) Tick(now time.Time) {
 	for _, node := range fleet.nodes {
 		ratio := node.overdue(now, fleet.plain)
 		if ratio == 0 {
@@ -214,7 +214,7 @@
 
 // fade forgets old news of a target in ordinary use; one left to probes stays there
 // until a probe shows that it is well.
-func (node *Node) fade(now time.Time) {
+func (node *TargetState) fade(now time.Time) {
 	idle := now.Sub(node.newsAt)
 	if node.probing || idle < fadePause {
 		return
@@ -226,16 +226,16 @@
 	node.call.forget(part)
 }
 
-// Load is a target's own report.
-type Load struct {
+// LoadReport is a target's own report.
+type LoadReport struct {
 	Age     time.Duration
 	Waiting int
 	Running int
 }
 
-// Report takes a load report. What it shows beyond the most that was granted around
+// ApplyLoadReport takes a load report. What it shows beyond the most that was granted around
 // its time is the work of others and occupies slots until the report is too old.
-func (fleet *Fleet) Report(now time.Time, name yuccaid.Target, load Load) {
+func (fleet *Placer) ApplyLoadReport(now time.Time, name yuccaid.Target, load LoadReport) {
 	node, found := fleet.byName[name]
 	if !found || load.Age >= foreignLife {
 		return
@@ -245,12 +245,12 @@
 	node.foreignTil = now.Add(foreignLife - load.Age)
 }
 
-// CacheEvent corrects the record of a target's prefix cache.
+// ApplyCacheEvent corrects the record of a target's prefix cache.
 //
 // After a gap nobody knows what was evicted. Dropping the record would send every
 // prompt through a full prefill again; keeping it whole would hold prompts back for a
 // cache that is gone. So the record stays and counts for less until hits confirm it.
-func (fleet *Fleet) CacheEvent(name yuccaid.Target, stored, evicted []uint64, gap bool) {
+func (fleet *Placer) ApplyCacheEvent(name yuccaid.Target, stored, evicted []uint64, gap bool) {
 	node, found := fleet.byName[name]
 	if !found {
 		return
@@ -262,9 +262,9 @@
 	fleet.prefixes.stored(node, stored)
 }
 
-// Demand notes an arrival, from which the room kept for short requests and for higher
+// RecordArrival notes an arrival, from which the room kept for short requests and for higher
 // tiers follows.
-func (fleet *Fleet) Demand(now time.Time, shape *Shape, long bool, work time.Duration) {
+func (fleet *Placer) RecordArrival(now time.Time, shape *Request, long bool, work time.Duration) {
 	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
 	fleet.arrived(now, shape, float64(shape.Prompt-cached))
 	fleet.allWork += demandWeight * (work.Seconds() - fleet.allWork)
@@ -281,7 +281,7 @@
 // seconds, longer than its deadline. The room follows the share of short work in the
 // demand, so that it doesn't idle when there is little of it, and is never more than
 // half, so that long prompts aren't starved by it.
-func (fleet *Fleet) reserve(n int) int {
+func (fleet *Placer) reserve(n int) int {
 	if n < 2 || fleet.shortWork <= 0 {
 		return 0
 	}
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -19,23 +19,23 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func twoTargets(first, second yuccaid.TokenRate) (*yuccaplace.Fleet, *yuccaplace.Reach) {
+func twoTargets(first, second yuccaid.TokenRate) (*yuccaplace.Placer, *yuccaplace.TargetSet) {
 	fleet := yuccaplace.New()
 	fleet.Configure(yuccaplace.Policy{}, false, []yuccaplace.Target{
 		{Name: "one", Slots: 4, Prefill: first, Decode: 50, Cache: 20_000},
 		{Name: "two", Slots: 4, Prefill: second, Decode: 50, Cache: 20_000},
 	})
-	return fleet, fleet.NewReach(nil)
+	return fleet, fleet.NewTargetSet(nil)
 }
 
-func shape(prompt yuccaid.Tokens, hashes ...uint64) *yuccaplace.Shape {
-	return &yuccaplace.Shape{Prompt: prompt, Answer: 50, Prefixes: hashes, Deadline: epoch.Add(time.Minute)}
+func shape(prompt yuccaid.Tokens, hashes ...uint64) *yuccaplace.Request {
+	return &yuccaplace.Request{Prompt: prompt, Answer: 50, Prefixes: hashes, Deadline: epoch.Add(time.Minute)}
 }
 
-func chosen(fleet *yuccaplace.Fleet, reach *yuccaplace.Reach, shp *yuccaplace.Shape) yuccaid.Target {
+func chosen(fleet *yuccaplace.Placer, reach *yuccaplace.TargetSet, shp *yuccaplace.Request) yuccaid.Target {
 	choice, verdict := fleet.Choose(epoch, reach, shp)
 	Expect(verdict).To(Equal(yuccaplace.Found))
-	return choice.Node.Target.Name
+	return choice.TargetState.Target.Name
 }
 
 // prefixes returns the hashes of a prompt of n blocks that begins at from.
@@ -48,18 +48,18 @@
 }
 
 // ran lets a prompt run on a target and end at once.
-func ran(fleet *yuccaplace.Fleet, name yuccaid.Target, hashes []uint64) {
-	node, _ := fleet.Node(name)
+func ran(fleet *yuccaplace.Placer, name yuccaid.Target, hashes []uint64) {
+	node, _ := fleet.TargetState(name)
 	run := &yuccaplace.Run{Prompt: 100}
-	fleet.Begin(epoch, node, run, hashes)
-	fleet.First(epoch, run)
-	fleet.End(epoch, run)
+	fleet.StartRun(epoch, node, run, hashes)
+	fleet.FinishPrefill(epoch, run)
+	fleet.ReleaseRun(epoch, run)
 }
 
 func ExampleFleet_Choose() {
 	fleet, reach := twoTargets(1000, 4000)
 	choice, _ := fleet.Choose(epoch, reach, shape(2000))
-	fmt.Println(choice.Node.Target.Name, choice.Finish.Round(100*time.Millisecond))
+	fmt.Println(choice.TargetState.Target.Name, choice.Finish.Round(100*time.Millisecond))
 	// Output: two 1.5s
 }
 
@@ -71,9 +71,9 @@
 		ran(fleet, "two", prefixes(1, 10))
 		Expect(chosen(fleet, reach, shape(2600, prefixes(1, 10)...))).To(BeEquivalentTo("two"))
 		Expect(chosen(fleet, reach, shape(2600, prefixes(100, 10)...))).To(BeEquivalentTo("one"))
-		node, _ := fleet.Node("two")
+		node, _ := fleet.TargetState("two")
 		for range 4 {
-			fleet.Begin(epoch, node, &yuccaplace.Run{Prompt: 10_000}, nil)
+			fleet.StartRun(epoch, node, &yuccaplace.Run{Prompt: 10_000}, nil)
 		}
 		Expect(chosen(fleet, reach, shape(2600, prefixes(1, 10)...))).To(BeEquivalentTo("one"))
 	})
@@ -86,9 +86,9 @@
 		ran(fleet, "two", prefixes(1000, 78))
 		Expect(chosen(fleet, reach, shape(2600, prefixes(1, 10)...))).To(BeEquivalentTo("one"))
 		ran(fleet, "two", prefixes(1, 10))
-		fleet.CacheEvent("two", nil, prefixes(1, 10), false)
+		fleet.ApplyCacheEvent("two", nil, prefixes(1, 10), false)
 		Expect(chosen(fleet, reach, shape(2600, prefixes(1, 10)...))).To(BeEquivalentTo("one"))
-		fleet.CacheEvent("two", prefixes(1, 10), nil, false)
+		fleet.ApplyCacheEvent("two", prefixes(1, 10), nil, false)
 		Expect(chosen(fleet, reach, shape(2600, prefixes(1, 10)...))).To(BeEquivalentTo("two"))
 	})
 
@@ -96,7 +96,7 @@
 		fleet, reach := twoTargets(1000, 1000)
 		ran(fleet, "two", prefixes(1, 10))
 		before, _ := fleet.Choose(epoch, reach, shape(2600, prefixes(1, 10)...))
-		fleet.CacheEvent("two", nil, nil, true)
+		fleet.ApplyCacheEvent("two", nil, nil, true)
 		after, _ := fleet.Choose(epoch, reach, shape(2600, prefixes(1, 10)...))
 		Expect(after.Cached).To(BeNumerically("<", before.Cached))
 		Expect(after.Cached).To(BeNumerically(">", 0))
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -11,16 +11,16 @@
 }
 
 // arrived takes a request into the picture of its tier.
-func (fleet *Fleet) arrived(now time.Time, shape *Shape, uncached float64) {
+func (fleet *Placer) arrived(now time.Time, shape *Request, uncached float64) {
 	if shape.Rank < 0 || shape.Rank >= meterRanks {
 		return
 	}
 	typ := &fleet.typical[shape.Rank]
 	if typ.seen.IsZero() {
-		*typ = typical{prompt: uncached, answer: float64(shape.High), slack: shape.Deadline.Sub(now).Seconds()}
+		*typ = typical{prompt: uncached, answer: float64(shape.AnswerP90), slack: shape.Deadline.Sub(now).Seconds()}
 	}
 	typ.prompt += typicalWeight * (uncached - typ.prompt)
-	typ.answer += typicalWeight * (float64(shape.High) - typ.answer)
+	typ.answer += typicalWeight * (float64(shape.AnswerP90) - typ.answer)
 	typ.slack += typicalWeight * (shape.Deadline.Sub(now).Seconds() - typ.slack)
 	typ.seen = now
 }
@@ -34,7 +34,7 @@
 // So a lower tier stays away from a target that could serve a typical request of a
 // higher one, were only its own tier and those above there, and couldn't any more with
 // this request; as long as such requests keep coming.
-func (fleet *Fleet) crowdsOut(now time.Time, node *Node, shape *Shape, choice *Choice) bool {
+func (fleet *Placer) crowdsOut(now time.Time, node *TargetState, shape *Request, choice *Choice) bool {
 	with := node.company(now)
 	own := node.prefillBeside(shape.Prompt-choice.Cached, with.decoding)
 	for rank := range min(shape.Rank, meterRanks) {
@@ -54,14 +54,14 @@
 	return false
 }
 
-func (node *Node) fits(typ *typical, with company) bool {
+func (node *TargetState) fits(typ *typical, with company) bool {
 	need := with.wait + seconds(typ.prompt/(node.prefill.recent*node.promptPart(with.decoding)))
 	need += node.decodeBeside(typ.answer, with.running, with.prompts)
 	return need.Seconds() <= typ.slack
 }
 
 // above is the company that the rank and those above it make on the target.
-func (node *Node) above(now time.Time, rank int) company {
+func (node *TargetState) above(now time.Time, rank int) company {
 	with := company{prompts: node.meter.promptsTo(rank)}
 	for _, run := range node.runs {
 		if run.Rank > rank {
--- a/core/yuccaplace/length.go
+++ b/core/yuccaplace/length.go
@@ -10,7 +10,7 @@
 	mean, high float64
 }
 
-func (fleet *Fleet) length(op yuccaid.Operation) *length {
+func (fleet *Placer) length(op yuccaid.Operation) *length {
 	len, found := fleet.lengths[op]
 	if !found {
 		len = &length{mean: 1, high: firstHigh}
@@ -32,8 +32,8 @@
 	len.high = max(len.high, len.mean)
 }
 
-// Expect fills in how long the answer of a request of the operation may get.
-func (fleet *Fleet) Expect(op yuccaid.Operation, shape *Shape) {
+// FillAnswerP90 fills in how long the answer of a request of the operation may get.
+func (fleet *Placer) FillAnswerP90(op yuccaid.Operation, shape *Request) {
 	len := fleet.length(op)
-	shape.High = yuccaid.Tokens(float64(shape.Answer) * len.high)
+	shape.AnswerP90 = yuccaid.Tokens(float64(shape.Answer) * len.high)
 }
--- a/core/yuccaplace/meter.go
+++ b/core/yuccaplace/meter.go
@@ -47,7 +47,7 @@
 	return min(max(rank, 0), meterRanks-1)
 }
 
-func (mt *meter) advance(now time.Time, node *Node) {
+func (mt *meter) advance(now time.Time, node *TargetState) {
 	span := now.Sub(mt.at).Seconds()
 	if mt.at.IsZero() || span < 0 {
 		span = 0
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -7,8 +7,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Node is what the fleet believes of one target.
-type Node struct {
+// TargetState is what the fleet believes of one target.
+type TargetState struct {
 	Target Target
 
 	sharing    *sharing
@@ -40,13 +40,13 @@
 	hit   yuccaid.Tokens
 }
 
-func newNode(tgt Target, shr *sharing) *Node {
-	node := &Node{Target: tgt, sharing: shr, cache: newRecord(tgt.Cache), trust: 1}
+func newNode(tgt Target, shr *sharing) *TargetState {
+	node := &TargetState{Target: tgt, sharing: shr, cache: newRecord(tgt.Cache), trust: 1}
 	node.guess(tgt)
 	return node
 }
 
-func (node *Node) guess(tgt Target) {
+func (node *TargetState) guess(tgt Target) {
 	node.prefill = newSpeed(orElse(float64(tgt.Prefill), guessPrefill))
 	node.decode = newSpeed(orElse(float64(tgt.Decode), guessDecode))
 	node.call = newSpeed(1 / guessCall.Seconds())
@@ -60,18 +60,18 @@
 }
 
 // Running returns how many granted requests the target holds.
-func (node *Node) Running() int {
+func (node *TargetState) Running() int {
 	return len(node.runs)
 }
 
-// Gone reports whether the target takes no new work.
-func (node *Node) Gone() bool {
+// Leaving reports whether the target takes no new work.
+func (node *TargetState) Leaving() bool {
 	return node.Target.Leaving || node.leaving
 }
 
 // busy counts what occupies slots: granted requests and, while a fresh load report
 // shows them, those of others, such as a second leader during a partition.
-func (node *Node) busy(now time.Time) int {
+func (node *TargetState) busy(now time.Time) int {
 	if now.Before(node.foreignTil) {
 		return len(node.runs) + node.foreign
 	}
@@ -79,7 +79,7 @@
 }
 
 // prefillWait is how long the prompts that are already there will keep the target.
-func (node *Node) prefillWait(now time.Time) time.Duration {
+func (node *TargetState) prefillWait(now time.Time) time.Duration {
 	if len(node.prefilling) == 0 {
 		return 0
 	}
@@ -92,51 +92,51 @@
 //
 // Made for engines that batch continuously: their time is shared between one prompt
 // and all answers, so a prompt gets S/(S+n) of it while n of S slots decode.
-func (node *Node) prefillTime(tokens yuccaid.Tokens) time.Duration {
+func (node *TargetState) prefillTime(tokens yuccaid.Tokens) time.Duration {
 	return node.prefillBeside(tokens, float64(node.decoding()))
 }
 
-func (node *Node) prefillBeside(tokens yuccaid.Tokens, answers float64) time.Duration {
+func (node *TargetState) prefillBeside(tokens yuccaid.Tokens, answers float64) time.Duration {
 	return seconds(float64(tokens) / (node.prefill.recent * node.promptPart(answers)))
 }
 
 // decodeTime is how long an answer takes in the company of others, if prompts keep the
 // target as busy as they did lately.
-func (node *Node) decodeTime(tokens, company float64) time.Duration {
+func (node *TargetState) decodeTime(tokens, company float64) time.Duration {
 	return node.decodeBeside(tokens, company, node.meter.promptsTo(meterRanks))
 }
 
 // decodeBeside is decodeTime where prompts take a part of the time.
-func (node *Node) decodeBeside(tokens, company, prompts float64) time.Duration {
+func (node *TargetState) decodeBeside(tokens, company, prompts float64) time.Duration {
 	rate := node.decode.recent * node.answerPart(company, prompts) / node.crowding(company)
 	return seconds(tokens / rate)
 }
 
-func (node *Node) decoding() int {
+func (node *TargetState) decoding() int {
 	return len(node.runs) - len(node.prefilling)
 }
 
-func (node *Node) slots() float64 {
+func (node *TargetState) slots() float64 {
 	return float64(max(node.Target.Slots, 1))
 }
 
 // promptPart is the part of the target's time that a prompt gets beside n answers.
-func (node *Node) promptPart(n float64) float64 {
+func (node *TargetState) promptPart(n float64) float64 {
 	return node.slots() / (node.slots() + n*node.sharing.prompts)
 }
 
 // answerPart is the part that answers get when a prompt is there for a part of the time.
-func (node *Node) answerPart(n, prompts float64) float64 {
+func (node *TargetState) answerPart(n, prompts float64) float64 {
 	return 1 - min(node.sharing.prompts*node.lost(n, prompts), mostLost)
 }
 
 // lost is the part of the time that prompts would take at equal shares.
-func (node *Node) lost(n, prompts float64) float64 {
+func (node *TargetState) lost(n, prompts float64) float64 {
 	return min(prompts, 1) * node.slots() / (node.slots() + n)
 }
 
 // crowding is how many times longer a token takes with n other answers than alone.
-func (node *Node) crowding(n float64) float64 {
+func (node *TargetState) crowding(n float64) float64 {
 	return 1 + node.sharing.crowding*n/node.slots()
 }
 
@@ -144,25 +144,25 @@
 	return time.Duration(sec * float64(time.Second))
 }
 
-func (node *Node) begin(now time.Time, run *Run) {
+func (node *TargetState) begin(now time.Time, run *Run) {
 	node.meter.advance(now, node)
 	run.atBegin = node.meter.reading
 	run.node = node
-	run.Began = now
+	run.StartedAt = now
 	node.runs = append(node.runs, run)
 	if len(node.prefilling) == 0 {
 		node.headSince = now
 	}
 	node.prefilling = append(node.prefilling, run)
 	node.backlog += run.uncached()
-	if run.Long {
+	if run.LongPrompt {
 		node.longs++
 	}
 	node.peak.note(now, len(node.runs))
 }
 
 // prefilled takes a run out of the prompts that wait or are worked on.
-func (node *Node) prefilled(now time.Time, run *Run) {
+func (node *TargetState) prefilled(now time.Time, run *Run) {
 	at := slices.Index(node.prefilling, run)
 	if at < 0 {
 		return
@@ -174,12 +174,12 @@
 	if at == 0 {
 		node.headSince = now
 	}
-	if run.Long {
+	if run.LongPrompt {
 		node.longs--
 	}
 }
 
-func (node *Node) end(now time.Time, run *Run) {
+func (node *TargetState) end(now time.Time, run *Run) {
 	node.prefilled(now, run)
 	at := slices.Index(node.runs, run)
 	if at < 0 {
@@ -196,7 +196,7 @@
 // rate explains; zero while it is within bounds.
 //
 // A stalled target finishes nothing, so nothing that finishes would ever tell of it.
-func (node *Node) overdue(now time.Time, plain bool) float64 {
+func (node *TargetState) overdue(now time.Time, plain bool) float64 {
 	if len(node.prefilling) == 0 {
 		return 0
 	}
@@ -213,7 +213,7 @@
 
 // startProbing leaves the target to probes. The pause between them grows when one has
 // failed, not when a run that began before the first ends late.
-func (node *Node) startProbing(now time.Time) {
+func (node *TargetState) startProbing(now time.Time) {
 	if node.probing && now.Before(node.probeAt) {
 		return
 	}
@@ -225,7 +225,7 @@
 	node.probeAt = now.Add(node.probePause)
 }
 
-func (node *Node) waste(now time.Time, run *Run) yuccaid.Tokens {
+func (node *TargetState) waste(now time.Time, run *Run) yuccaid.Tokens {
 	if !run.Prefilling() {
 		return run.uncached()
 	}
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -8,17 +8,17 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Eviction is a set of runs of one target whose cancelling makes room.
+// Preemption is a set of runs of one target whose cancelling makes room.
 //
 // Slack is the time left until no eviction in the set of targets would help any more.
-type Eviction struct {
-	Choice Choice
-	Runs   []*Run
-	Waste  yuccaid.Tokens
-	Slack  time.Duration
+type Preemption struct {
+	Choice        Choice
+	Runs          []*Run
+	WastedPrefill yuccaid.Tokens
+	Slack         time.Duration
 }
 
-// Evict returns the runs of lower tiers to cancel so that the request meets its
+// PlanPreemption returns the runs of lower tiers to cancel so that the request meets its
 // deadline, with the least prefill thrown away, or false when no cancelling helps.
 //
 // It is for a request that would be refused otherwise. The deadline has to hold for a
@@ -26,10 +26,10 @@
 // overload it takes the whole fleet's time. On each target the lowest tier
 // goes first and within it the run that has the least prefill behind it; no more runs
 // are taken than needed.
-func (fleet *Fleet) Evict(now time.Time, reach *Reach, shape *Shape) (Eviction, bool) {
+func (fleet *Placer) PlanPreemption(now time.Time, reach *TargetSet, shape *Request) (Preemption, bool) {
 	fleet.stamp++
 	deepest := min(fleet.prefixes.mark(fleet.stamp, shape.Prefixes), shape.Prompt)
-	var best Eviction
+	var best Preemption
 	found := false
 	slack := time.Duration(0)
 	for _, node := range reach.nodes {
@@ -41,7 +41,7 @@
 			continue
 		}
 		slack = max(slack, one.Slack)
-		if !found || one.Waste < best.Waste {
+		if !found || one.WastedPrefill < best.WastedPrefill {
 			best, found = one, true
 		}
 	}
@@ -49,10 +49,10 @@
 	return best, found
 }
 
-func (fleet *Fleet) evictOn(now time.Time, node *Node, shape *Shape, deepest yuccaid.Tokens) (Eviction, bool) {
+func (fleet *Placer) evictOn(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens) (Preemption, bool) {
 	victims := node.below(now, shape.Rank)
 	if len(victims) == 0 {
-		return Eviction{}, false
+		return Preemption{}, false
 	}
 	without := func(runs []*Run) (Choice, bool) {
 		choice := fleet.estimate(now, node, shape, deepest, node.without(now, runs))
@@ -66,7 +66,7 @@
 		choice, ok = without(victims[:enough])
 	}
 	if !ok {
-		return Eviction{}, false
+		return Preemption{}, false
 	}
 	victims = victims[:enough]
 	// One that was taken first because it wastes little may free nothing that the
@@ -77,15 +77,15 @@
 			victims, choice = fewer, other
 		}
 	}
-	one := Eviction{Choice: choice, Runs: victims, Slack: shape.Deadline.Sub(now.Add(choice.needs(shape)))}
+	one := Preemption{Choice: choice, Runs: victims, Slack: shape.Deadline.Sub(now.Add(choice.needs(shape)))}
 	for _, run := range victims {
-		one.Waste += node.waste(now, run)
+		one.WastedPrefill += node.waste(now, run)
 	}
 	return one, true
 }
 
 // without is the company on the target once the runs are cancelled.
-func (node *Node) without(now time.Time, runs []*Run) company {
+func (node *TargetState) without(now time.Time, runs []*Run) company {
 	with := node.company(now)
 	for _, run := range runs {
 		with.running--
@@ -99,7 +99,7 @@
 }
 
 // below returns the runs that a request of the rank may have cancelled.
-func (node *Node) below(now time.Time, rank int) []*Run {
+func (node *TargetState) below(now time.Time, rank int) []*Run {
 	var list []*Run
 	for _, run := range node.runs {
 		if run.Cancellable && run.Rank > rank {
@@ -113,7 +113,7 @@
 }
 
 // left is the prefill time that cancelling a run saves.
-func (node *Node) left(now time.Time, run *Run) time.Duration {
+func (node *TargetState) left(now time.Time, run *Run) time.Duration {
 	if !run.Prefilling() {
 		return 0
 	}
--- a/core/yuccaplace/prefix.go
+++ b/core/yuccaplace/prefix.go
@@ -13,14 +13,14 @@
 // The index runs from block to targets, so that a request asks once for its prompt
 // and not once for each target.
 type prefixes struct {
-	holders map[uint64][]*Node
+	holders map[uint64][]*TargetState
 }
 
-func (pre *prefixes) add(hash uint64, node *Node) {
+func (pre *prefixes) add(hash uint64, node *TargetState) {
 	pre.holders[hash] = append(pre.holders[hash], node)
 }
 
-func (pre *prefixes) drop(hash uint64, node *Node) {
+func (pre *prefixes) drop(hash uint64, node *TargetState) {
 	list := pre.holders[hash]
 	at := slices.Index(list, node)
 	if at < 0 {
@@ -39,7 +39,7 @@
 // sent records that a prompt went to a target. The deepest block is touched first:
 // then the last block of a chain is evicted before the ones it builds on, as in the
 // engines, and holding a block implies holding those before it.
-func (pre *prefixes) sent(node *Node, hashes []uint64) {
+func (pre *prefixes) sent(node *TargetState, hashes []uint64) {
 	hashes = hashes[:min(len(hashes), maxPrefixes, node.cache.limit)]
 	stored := 0
 	for _, hash := range slices.Backward(hashes) {
@@ -51,7 +51,7 @@
 }
 
 // touch records the use of a block and reports whether it is new there.
-func (pre *prefixes) touch(node *Node, hash uint64) bool {
+func (pre *prefixes) touch(node *TargetState, hash uint64) bool {
 	evicted, gone, fresh := node.cache.touch(hash)
 	if gone {
 		pre.drop(evicted, node)
@@ -64,7 +64,7 @@
 
 // stored adds blocks that a target says it has. Those already recorded keep their
 // place: the events come late and say nothing about the order of use.
-func (pre *prefixes) stored(node *Node, hashes []uint64) {
+func (pre *prefixes) stored(node *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
 		if _, found := node.cache.places[hash]; !found && node.cache.limit > 0 {
 			pre.touch(node, hash)
@@ -72,7 +72,7 @@
 	}
 }
 
-func (pre *prefixes) evicted(node *Node, hashes []uint64) {
+func (pre *prefixes) evicted(node *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
 		if node.cache.drop(hash) {
 			pre.drop(hash, node)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (pre *prefixes) clear(node *Node) {
+func (pre *prefixes) clear(node *TargetState) {
 	for hash := range node.cache.places {
 		pre.drop(hash, node)
 	}
--- a/core/yuccaplace/run.go
+++ b/core/yuccaplace/run.go
@@ -8,21 +8,21 @@
 
 // Run is one granted request on its target. High is how long its answer may well get.
 type Run struct {
-	ID          yuccaid.RequestID
-	Operation   yuccaid.Operation
-	Rank        int
-	Cancellable bool
-	Long        bool
-	Prompt      yuccaid.Tokens
-	Cached      yuccaid.Tokens
-	Answer      yuccaid.Tokens
-	Answered    yuccaid.Tokens
-	High        yuccaid.Tokens
-	Deadline    time.Time
-	Began       time.Time
-	First       time.Time
-
-	node    *Node
+	ID           yuccaid.RequestID
+	Operation    yuccaid.Operation
+	Rank         int
+	Cancellable  bool
+	LongPrompt   bool
+	Prompt       yuccaid.Tokens
+	Cached       yuccaid.Tokens
+	Answer       yuccaid.Tokens
+	Answered     yuccaid.Tokens
+	AnswerP90    yuccaid.Tokens
+	Deadline     time.Time
+	StartedAt    time.Time
+	FirstTokenAt time.Time
+
+	node    *TargetState
 	atBegin reading
 	atFirst reading
 }
@@ -34,7 +34,7 @@
 
 // Prefilling reports whether the target still works on the prompt or hasn't begun.
 func (run *Run) Prefilling() bool {
-	return run.First.IsZero()
+	return run.FirstTokenAt.IsZero()
 }
 
 func (run *Run) uncached() yuccaid.Tokens {
@@ -47,11 +47,11 @@
 	if !run.Prefilling() {
 		done = max(done, float64(run.Answer)*min(run.pace(now), 1))
 	}
-	return max(float64(run.High)-done, 1)
+	return max(float64(run.AnswerP90)-done, 1)
 }
 
 // pace is the part of the expected decoding time that has passed.
 func (run *Run) pace(now time.Time) float64 {
 	expected := run.node.decodeTime(float64(run.Answer), float64(len(run.node.runs)-1))
-	return float64(now.Sub(run.First)) / float64(max(expected, time.Millisecond))
+	return float64(now.Sub(run.FirstTokenAt)) / float64(max(expected, time.Millisecond))
 }
--- a/core/yuccaplace/sharing.go
+++ b/core/yuccaplace/sharing.go
@@ -14,10 +14,10 @@
 	fixed    bool
 }
 
-// WithSharing fixes how much requests on one target slow each other, for engines where
+// WithInterference fixes how much requests on one target slow each other, for engines where
 // that is known; zeros are for ones that give each slot its own share.
-func WithSharing(crowding, prompts float64) Option {
-	return func(fleet *Fleet) { *fleet.sharing = sharing{crowding: crowding, prompts: prompts, fixed: true} }
+func WithInterference(crowding, prompts float64) Option {
+	return func(fleet *Placer) { *fleet.sharing = sharing{crowding: crowding, prompts: prompts, fixed: true} }
 }
 
 // learn moves the model along the error of one answer: how many times longer than
--- a/core/yuccaplace/status.go
+++ b/core/yuccaplace/status.go
@@ -18,7 +18,7 @@
 )
 
 // Health returns the target's standing.
-func (node *Node) Health() Health {
+func (node *TargetState) Health() Health {
 	if node.probing {
 		return Probing
 	}
@@ -26,16 +26,16 @@
 }
 
 // Backlog returns how long the prompts already there will keep the target.
-func (node *Node) Backlog(now time.Time) time.Duration {
+func (node *TargetState) Backlog(now time.Time) time.Duration {
 	return node.prefillWait(now)
 }
 
-// Prefill returns the learned prefill rate.
-func (node *Node) Prefill() yuccaid.TokenRate {
+// PrefillRate returns the learned prefill rate.
+func (node *TargetState) PrefillRate() yuccaid.TokenRate {
 	return yuccaid.TokenRate(node.prefill.recent)
 }
 
-// Decode returns the learned decode rate.
-func (node *Node) Decode() yuccaid.TokenRate {
+// DecodeRate returns the learned decode rate.
+func (node *TargetState) DecodeRate() yuccaid.TokenRate {
 	return yuccaid.TokenRate(node.decode.recent)
 }
--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -19,7 +19,7 @@
 	var dec Decisions
 	lead.view = view
 	lead.fleet.Configure(view.Policy, view.PlainService, view.Targets)
-	lead.reaches = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.reaches = []*yuccaplace.TargetSet{lead.fleet.NewTargetSet(nil)}
 	lead.configureAccounts(now, view)
 	lead.reclass(now, &dec)
 	lead.serve(now, &dec)
@@ -56,7 +56,7 @@
 	if !found {
 		at = len(lead.reaches)
 		numbers[key] = at
-		lead.reaches = append(lead.reaches, lead.fleet.NewReach(targets))
+		lead.reaches = append(lead.reaches, lead.fleet.NewTargetSet(targets))
 	}
 	return at
 }
@@ -67,7 +67,7 @@
 	lead.queue.ForEach(func(item *yuccaqueue.Item) { items = append(items, item) })
 	for _, item := range items {
 		acc := lead.account(item.Request.Account)
-		if !lead.gathering(now) && !lead.reaches[acc.reach].Any() {
+		if !lead.gathering(now) && !lead.reaches[acc.reach].AnyAccepting() {
 			lead.queue.Remove(item)
 			lead.refuse(dec, &item.Request, yuccaqueue.ReasonNoTarget, 0)
 			continue
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -24,7 +24,7 @@
 	}
 	shape := lead.shape(&ask, now.Add(ask.Remaining))
 	terms := lead.terms(now, acc, &shape)
-	lead.fleet.Demand(now, &shape, terms.Long, terms.Work)
+	lead.fleet.RecordArrival(now, &shape, terms.Long, terms.Work)
 	lead.push(now, ask, terms, &dec)
 	lead.serve(now, &dec)
 	return dec
@@ -49,7 +49,7 @@
 		return true
 	}
 	reach := lead.reaches[acc.reach]
-	if !reach.Any() {
+	if !reach.AnyAccepting() {
 		lead.refuse(dec, ask, yuccaqueue.ReasonNoTarget, 0)
 		return false
 	}
@@ -58,7 +58,7 @@
 		return false
 	}
 	shape := lead.shape(ask, now.Add(ask.Remaining))
-	if lead.fleet.Quickest(reach, &shape) > ask.Remaining || ask.Remaining <= 0 {
+	if lead.fleet.FastestTime(reach, &shape) > ask.Remaining || ask.Remaining <= 0 {
 		lead.refuse(dec, ask, yuccaqueue.ReasonDeadline, 0)
 		return false
 	}
@@ -66,30 +66,30 @@
 	return true
 }
 
-func (lead *Leader) shape(ask *Ask, deadline time.Time) yuccaplace.Shape {
-	shape := yuccaplace.Shape{
+func (lead *Leader) shape(ask *Ask, deadline time.Time) yuccaplace.Request {
+	shape := yuccaplace.Request{
 		Prompt:   ask.Prompt,
 		Answer:   ask.Answer,
 		Prefixes: ask.Prefixes,
 		Rank:     ask.Rank,
 		Deadline: deadline,
 	}
-	lead.fleet.Expect(ask.Operation, &shape)
+	lead.fleet.FillAnswerP90(ask.Operation, &shape)
 	return shape
 }
 
 // terms works out how a request waits: its deadline orders it, and it is due for a
 // look when the slowest target could no longer take it, the first moment at which
 // room may have to be made.
-func (lead *Leader) terms(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
+func (lead *Leader) terms(_ time.Time, acc *account, shape *yuccaplace.Request) yuccaqueue.Params {
 	reach := lead.reaches[acc.reach]
-	work, long := lead.fleet.Work(reach, shape)
+	work, long := lead.fleet.EstimateWork(reach, shape)
 	return yuccaqueue.Params{
 		TargetSet:   yuccaqueue.TargetSet(acc.reach),
 		Long:        long,
 		Key:         shape.Deadline,
-		LatestStart: shape.Deadline.Add(-lead.fleet.Quickest(reach, shape)),
-		CheckAt:     shape.Deadline.Add(-lead.fleet.Slowest(reach, shape) - evictLead),
+		LatestStart: shape.Deadline.Add(-lead.fleet.FastestTime(reach, shape)),
+		CheckAt:     shape.Deadline.Add(-lead.fleet.SlowestTime(reach, shape) - evictLead),
 		Work:        work,
 	}
 }
@@ -147,13 +147,13 @@
 
 func (lead *Leader) try(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.ServeResult {
 	shape := lead.shape(&item.Request, item.Deadline)
-	shape.Long = item.Params.Long
+	shape.LongPrompt = item.Params.Long
 	reach := lead.reaches[item.Params.TargetSet]
 	choice, verdict := lead.fleet.Choose(now, reach, &shape)
 	switch verdict {
-	case yuccaplace.NoRoom:
+	case yuccaplace.NoFreeSlot:
 		return yuccaqueue.NoFreeSlot
-	case yuccaplace.Unsuited, yuccaplace.Better:
+	case yuccaplace.Unsuitable, yuccaplace.WaitForBetter:
 		return yuccaqueue.Unsuitable
 	default:
 		lead.grant(lead.start(now, item.Request, choice, item.Deadline), dec)
@@ -219,7 +219,7 @@
 		return false
 	}
 	shape := lead.shape(&item.Request, item.Deadline)
-	shape.Urgent = true
+	shape.LastAttempt = true
 	choice, verdict := lead.fleet.Choose(now, lead.reaches[item.Params.TargetSet], &shape)
 	if verdict != yuccaplace.Found {
 		return false
@@ -236,7 +236,7 @@
 	return found && lead.carryOut(now, ask, deadline, eviction, dec)
 }
 
-func (lead *Leader) carryOut(now time.Time, ask *Ask, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
+func (lead *Leader) carryOut(now time.Time, ask *Ask, deadline time.Time, eviction yuccaplace.Preemption, dec *Decisions) bool {
 	for _, victim := range eviction.Runs {
 		lead.cancel(now, lead.runs[victim.ID], dec)
 	}
@@ -244,20 +244,20 @@
 	return true
 }
 
-func (lead *Leader) eviction(now time.Time, ask *Ask, deadline time.Time) (yuccaplace.Eviction, bool) {
+func (lead *Leader) eviction(now time.Time, ask *Ask, deadline time.Time) (yuccaplace.Preemption, bool) {
 	acc := lead.account(ask.Account)
 	if !lead.preempts || acc.full() {
-		return yuccaplace.Eviction{}, false
+		return yuccaplace.Preemption{}, false
 	}
 	shape := lead.shape(ask, deadline)
-	eviction, found := lead.fleet.Evict(now, lead.reaches[acc.reach], &shape)
+	eviction, found := lead.fleet.PlanPreemption(now, lead.reaches[acc.reach], &shape)
 	if found {
 		return eviction, true
 	}
 	// There is no room left for a long answer, but an ordinary one would be in time. A
 	// run of a lower tier is worth less than even that chance.
-	shape.Urgent = true
-	return lead.fleet.Evict(now, lead.reaches[acc.reach], &shape)
+	shape.LastAttempt = true
+	return lead.fleet.PlanPreemption(now, lead.reaches[acc.reach], &shape)
 }
 
 // cancel takes a run's place away. A grant that this very decision made hasn't left
@@ -306,7 +306,7 @@
 func (lead *Leader) back(now time.Time, ask *Ask) time.Duration {
 	reach := lead.reach(ask.Account)
 	ahead := lead.queue.WorkAhead(now, ask.Rank, now.Add(ask.Remaining))
-	drain := max(ahead/time.Duration(max(reach.Usable(), 1)), shortestBack)
+	drain := max(ahead/time.Duration(max(reach.UsableCount(), 1)), shortestBack)
 	return drain + time.Duration(lead.rng.Float64()*backSpread*float64(drain))
 }
 
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -41,9 +41,9 @@
 	view     PoolConfig
 	until    time.Time
 	preempts bool
-	fleet    *yuccaplace.Fleet
+	fleet    *yuccaplace.Placer
 	queue    *yuccaqueue.Queue
-	reaches  []*yuccaplace.Reach
+	reaches  []*yuccaplace.TargetSet
 	accounts map[yuccaid.Account]*account
 	runs     map[yuccaid.RequestID]*run
 	swept    time.Time
@@ -68,7 +68,7 @@
 	for _, option := range options {
 		option(lead)
 	}
-	lead.reaches = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.reaches = []*yuccaplace.TargetSet{lead.fleet.NewTargetSet(nil)}
 	return lead
 }
 
@@ -87,17 +87,17 @@
 
 // AddRunning counts a run that an owner reports while the leader gathers.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
-	node, found := lead.fleet.Node(running.Target)
+	node, found := lead.fleet.TargetState(running.Target)
 	if _, known := lead.runs[running.Request.ID]; known || !found {
 		return
 	}
 	if item, waits := lead.queue.Get(running.Request.ID); waits {
 		lead.queue.Remove(item)
 	}
-	one := lead.start(now, running.Request, yuccaplace.Choice{Node: node}, now.Add(running.Request.Remaining))
+	one := lead.start(now, running.Request, yuccaplace.Choice{TargetState: node}, now.Add(running.Request.Remaining))
 	one.used = true
 	if running.Answered > 0 {
-		lead.fleet.First(now, &one.Run)
+		lead.fleet.FinishPrefill(now, &one.Run)
 		one.Answered = running.Answered
 	}
 }
@@ -112,7 +112,7 @@
 	one.used = true
 	one.Answered = max(one.Answered, progress.Answered)
 	if (progress.FirstToken || progress.Answered > 0) && one.Prefilling() {
-		lead.fleet.First(now, &one.Run)
+		lead.fleet.FinishPrefill(now, &one.Run)
 		lead.wakeNode(one.Target())
 		lead.serve(now, &dec)
 	}
@@ -123,11 +123,11 @@
 func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
-		lead.fleet.Leave(now, done.Target, true, 0)
+		lead.fleet.SetLeaving(now, done.Target, true, 0)
 		lead.refresh()
 	}
 	if done.Failed || done.Refused {
-		lead.fleet.Failed(now, done.Target)
+		lead.fleet.RecordFailure(now, done.Target)
 	}
 	one, found := lead.runs[done.ID]
 	if !found {
@@ -135,9 +135,9 @@
 	}
 	lead.end(now, one)
 	if done.Ran {
-		lead.fleet.Learn(now, &one.Run, yuccaplace.Observed{
+		lead.fleet.LearnFromRun(now, &one.Run, yuccaplace.RunMeasurement{
 			Prompt: done.Prompt, Cached: done.Cached, Answer: done.Answer,
-			Prefill: done.Prefill, Decode: done.Decode, Whole: !done.Partial,
+			Prefill: done.Prefill, Decode: done.Decode, Complete: !done.Partial,
 		})
 	} else {
 		lead.account(one.ask.Account).giveBack(&one.ask)
@@ -173,9 +173,9 @@
 // ApplyReport takes a target's own word on its load.
 func (lead *Leader) ApplyReport(now time.Time, report LoadReport) Decisions {
 	var dec Decisions
-	lead.fleet.Leave(now, report.Target, report.Leaving, report.Age)
+	lead.fleet.SetLeaving(now, report.Target, report.Leaving, report.Age)
 	lead.release(now, &report)
-	lead.fleet.Report(now, report.Target, yuccaplace.Load{
+	lead.fleet.ApplyLoadReport(now, report.Target, yuccaplace.LoadReport{
 		Age: report.Age, Waiting: report.Waiting, Running: report.Running,
 	})
 	lead.wakeNode(report.Target)
@@ -190,7 +190,7 @@
 	var lost []*run
 	counted := 0
 	for _, one := range lead.runs {
-		if one.Target() != report.Target || one.Began.After(made) {
+		if one.Target() != report.Target || one.StartedAt.After(made) {
 			continue
 		}
 		counted++
@@ -206,7 +206,7 @@
 
 // ApplyCacheEvent takes a target's word on its prefix cache.
 func (lead *Leader) ApplyCacheEvent(_ time.Time, event CacheEvent) {
-	lead.fleet.CacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
+	lead.fleet.ApplyCacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
 }
 
 // Tick decides what the passing of time has changed. Call it at least every 100
@@ -242,7 +242,7 @@
 		longest = defaultLongest
 	}
 	for _, one := range lead.runs {
-		if now.Sub(one.Began) > longest+grantLife {
+		if now.Sub(one.StartedAt) > longest+grantLife {
 			lead.end(now, one)
 		}
 	}
@@ -260,10 +260,10 @@
 		Answer:      ask.Answer,
 	}
 	shape := lead.shape(&ask, deadline)
-	one.High, one.Deadline = shape.High, deadline
-	_, one.Long = lead.fleet.Work(lead.reach(ask.Account), &shape)
+	one.AnswerP90, one.Deadline = shape.AnswerP90, deadline
+	_, one.LongPrompt = lead.fleet.EstimateWork(lead.reach(ask.Account), &shape)
 	lead.runs[ask.ID] = one
-	lead.fleet.Begin(now, choice.Node, &one.Run, ask.Prefixes)
+	lead.fleet.StartRun(now, choice.TargetState, &one.Run, ask.Prefixes)
 	acc := lead.account(ask.Account)
 	acc.running++
 	lead.queue.SetBlocked(ask.Account, acc.full())
@@ -272,7 +272,7 @@
 
 func (lead *Leader) end(now time.Time, one *run) {
 	delete(lead.runs, one.ask.ID)
-	lead.fleet.End(now, &one.Run)
+	lead.fleet.ReleaseRun(now, &one.Run)
 	acc := lead.account(one.ask.Account)
 	acc.running--
 	lead.queue.SetBlocked(one.ask.Account, acc.full())
@@ -280,7 +280,7 @@
 }
 
 func (lead *Leader) wakeNode(name yuccaid.Target) {
-	node, found := lead.fleet.Node(name)
+	node, found := lead.fleet.TargetState(name)
 	if !found {
 		return
 	}
@@ -293,7 +293,7 @@
 	}
 }
 
-func (lead *Leader) reach(name yuccaid.Account) *yuccaplace.Reach {
+func (lead *Leader) reach(name yuccaid.Account) *yuccaplace.TargetSet {
 	return lead.reaches[lead.account(name).reach]
 }
 
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -44,11 +44,11 @@
 			Tier: tr.Tier, Rank: tr.Rank, Waiting: tr.Requests, Queued: tr.Tokens, Running: lead.runningAt(tr.Rank),
 		})
 	}
-	for _, node := range lead.fleet.Nodes() {
+	for _, node := range lead.fleet.TargetStates() {
 		status.Targets = append(status.Targets, TargetStatus{
 			Target: node.Target.Name, Running: node.Running(), Slots: node.Target.Slots,
-			Backlog: node.Backlog(now), Prefill: node.Prefill(), Decode: node.Decode(),
-			Health: string(node.Health()), Leaving: node.Gone(),
+			Backlog: node.Backlog(now), Prefill: node.PrefillRate(), Decode: node.DecodeRate(),
+			Health: string(node.Health()), Leaving: node.Leaving(),
 		})
 	}
 	return status
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -107,7 +107,7 @@
 }
 
 // ownShares tells the leader that the engines here give each slot its own share.
-var ownShares = yuccapool.WithFleet(yuccaplace.WithSharing(0, 0))
+var ownShares = yuccapool.WithFleet(yuccaplace.WithInterference(0, 0))
 
 func newWorld(view yuccapool.PoolConfig, options ...yuccapool.Option) *world {
 	w := &world{
