--- a/core/yuccaonce/answers.go
+++ b/core/yuccaonce/answers.go
@@ -69,8 +69,8 @@
 	return true
 }
 
-// All calls each with every kept answer, oldest first.
-func (buf *AnswerBuffer[A]) All(each func(answer A)) {
+// ForEach calls each with every kept answer, oldest first.
+func (buf *AnswerBuffer[A]) ForEach(each func(answer A)) {
 	for _, one := range buf.order {
 		each(one.answer)
 	}
--- a/core/yuccaonce/cost_test.go
+++ b/core/yuccaonce/cost_test.go
@@ -94,11 +94,11 @@
 func ExampleOwner() {
 	own := yuccaonce.New(here, yuccaid.Key("the fleet's key"))
 	id, _ := own.Open(start, "hotline")
-	claim := yuccaonce.Claim{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
+	claim := yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
 	step, _ := own.Submit(start, id, claim)
 	again, _ := own.Submit(start, id, claim)
-	own.GiveUp(start, id, yuccaonce.ReasonOverload, 2*time.Second)
-	fmt.Println(step.Kind, again.Kind)
+	own.CloseNotRun(start, id, yuccaonce.ReasonOverload, 2*time.Second)
+	fmt.Println(step.Action, again.Action)
 	fmt.Println(own.Dispatch(start, id, "t1") != nil)
 	// Output:
 	// admit join
--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -7,11 +7,11 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// ForeignError says that another incarnation owns the request.
-type ForeignError struct{ Owner yuccaid.Incarnation }
+// WrongOwnerError says that another incarnation owns the request.
+type WrongOwnerError struct{ Owner yuccaid.Incarnation }
 
 // Error names the owner to forward to.
-func (err *ForeignError) Error() string {
+func (err *WrongOwnerError) Error() string {
 	return fmt.Sprintf("request is owned by %s: forward it there, and report it as unknown if that daemon is gone", err.Owner)
 }
 
@@ -34,12 +34,12 @@
 	return fmt.Sprintf("request %s is older than %s and can't run any more: open a new request", err.ID, err.Lifetime)
 }
 
-// NotYoursError says that the account has no such request; it is the same whether
+// UnknownIDError says that the account has no such request; it is the same whether
 // or not another account has.
-type NotYoursError struct{ ID yuccaid.RequestID }
+type UnknownIDError struct{ ID yuccaid.RequestID }
 
 // Error tells to use an id of one's own.
-func (err *NotYoursError) Error() string {
+func (err *UnknownIDError) Error() string {
 	return fmt.Sprintf("request %s is not one of this account: use an id that open returned to it", err.ID)
 }
 
@@ -78,14 +78,14 @@
 
 // LimitError says that the owner holds as many ids as it may.
 type LimitError struct {
-	Account yuccaid.Account
-	Limit   string
-	Value   int
-	Back    time.Duration
+	Account    yuccaid.Account
+	Limit      string
+	Value      int
+	RetryAfter time.Duration
 }
 
 // Error names the limit and the time to come back.
 func (err *LimitError) Error() string {
 	return fmt.Sprintf("account %s can't open a request, %s of %d is reached: come back after %s or use another daemon",
-		err.Account, err.Limit, err.Value, err.Back)
+		err.Account, err.Limit, err.Value, err.RetryAfter)
 }
--- a/core/yuccaonce/expiry.go
+++ b/core/yuccaonce/expiry.go
@@ -68,7 +68,7 @@
 	if rec := own.held.find(oldest); rec != nil {
 		back = own.expiry(rec.issued).Sub(reading)
 	}
-	return &LimitError{Account: acc, Limit: limit, Value: value, Back: back}
+	return &LimitError{Account: acc, Limit: limit, Value: value, RetryAfter: back}
 }
 
 // expiry compares milliseconds as the id carries them: record and id expire at once.
--- a/core/yuccaonce/find.go
+++ b/core/yuccaonce/find.go
@@ -39,7 +39,7 @@
 		return yuccaid.RequestIDFields{}, err
 	}
 	if req.Owner != own.inc {
-		return yuccaid.RequestIDFields{}, &ForeignError{Owner: req.Owner}
+		return yuccaid.RequestIDFields{}, &WrongOwnerError{Owner: req.Owner}
 	}
 	return req, nil
 }
@@ -57,5 +57,5 @@
 	if own.expired(own.clock.reading, req.Issued.UnixMilli()) {
 		return &ExpiredError{ID: text, Lifetime: own.lifetime}
 	}
-	return &NotYoursError{ID: text}
+	return &UnknownIDError{ID: text}
 }
--- a/core/yuccaonce/outcome.go
+++ b/core/yuccaonce/outcome.go
@@ -50,12 +50,12 @@
 // Outcome is what a caller is told about a request; Back is the time after which
 // coming back makes sense.
 type Outcome struct {
-	Run     Run           `json:"run" msgpack:"run"`
-	Reason  Reason        `json:"reason,omitempty" msgpack:"reason,omitempty"`
-	Back    time.Duration `json:"back,omitempty" msgpack:"back,omitempty"`
-	Pieces  int           `json:"pieces,omitempty" msgpack:"pieces,omitempty"`
-	Hash    string        `json:"hash,omitempty" msgpack:"hash,omitempty"`
-	Partial bool          `json:"partial,omitempty" msgpack:"partial,omitempty"`
+	Run        Run           `json:"run" msgpack:"run"`
+	Reason     Reason        `json:"reason,omitempty" msgpack:"reason,omitempty"`
+	RetryAfter time.Duration `json:"back,omitempty" msgpack:"back,omitempty"`
+	Pieces     int           `json:"pieces,omitempty" msgpack:"pieces,omitempty"`
+	Hash       string        `json:"hash,omitempty" msgpack:"hash,omitempty"`
+	Partial    bool          `json:"partial,omitempty" msgpack:"partial,omitempty"`
 }
 
 // Result is what the dispatching connection learned of a run's end.
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -50,43 +50,43 @@
 	return yuccaid.RequestIDFields{Owner: own.inc, Counter: counter, Issued: reading}.Sign(own.key), nil
 }
 
-// StepKind says what the daemon has to do with a submit.
-type StepKind string
+// SubmitAction says what the daemon has to do with a submit.
+type SubmitAction string
 
 // The kinds of steps.
 const (
-	StepAdmit  StepKind = "admit"
-	StepJoin   StepKind = "join"
-	StepClosed StepKind = "closed"
+	SubmitAdmit  SubmitAction = "admit"
+	SubmitJoin   SubmitAction = "join"
+	SubmitClosed SubmitAction = "closed"
 )
 
-// Step is the answer to a submit: admit it, join it to the running one, or pass on
+// SubmitResult is the answer to a submit: admit it, join it to the running one, or pass on
 // the outcome.
-type Step struct {
-	Kind    StepKind
+type SubmitResult struct {
+	Action  SubmitAction
 	Outcome Outcome
 }
 
 // Submit admits the first submit under an id and joins each later one to it.
-func (own *Owner) Submit(now time.Time, text yuccaid.RequestID, claim Claim) (Step, error) {
+func (own *Owner) Submit(now time.Time, text yuccaid.RequestID, claim Submission) (SubmitResult, error) {
 	rec, err := own.findFor(now, text, claim.Account)
 	if err != nil {
-		return Step{}, err
+		return SubmitResult{}, err
 	}
 	print := claim.fingerprint()
 	if rec.known && rec.claim != print {
-		return Step{}, &ConflictError{ID: text}
+		return SubmitResult{}, &ConflictError{ID: text}
 	}
 	switch rec.stage {
 	case opened:
 		rec.claim = print
 		rec.known = true
 		own.move(rec, waiting)
-		return Step{Kind: StepAdmit, Outcome: rec.state()}, nil
+		return SubmitResult{Action: SubmitAdmit, Outcome: rec.state()}, nil
 	case closed:
-		return Step{Kind: StepClosed, Outcome: rec.outcome}, nil
+		return SubmitResult{Action: SubmitClosed, Outcome: rec.outcome}, nil
 	default:
-		return Step{Kind: StepJoin, Outcome: rec.state()}, nil
+		return SubmitResult{Action: SubmitJoin, Outcome: rec.state()}, nil
 	}
 }
 
@@ -113,9 +113,9 @@
 	return nil
 }
 
-// GiveUp ends a request that was not dispatched as not run, and reports false if it
+// CloseNotRun ends a request that was not dispatched as not run, and reports false if it
 // is too late for that.
-func (own *Owner) GiveUp(now time.Time, text yuccaid.RequestID, reason Reason, back time.Duration) (Outcome, bool) {
+func (own *Owner) CloseNotRun(now time.Time, text yuccaid.RequestID, reason Reason, back time.Duration) (Outcome, bool) {
 	rec, err := own.find(now, text)
 	if err != nil {
 		return Outcome{Run: Unknown, Reason: ReasonOwnerLost}, false
@@ -123,7 +123,7 @@
 	if rec.stage >= dispatched {
 		return rec.state(), false
 	}
-	own.end(rec, Outcome{Run: NotRun, Reason: reason, Back: back})
+	own.end(rec, Outcome{Run: NotRun, Reason: reason, RetryAfter: back})
 	return rec.outcome, true
 }
 
--- a/core/yuccaonce/owner_test.go
+++ b/core/yuccaonce/owner_test.go
@@ -17,7 +17,7 @@
 	fleetKey = yuccaid.Key("fleet key for tests")
 	here     = yuccaid.NewIncarnation("vm-1", [16]byte{1})
 	start    = time.UnixMilli(1_700_000_000_000)
-	ticket   = yuccaonce.Claim{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
+	ticket   = yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
 )
 
 var _ = Describe("an owner", func() {
@@ -30,36 +30,36 @@
 		id, _ = own.Open(start, ticket.Account)
 	})
 
-	submit := func(now time.Time, claim yuccaonce.Claim) (yuccaonce.StepKind, error) {
+	submit := func(now time.Time, claim yuccaonce.Submission) (yuccaonce.SubmitAction, error) {
 		step, err := own.Submit(now, id, claim)
-		return step.Kind, err
+		return step.Action, err
 	}
 	run := func() {
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepAdmit))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 		Expect(own.Dispatch(start, id, "t1")).To(Succeed())
 	}
 
 	It("admits once, joins while it runs and passes on the outcome", func() {
 		run()
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepJoin))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitJoin))
 		out, err := own.Finish(start, id, yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 2, Hash: "aa"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(out).To(Equal(yuccaonce.Outcome{Run: yuccaonce.Ran, Pieces: 2, Hash: "aa"}))
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepClosed))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitClosed))
 		Expect(own.Outcome(start, id, ticket.Account)).To(Equal(out))
 	})
 
 	DescribeTable("refuses a second submit that differs",
-		func(change func(*yuccaonce.Claim)) {
+		func(change func(*yuccaonce.Submission)) {
 			run()
 			other := ticket
 			change(&other)
 			_, err := submit(start, other)
 			Expect(err).To(BeAssignableToTypeOf(&yuccaonce.ConflictError{}))
 		},
-		Entry("in its body", func(c *yuccaonce.Claim) { c.Body = "0000" }),
-		Entry("in its pool", func(c *yuccaonce.Claim) { c.Pool = "letters" }),
-		Entry("in its operation", func(c *yuccaonce.Claim) { c.Operation = "look" }),
+		Entry("in its body", func(c *yuccaonce.Submission) { c.Body = "0000" }),
+		Entry("in its pool", func(c *yuccaonce.Submission) { c.Pool = "letters" }),
+		Entry("in its operation", func(c *yuccaonce.Submission) { c.Operation = "look" }),
 	)
 
 	// Somebody who holds another account's id tries it in each state. If the answers
@@ -88,28 +88,28 @@
 		out, err := own.Outcome(start, id, ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(out).To(Equal(yuccaonce.Outcome{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonNeverSubmitted}))
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepClosed))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitClosed))
 	})
 
 	// A grant and a displacement cross on their way. Whichever comes second must lose,
 	// or a caller is told that its ticket was not filed although it was.
 	It("decides grant and displacement in one step", func() {
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepAdmit))
-		out, done := own.GiveUp(start, id, yuccaonce.ReasonDisplaced, time.Second)
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
+		out, done := own.CloseNotRun(start, id, yuccaonce.ReasonDisplaced, time.Second)
 		Expect(done).To(BeTrue())
-		Expect(out).To(Equal(yuccaonce.Outcome{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonDisplaced, Back: time.Second}))
+		Expect(out).To(Equal(yuccaonce.Outcome{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonDisplaced, RetryAfter: time.Second}))
 		Expect(own.Dispatch(start, id, "t1")).To(BeAssignableToTypeOf(&yuccaonce.ClosedError{}))
 
 		id, _ = own.Open(start, ticket.Account)
 		run()
-		_, done = own.GiveUp(start, id, yuccaonce.ReasonDisplaced, 0)
+		_, done = own.CloseNotRun(start, id, yuccaonce.ReasonDisplaced, 0)
 		Expect(done).To(BeFalse())
 		Expect(own.Dispatch(start, id, "t2")).To(BeAssignableToTypeOf(&yuccaonce.DispatchedError{}))
 	})
 
 	DescribeTable("claims of a dispatched request only what is proved",
 		func(result yuccaonce.Result, run yuccaonce.Run, partial bool) {
-			Expect(submit(start, ticket)).To(Equal(yuccaonce.StepAdmit))
+			Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 			Expect(own.Dispatch(start, id, "t1")).To(Succeed())
 			out, err := own.Finish(start, id, result)
 			Expect(err).NotTo(HaveOccurred())
@@ -132,7 +132,7 @@
 		Expect(err).To(BeAssignableToTypeOf(&yuccaonce.StageError{}))
 		other := yuccaonce.New(yuccaid.NewIncarnation("vm-1", [16]byte{2}), fleetKey)
 		_, err = other.Submit(start, id, ticket)
-		Expect(err).To(Equal(&yuccaonce.ForeignError{Owner: here}))
+		Expect(err).To(Equal(&yuccaonce.WrongOwnerError{Owner: here}))
 		_, err = own.Submit(start, id+"0", ticket)
 		Expect(err).To(MatchError(yuccaid.ErrForged))
 	})
@@ -146,13 +146,13 @@
 		}
 		next := func(now time.Time, acc yuccaid.Account) {
 			id, _ = own.Open(now, acc)
-			Expect(own.Submit(now, id, yuccaonce.Claim{Account: acc})).NotTo(BeZero())
+			Expect(own.Submit(now, id, yuccaonce.Submission{Account: acc})).NotTo(BeZero())
 		}
 		next(start.Add(time.Second), ticket.Account)
 		_, err := own.Open(start.Add(time.Second), ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(limit(start.Add(time.Second), ticket.Account)).To(Equal(
-			&yuccaonce.LimitError{Account: ticket.Account, Limit: "perAccount", Value: 3, Back: lifetime - time.Second}))
+			&yuccaonce.LimitError{Account: ticket.Account, Limit: "perAccount", Value: 3, RetryAfter: lifetime - time.Second}))
 		next(start.Add(time.Second), "desk")
 		Expect(limit(start.Add(2*time.Second), "desk").Limit).To(Equal("total"))
 		Expect(own.Tick(start.Add(lifetime))).To(Equal(1))
@@ -165,7 +165,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = own.Open(start, ticket.Account)
 		Expect(err).To(HaveField("Limit", "unsubmitted"))
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepAdmit))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 		_, err = own.Open(start, ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
 	})
@@ -179,7 +179,7 @@
 		Expect(own.Counts()).To(Equal(yuccaonce.Counts{Dispatched: 1, Overdue: 1}))
 		_, err := own.Submit(start, late, ticket)
 		Expect(err).To(BeAssignableToTypeOf(&yuccaonce.ExpiredError{}))
-		Expect(submit(start, ticket)).To(Equal(yuccaonce.StepJoin))
+		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitJoin))
 		out, err := own.Finish(start, id, yuccaonce.Result{Run: yuccaonce.Ran})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(own.Outcome(start, id, ticket.Account)).To(Equal(out))
--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// Claim is what a submit says of a request; Tier and Idempotent of the first submit
+// Submission is what a submit says of a request; Tier and Idempotent of the first submit
 // stand, since a second may come by a daemon with another configuration.
-type Claim struct {
+type Submission struct {
 	Account    yuccaid.Account
 	Pool       yuccaid.Pool
 	Operation  yuccaid.Operation
@@ -61,7 +61,7 @@
 }
 
 // fingerprint digests what must be the same in each submit under one id.
-func (claim Claim) fingerprint() fingerprint {
+func (claim Submission) fingerprint() fingerprint {
 	// The names hold no zero byte, so no two claims join to the same text.
 	joined := string(claim.Pool) + "\x00" + string(claim.Operation) + "\x00" + string(claim.Body)
 	sum := sha256.Sum256([]byte(joined))
--- a/core/yuccaonce/world_test.go
+++ b/core/yuccaonce/world_test.go
@@ -129,7 +129,7 @@
 			return err == nil || w.off.ignoresVoid && errors.As(err, &ended)
 		},
 		giveUp: func(id yuccaid.RequestID) bool {
-			_, done := own.GiveUp(now(), id, yuccaonce.ReasonDisplaced, 0)
+			_, done := own.CloseNotRun(now(), id, yuccaonce.ReasonDisplaced, 0)
 			if done {
 				ended(id)
 			}
--- a/io/yuccadaemon/dispatch.go
+++ b/io/yuccadaemon/dispatch.go
@@ -223,14 +223,14 @@
 	case nil:
 		return yuccaonce.Result{Run: yuccaonce.Ran, Pieces: end.Pieces, Hash: end.Hash}
 	case *yuccatarget.UnsentError:
-		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonUnsent, Back: time.Second}
+		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonUnsent, RetryAfter: time.Second}
 	case *yuccatarget.RefusedError:
-		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonRefusedByTarget, Back: failed.Back}
+		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonRefusedByTarget, RetryAfter: failed.Back}
 	case *yuccatarget.LeavingError:
-		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonTargetLeaving, Back: time.Second}
+		return yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonTargetLeaving, RetryAfter: time.Second}
 	}
 	if r.preempted != "" && pieces > 0 {
-		return yuccaonce.Result{Run: yuccaonce.Ran, Reason: r.preempted, Pieces: pieces, Partial: true, Back: r.back}
+		return yuccaonce.Result{Run: yuccaonce.Ran, Reason: r.preempted, Pieces: pieces, Partial: true, RetryAfter: r.back}
 	}
 	switch err.(type) {
 	case *yuccatarget.CancelledError:
@@ -240,7 +240,7 @@
 	}
 	if r.preempted != "" {
 		// Cancelled before the first piece: the target may not even have begun.
-		return yuccaonce.Result{Run: yuccaonce.Unknown, Reason: r.preempted, Back: r.back}
+		return yuccaonce.Result{Run: yuccaonce.Unknown, Reason: r.preempted, RetryAfter: r.back}
 	}
 	return yuccaonce.Result{Run: yuccaonce.Unknown, Reason: yuccaonce.ReasonTargetLost, Pieces: pieces, Partial: pieces > 0}
 }
--- a/io/yuccadaemon/forward.go
+++ b/io/yuccadaemon/forward.go
@@ -224,7 +224,7 @@
 			return err
 		}
 		if end.Problem != "" {
-			tell(&Problem{Kind: Kind(end.Problem), Detail: end.Detail, Run: end.Outcome.Run, Back: end.Outcome.Back})
+			tell(&Problem{Kind: Kind(end.Problem), Detail: end.Detail, Run: end.Outcome.Run, Back: end.Outcome.RetryAfter})
 			return errEnded
 		}
 		answer.end(end.Outcome)
--- a/io/yuccadaemon/kept.go
+++ b/io/yuccadaemon/kept.go
@@ -18,7 +18,7 @@
 // undelivered counts closed answers whose outcome no caller has been told yet.
 func (d *Daemon) undelivered() int {
 	count := 0
-	d.kept.All(func(answer *Answer) {
+	d.kept.ForEach(func(answer *Answer) {
 		if !answer.delivered() {
 			count++
 		}
--- a/io/yuccadaemon/owner.go
+++ b/io/yuccadaemon/owner.go
@@ -28,7 +28,7 @@
 type run struct {
 	id       yuccaid.RequestID
 	request  Request
-	claim    yuccaonce.Claim
+	claim    yuccaonce.Submission
 	ask      yuccaqueue.Request
 	answer   *Answer
 	accepted time.Time
@@ -139,19 +139,19 @@
 }
 
 // admit joins a second submit to the first, or starts the request.
-func (d *Daemon) admit(now time.Time, id yuccaid.RequestID, req Request, claim yuccaonce.Claim, ask yuccaqueue.Request) (*Answer, error) {
+func (d *Daemon) admit(now time.Time, id yuccaid.RequestID, req Request, claim yuccaonce.Submission, ask yuccaqueue.Request) (*Answer, error) {
 	step, err := d.owner.Submit(now, id, claim)
 	if err != nil {
 		return nil, problemOf(err)
 	}
-	if step.Kind == yuccaonce.StepJoin {
+	if step.Action == yuccaonce.SubmitJoin {
 		return d.joined(now, id)
 	}
-	if step.Kind == yuccaonce.StepClosed {
+	if step.Action == yuccaonce.SubmitClosed {
 		return d.closedAnswer(now, id, step.Outcome)
 	}
 	if prob := d.makeRoom(now, req, ask.Rank); prob != nil {
-		d.owner.GiveUp(now, id, yuccaonce.ReasonOverload, fullBack)
+		d.owner.CloseNotRun(now, id, yuccaonce.ReasonOverload, fullBack)
 		return nil, prob
 	}
 	r := &run{id: id, request: req, claim: claim, ask: ask, accepted: now, deadline: now.Add(req.deadline())}
@@ -227,7 +227,7 @@
 
 // giveUp refuses a waiting request; it changes nothing once a byte may have left.
 func (d *Daemon) giveUp(now time.Time, r *run, reason yuccaonce.Reason, back time.Duration) {
-	outcome, closed := d.owner.GiveUp(now, r.id, reason, back)
+	outcome, closed := d.owner.CloseNotRun(now, r.id, reason, back)
 	if !closed {
 		return
 	}
@@ -356,7 +356,7 @@
 
 // problemOf maps the owner's refusals to what callers are told.
 func problemOf(err error) *Problem {
-	var foreign *yuccaonce.ForeignError
+	var foreign *yuccaonce.WrongOwnerError
 	var conflict *yuccaonce.ConflictError
 	var expired *yuccaonce.ExpiredError
 	switch {
--- a/io/yuccadaemon/request.go
+++ b/io/yuccadaemon/request.go
@@ -66,9 +66,9 @@
 }
 
 // claim is what has to agree when the same id is submitted again.
-func (req Request) claim(state *yuccastate.State, acc yuccaid.Account) yuccaonce.Claim {
+func (req Request) claim(state *yuccastate.State, acc yuccaid.Account) yuccaonce.Submission {
 	operation := state.Pools[req.Pool].Operations[req.Operation]
-	return yuccaonce.Claim{
+	return yuccaonce.Submission{
 		Account:    acc,
 		Pool:       req.Pool,
 		Operation:  req.Operation,
@@ -84,7 +84,7 @@
 }
 
 // ask is the metadata that the pool's leader orders by; the prompt stays here.
-func (req Request) ask(state *yuccastate.State, claim yuccaonce.Claim) yuccaqueue.Request {
+func (req Request) ask(state *yuccastate.State, claim yuccaonce.Submission) yuccaqueue.Request {
 	answer := req.AnswerTokens
 	if answer == 0 {
 		answer = defaultAnswer
--- a/io/yuccadaemon/room_test.go
+++ b/io/yuccadaemon/room_test.go
@@ -38,7 +38,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			now = now.Add(time.Millisecond)
 			req := Request{Pool: "draft", Tier: tier, DeadlineMillis: 1000, Prompt: strings.Repeat("x", 100)}
-			claim := yuccaonce.Claim{Account: "hotline", Pool: "draft", Tier: tier, Body: req.digest()}
+			claim := yuccaonce.Submission{Account: "hotline", Pool: "draft", Tier: tier, Body: req.digest()}
 			return d.admit(now, id, req, claim, yuccaqueue.Request{Account: "hotline", Tier: tier, Rank: rank, Pool: "draft"})
 		}
 		var letters []*Answer
--- a/io/yuccadaemon/traffic.go
+++ b/io/yuccadaemon/traffic.go
@@ -87,7 +87,7 @@
 		}
 		_ = conn.Send(yuccawire.KindEnd, yuccawire.End{
 			ID: id, Problem: string(prob.Kind), Detail: prob.Detail,
-			Outcome: yuccaonce.Outcome{Run: prob.Run, Back: prob.Back},
+			Outcome: yuccaonce.Outcome{Run: prob.Run, RetryAfter: prob.Back},
 		})
 		return
 	}
--- a/io/yuccameasure/leader.go
+++ b/io/yuccameasure/leader.go
@@ -271,7 +271,7 @@
 	if err != nil {
 		return eris.Wrap(err, "opening")
 	}
-	claim := yuccaonce.Claim{Account: account, Pool: draftPool, Operation: "generate", Tier: tier, Body: "b0d1", Idempotent: true}
+	claim := yuccaonce.Submission{Account: account, Pool: draftPool, Operation: "generate", Tier: tier, Body: "b0d1", Idempotent: true}
 	if _, err := own.Submit(now, id, claim); err != nil {
 		return eris.Wrap(err, "submitting")
 	}
--- a/io/yuccaweb/line.go
+++ b/io/yuccaweb/line.go
@@ -38,7 +38,7 @@
 	return End{
 		ID: id, End: outcome.Run != yuccaonce.RunWaiting && outcome.Run != yuccaonce.RunRunning,
 		Run: outcome.Run, Reason: outcome.Reason, Partial: outcome.Partial,
-		Pieces: outcome.Pieces, Hash: outcome.Hash, RetryAfterMillis: outcome.Back.Milliseconds(),
+		Pieces: outcome.Pieces, Hash: outcome.Hash, RetryAfterMillis: outcome.RetryAfter.Milliseconds(),
 	}
 }
 
--- a/io/yuccaweb/problem.go
+++ b/io/yuccaweb/problem.go
@@ -111,6 +111,6 @@
 	prob := &yuccadaemon.Problem{Kind: kind, Detail: string(outcome.Reason)}
 	return status, Detail{
 		Kind: kind, Message: prob.Error(), Remedy: prob.Remedy(), Run: outcome.Run, Reason: outcome.Reason,
-		RetryAfterMillis: outcome.Back.Milliseconds(),
+		RetryAfterMillis: outcome.RetryAfter.Milliseconds(),
 	}
 }
