--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -22,14 +22,14 @@
 // Order is one step towards the wished state; Expires is the time it may still be
 // obeyed after it was decided.
 type Order struct {
-	Target  yuccaid.Target
-	Kind    Kind
-	Model   yuccaid.Model
-	Version string
-	Adapter yuccaid.Model
-	Role    string
-	Fence   yuccaid.ConfigNumber
-	Expires time.Duration
+	Target   yuccaid.Target
+	Kind     Kind
+	Model    yuccaid.Model
+	Version  string
+	Adapter  yuccaid.Model
+	Role     string
+	Fence    yuccaid.ConfigNumber
+	ValidFor time.Duration
 }
 
 // fetches reports whether the order makes the target read from the weight store.
@@ -37,8 +37,8 @@
 	return order.Kind == Load || order.Kind == Version || order.Kind == Adapter
 }
 
-// Observed is what a target was seen to have.
-type Observed struct {
+// ObservedState is what a target was seen to have.
+type ObservedState struct {
 	Model    yuccaid.Model
 	Version  string
 	Adapters []yuccaid.Model
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -19,11 +19,11 @@
 // after an order's life.
 type engine struct {
 	checks bool
-	seen   yuccaorder.Observed
+	seen   yuccaorder.ObservedState
 }
 
 func (eng *engine) obey(order yuccaorder.Order, age time.Duration) bool {
-	if age >= order.Expires {
+	if age >= order.ValidFor {
 		return false
 	}
 	if eng.checks && order.Fence < eng.seen.Fence {
@@ -58,7 +58,7 @@
 		var kinds []yuccaorder.Kind
 		for range 100 {
 			now = now.Add(time.Second)
-			order, hold := plan.Next(now, 1, "t", checking, wishFor(1), eng.seen)
+			order, hold := plan.NextOrder(now, 1, "t", checking, wishFor(1), eng.seen)
 			if hold != "" {
 				continue
 			}
@@ -75,14 +75,14 @@
 		func(target yuccastate.Target) {
 			eng := &engine{checks: target.ChecksFence}
 			old := yuccaorder.New(start.Add(-time.Hour))
-			late, hold := old.Next(start, 1, "t", target, wishFor(1), eng.seen)
+			late, hold := old.NextOrder(start, 1, "t", target, wishFor(1), eng.seen)
 			Expect(hold).To(BeEmpty())
 
 			successor := yuccaorder.New(start)
 			now := start
 			for eng.seen.Role == "" {
 				now = now.Add(time.Second)
-				order, hold := successor.Next(now, 2, "t", target, wishFor(2), eng.seen)
+				order, hold := successor.NextOrder(now, 2, "t", target, wishFor(2), eng.seen)
 				if hold == "" {
 					eng.obey(order, 0)
 				}
@@ -101,7 +101,7 @@
 		orders := 0
 		for second := range 100 {
 			now := start.Add(time.Duration(second) * time.Second)
-			if _, hold := plan.Next(now, 1, "t", checking, wishFor(1), yuccaorder.Observed{}); hold == "" {
+			if _, hold := plan.NextOrder(now, 1, "t", checking, wishFor(1), yuccaorder.ObservedState{}); hold == "" {
 				orders++
 			}
 		}
@@ -114,13 +114,13 @@
 		plans := make([]*yuccaorder.Planner, leaders)
 		for i := range plans {
 			plans[i] = yuccaorder.New(start)
-			plans[i].Share(start, 60, leaders)
+			plans[i].SetLoadRate(start, 60, leaders)
 		}
 		for second := range 60 {
 			now := start.Add(time.Duration(second) * time.Second)
 			for i, plan := range plans {
 				name := yuccaid.Target(rune('a'+i)) + yuccaid.Target(rune('a'+second%20))
-				if _, hold := plan.Next(now, 1, name, checking, wishFor(1), yuccaorder.Observed{}); hold == "" {
+				if _, hold := plan.NextOrder(now, 1, name, checking, wishFor(1), yuccaorder.ObservedState{}); hold == "" {
 					loads++
 				}
 			}
@@ -145,7 +145,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap")) * time.Millisecond)
 			number := yuccaid.ConfigNumber(rapid.IntRange(1, 5).Draw(t, "number"))
 			plan := plans[rapid.IntRange(0, 1).Draw(t, "leader")]
-			order, hold := plan.Next(now, number, "t", target, wishFor(number), eng.seen)
+			order, hold := plan.NextOrder(now, number, "t", target, wishFor(number), eng.seen)
 			if hold == "" {
 				late = append(late, order)
 			}
@@ -161,7 +161,7 @@
 		last := yuccaorder.New(now)
 		for range 200 {
 			now = now.Add(time.Second)
-			order, hold := last.Next(now, 6, "t", target, wishFor(6), eng.seen)
+			order, hold := last.NextOrder(now, 6, "t", target, wishFor(6), eng.seen)
 			if hold == "" {
 				eng.obey(order, 0)
 			}
--- a/io/yuccadaemon/metrics.go
+++ b/io/yuccadaemon/metrics.go
@@ -61,7 +61,7 @@
 	met.counter("yuccacleat_configuration_events_total", "kind", string(kind)).Inc()
 }
 
-func (met *metrics) orderHeld(hold yuccaorder.Hold) {
+func (met *metrics) orderHeld(hold yuccaorder.HoldReason) {
 	met.counter("yuccacleat_orders_held_total", "reason", string(hold)).Inc()
 }
 
--- a/io/yuccadaemon/order.go
+++ b/io/yuccadaemon/order.go
@@ -39,8 +39,8 @@
 	if !leads || !known {
 		return
 	}
-	led.planner.Share(now, yuccaorder.DefaultLoads, d.leadersInView(state))
-	order, hold := led.planner.Next(now, state.Number, name, target, state.WishOf(name), yuccaorder.Observed{
+	led.planner.SetLoadRate(now, yuccaorder.DefaultLoadsPerMinute, d.leadersInView(state))
+	order, hold := led.planner.NextOrder(now, state.Number, name, target, state.WishOf(name), yuccaorder.ObservedState{
 		Model: seen.Model, Version: seen.Version, Adapters: seen.Adapters, Role: seen.Role, Fence: seen.Fence,
 	})
 	if hold != "" {
@@ -86,7 +86,7 @@
 	defer stop()
 	_, err := d.targets.Order(ctx, address, yuccatarget.Order{
 		Kind: orderKinds[order.Kind], Model: order.Model, Version: order.Version, Adapter: order.Adapter,
-		Role: order.Role, Fence: order.Fence, Expires: order.Expires,
+		Role: order.Role, Fence: order.Fence, Expires: order.ValidFor,
 	})
 	if err != nil {
 		d.log.problem("order to "+string(order.Target), err)
