--- a/core/yuccapack/check.go
+++ b/core/yuccapack/check.go
@@ -15,10 +15,10 @@
 	ErrLength = errors.New("a length exceeds what follows: send the value again")
 	// ErrTrailing says that bytes follow a value.
 	ErrTrailing = errors.New("bytes follow the value: send one value only")
-	// ErrDeep says that arrays and maps stand too deep in one another.
-	ErrDeep = errors.New("the value is nested too deep: send a flatter one")
-	// ErrCode says that a byte is none that msgpack uses.
-	ErrCode = errors.New("a byte is no msgpack: send the value again")
+	// ErrTooDeep says that arrays and maps stand too deep in one another.
+	ErrTooDeep = errors.New("the value is nested too deep: send a flatter one")
+	// ErrInvalidCode says that a byte is none that msgpack uses.
+	ErrInvalidCode = errors.New("a byte is no msgpack: send the value again")
 )
 
 // Check walks over one msgpack value without recursion and without allocating: it refuses what is cut short, has bytes left over or is nested too deep before a
@@ -44,7 +44,7 @@
 			continue
 		}
 		if depth+1 == maxDepth {
-			return ErrDeep
+			return ErrTooDeep
 		}
 		depth++
 		open[depth] = items
@@ -131,7 +131,7 @@
 	case code < firstShape:
 		return within(body, 1+uint64(code&lettersMask), 0)
 	case code == unusedCode:
-		return 0, 0, ErrCode
+		return 0, 0, ErrInvalidCode
 	}
 	return shaped(body, shapes[code-firstShape])
 }
