--- a/core/yuccaonce/answers.go
+++ b/core/yuccaonce/answers.go
@@ -8,33 +8,33 @@
 
 const (
 	// defaultAnswerLifetime covers a caller whose connection broke at the end of its
-	// answer and who fetches it again after some retries.
+	// answer and who fetches the answer again after some retries.
 	defaultAnswerLifetime = 2 * time.Minute
 
 	// defaultAnswerBytes is what a small VM can spare beside its running streams.
 	defaultAnswerBytes = yuccaid.Bytes(64 << 20)
 
-	// answerShare is the part of the buffer that one answer may fill, so that a single
-	// one can't push out all the others.
+	// answerShare is the divisor of the buffer's limit that bounds a single answer, so
+	// that one answer can't evict all the others.
 	answerShare = 8
 )
 
-// AnswerBuffer keeps whole answers for a second fetch, bounded by bytes and for a
-// shorter time than outcomes. An answer that was pushed out is reported as gone,
-// never shortened.
+// AnswerBuffer keeps complete answers so that callers can fetch them again. It is
+// bounded by bytes, and keeps answers for a shorter time than an Owner keeps outcomes.
+// An evicted answer is reported as absent; it is never shortened.
 //
-// A is how the daemon holds an answer; the buffer only needs its size.
+// A is the daemon's type for an answer; the buffer only needs its size.
 type AnswerBuffer[A any] struct {
 	limit    yuccaid.Bytes
 	lifetime time.Duration
 	clock    clock
 
-	answers map[yuccaid.RequestID]*kept[A]
-	order   []*kept[A] // by time of adding
+	answers map[yuccaid.RequestID]*keptAnswer[A]
+	order   []*keptAnswer[A] // in order of adding
 	bytes   yuccaid.Bytes
 }
 
-type kept[A any] struct {
+type keptAnswer[A any] struct {
 	id     yuccaid.RequestID
 	answer A
 	size   yuccaid.Bytes
@@ -49,50 +49,50 @@
 	if lifetime == 0 {
 		lifetime = defaultAnswerLifetime
 	}
-	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestID]*kept[A])}
+	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestID]*keptAnswer[A])}
 }
 
-// Put keeps a whole answer of the given size, pushing out the oldest ones, and reports
-// false if it is too large to be kept.
-func (buf *AnswerBuffer[A]) Put(now time.Time, text yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
+// Put stores a complete answer of the given size, evicting the oldest answers if
+// necessary. It reports false if the answer is too large or the id already has one.
+func (buf *AnswerBuffer[A]) Put(now time.Time, id yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
 	reading := buf.advance(now)
-	if buf.answers[text] != nil || size > buf.limit/answerShare {
+	if buf.answers[id] != nil || size > buf.limit/answerShare {
 		return false
 	}
 	for buf.bytes+size > buf.limit {
 		buf.drop()
 	}
-	one := &kept[A]{id: text, answer: answer, size: size, added: reading}
-	buf.answers[text] = one
-	buf.order = append(buf.order, one)
+	entry := &keptAnswer[A]{id: id, answer: answer, size: size, added: reading}
+	buf.answers[id] = entry
+	buf.order = append(buf.order, entry)
 	buf.bytes += size
 	return true
 }
 
-// ForEach calls each with every kept answer, oldest first.
+// ForEach calls each with every stored answer, oldest first.
 func (buf *AnswerBuffer[A]) ForEach(each func(answer A)) {
-	for _, one := range buf.order {
-		each(one.answer)
+	for _, entry := range buf.order {
+		each(entry.answer)
 	}
 }
 
-// Get returns the whole answer while it is kept.
-func (buf *AnswerBuffer[A]) Get(now time.Time, text yuccaid.RequestID) (A, bool) {
+// Get returns the complete answer if it is still stored.
+func (buf *AnswerBuffer[A]) Get(now time.Time, id yuccaid.RequestID) (A, bool) {
 	buf.advance(now)
-	one := buf.answers[text]
-	if one == nil {
+	entry := buf.answers[id]
+	if entry == nil {
 		var none A
 		return none, false
 	}
-	return one.answer, true
+	return entry.answer, true
 }
 
-// Tick drops answers past their lifetime.
+// Tick removes answers past their lifetime.
 func (buf *AnswerBuffer[A]) Tick(now time.Time) {
 	buf.advance(now)
 }
 
-// Size tells how many answers and bytes are kept.
+// Size returns the number and the total size of the stored answers.
 func (buf *AnswerBuffer[A]) Size() (answers int, bytes yuccaid.Bytes) {
 	return len(buf.answers), buf.bytes
 }
--- a/core/yuccaonce/cost_test.go
+++ b/core/yuccaonce/cost_test.go
@@ -14,7 +14,7 @@
 	"yuccacleat/core/yuccaonce"
 )
 
-// bytesBound and allocsBound are a fifth above what was measured when they were set.
+// bytesBound and allocsBound are a fifth above the measured values.
 const (
 	bytesBound  = 270
 	allocsBound = 61
@@ -30,7 +30,7 @@
 	own.Finish(now, id, yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 9, Hash: strings.Clone(hash)})
 }
 
-// heldBytes returns the heap that each remembered id takes.
+// heldBytes returns the heap bytes that each stored id takes.
 func heldBytes(own *yuccaonce.Owner, ids int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -45,22 +45,22 @@
 }
 
 var _ = Describe("the cost of a request", func() {
-	roomy := yuccaonce.WithLimits(yuccaonce.Limits{Total: 1 << 20, PerAccount: 1 << 20})
+	largeLimits := yuccaonce.WithLimits(yuccaonce.Limits{Total: 1 << 20, PerAccount: 1 << 20})
 
-	It("keeps each ended id in few bytes", func() {
-		Expect(heldBytes(yuccaonce.New(here, fleetKey, roomy), 20_000)).To(BeNumerically("<", bytesBound))
+	It("keeps each closed id in few bytes", func() {
+		Expect(heldBytes(yuccaonce.New(incarnation, fleetKey, largeLimits), 20_000)).To(BeNumerically("<", bytesBound))
 	})
 
 	It("allocates the same however many ids are held and expire", func() {
-		own := yuccaonce.New(here, fleetKey, roomy, yuccaonce.WithLifetime(12*time.Second))
+		own := yuccaonce.New(incarnation, fleetKey, largeLimits, yuccaonce.WithLifetime(12*time.Second))
 		now := start
 		cycle := func() { now = now.Add(time.Millisecond); serve(own, now) }
-		few := testing.AllocsPerRun(100, cycle)
+		baseline := testing.AllocsPerRun(100, cycle)
 		for range 14_000 {
 			cycle()
 		}
-		Expect(testing.AllocsPerRun(1000, cycle)).To(BeNumerically("<=", few+1))
-		Expect(few).To(BeNumerically("<", allocsBound))
+		Expect(testing.AllocsPerRun(1000, cycle)).To(BeNumerically("<=", baseline+1))
+		Expect(baseline).To(BeNumerically("<", allocsBound))
 		Expect(own.Counts().Closed).To(Equal(12_000))
 	})
 })
@@ -68,7 +68,7 @@
 func BenchmarkServe(b *testing.B) {
 	for _, held := range []int{100, 10_000, 200_000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
-			own := yuccaonce.New(here, fleetKey, yuccaonce.WithLifetime(time.Duration(held)*time.Millisecond),
+			own := yuccaonce.New(incarnation, fleetKey, yuccaonce.WithLifetime(time.Duration(held)*time.Millisecond),
 				yuccaonce.WithLimits(yuccaonce.Limits{Total: 2 * held, PerAccount: 2 * held}))
 			now := start
 			for range held {
@@ -86,17 +86,17 @@
 
 func BenchmarkHeldBytes(b *testing.B) {
 	for b.Loop() {
-		own := yuccaonce.New(here, fleetKey)
+		own := yuccaonce.New(incarnation, fleetKey)
 		b.ReportMetric(heldBytes(own, 20_000), "bytes/id")
 	}
 }
 
 func ExampleOwner() {
-	own := yuccaonce.New(here, yuccaid.Key("the fleet's key"))
+	own := yuccaonce.New(incarnation, yuccaid.Key("the fleet's key"))
 	id, _ := own.Open(start, "hotline")
-	claim := yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
-	step, _ := own.Submit(start, id, claim)
-	again, _ := own.Submit(start, id, claim)
+	submission := yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
+	step, _ := own.Submit(start, id, submission)
+	again, _ := own.Submit(start, id, submission)
 	own.CloseNotRun(start, id, yuccaonce.ReasonOverload, 2*time.Second)
 	fmt.Println(step.Action, again.Action)
 	fmt.Println(own.Dispatch(start, id, "t1") != nil)
--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -7,76 +7,79 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// WrongOwnerError says that another incarnation owns the request.
+// WrongOwnerError means that another incarnation owns the request.
 type WrongOwnerError struct{ Owner yuccaid.Incarnation }
 
-// Error names the owner to forward to.
+// Error names the owner to which the request has to be forwarded.
 func (err *WrongOwnerError) Error() string {
-	return fmt.Sprintf("request is owned by %s: forward it there, and report it as unknown if that daemon is gone", err.Owner)
+	return fmt.Sprintf("request is owned by %s: forward it to that daemon, and report it as unknown if the daemon has ended", err.Owner)
 }
 
-// ConflictError says that the id stands for another request already.
+// ConflictError means that the id was submitted with another request before.
 type ConflictError struct{ ID yuccaid.RequestID }
 
-// Error tells to open a request for each body.
+// Error tells the caller to open a new request for each body.
 func (err *ConflictError) Error() string {
 	return fmt.Sprintf("request %s was submitted with another body, pool or operation: open a new request for this one", err.ID)
 }
 
-// ExpiredError says that the id is past its lifetime, so its outcome is forgotten.
+// ExpiredError means that the id is past its lifetime, so its outcome is no longer
+// stored.
 type ExpiredError struct {
 	ID       yuccaid.RequestID
 	Lifetime time.Duration
 }
 
-// Error tells that the request won't run under this id any more.
+// Error states that the request can't run under this id any more.
 func (err *ExpiredError) Error() string {
 	return fmt.Sprintf("request %s is older than %s and can't run any more: open a new request", err.ID, err.Lifetime)
 }
 
-// UnknownIDError says that the account has no such request; it is the same whether
-// or not another account has.
+// UnknownIDError means that the account has no request with the id. It is the same
+// whether or not another account has one.
 type UnknownIDError struct{ ID yuccaid.RequestID }
 
-// Error tells to use an id of one's own.
+// Error tells the caller to use an id of its own account.
 func (err *UnknownIDError) Error() string {
-	return fmt.Sprintf("request %s is not one of this account: use an id that open returned to it", err.ID)
+	return fmt.Sprintf("request %s does not exist for this account: use an id that was opened for the account", err.ID)
 }
 
-// ClosedError says that the request has ended already.
+// ClosedError means that the request has been closed already.
 type ClosedError struct {
 	ID      yuccaid.RequestID
 	Outcome Outcome
 }
 
-// Error tells how the request ended and to give back what was meant for it.
+// Error states how the request was closed, and that the target reserved for it has to
+// be released.
 func (err *ClosedError) Error() string {
-	return fmt.Sprintf("request %s has ended (%s): release its target and report the recorded outcome", err.ID, err.Outcome.Run)
+	return fmt.Sprintf("request %s is closed already (%s): release its target and report the recorded outcome", err.ID, err.Outcome.Run)
 }
 
-// DispatchedError says that the request went out before.
+// DispatchedError means that the request was dispatched before.
 type DispatchedError struct {
 	ID     yuccaid.RequestID
 	Target yuccaid.Target
 }
 
-// Error names the target that has the request.
+// Error names the target to which the request was dispatched.
 func (err *DispatchedError) Error() string {
-	return fmt.Sprintf("request %s was dispatched to %s already: return the second grant unused", err.ID, err.Target)
+	return fmt.Sprintf("request %s was dispatched to %s already: return the second grant without using it", err.ID, err.Target)
 }
 
-// StageError says that a step came before the one that it needs.
+// StageError means that a step was called before the one that it requires.
 type StageError struct {
 	ID    yuccaid.RequestID
 	Stage Run
 }
 
-// Error names the order of the steps.
+// Error states the order of the steps.
 func (err *StageError) Error() string {
-	return fmt.Sprintf("request %s is not that far: submit it, then dispatch it, then finish it", err.ID)
+	return fmt.Sprintf("request %s has not reached the required stage: submit it, then dispatch it, then finish it", err.ID)
 }
 
-// LimitError says that the owner holds as many ids as it may.
+// LimitError means that the owner already stores as many ids as one of its limits
+// allows. RetryAfter is the time until an id is free again.
 type LimitError struct {
 	Account    yuccaid.Account
 	Limit      string
@@ -84,8 +87,8 @@
 	RetryAfter time.Duration
 }
 
-// Error names the limit and the time to come back.
+// Error names the limit and the time after which to retry.
 func (err *LimitError) Error() string {
-	return fmt.Sprintf("account %s can't open a request, %s of %d is reached: come back after %s or use another daemon",
+	return fmt.Sprintf("account %s can't open a request because the limit %s of %d ids is reached: retry after %s or use another daemon",
 		err.Account, err.Limit, err.Value, err.RetryAfter)
 }
--- a/core/yuccaonce/expiry.go
+++ b/core/yuccaonce/expiry.go
@@ -6,72 +6,74 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// overdueGrace keeps the outcome of a request that ended past its lifetime. Its
-// caller waits for it now, so a lost answer is asked for again within moments.
+// overdueGrace is how long the outcome of a request is kept that was closed after its
+// id's lifetime. Its caller is waiting for it, so it retries a lost answer within
+// moments.
 const overdueGrace = time.Minute
 
-// ending is the late end of an overdue request.
-type ending struct {
+// lateClose is a record that was closed after its id's lifetime, and the time of that.
+type lateClose struct {
 	rec *record
 	at  time.Time
 }
 
-// ledger counts what one account makes the owner hold; first and last are the ends
-// of the chain through record.next.
-type ledger struct {
-	held        int
+// accountUsage counts the ids that the owner stores for one account. first and last are
+// the ends of the account's list of records, which is linked by record.next.
+type accountUsage struct {
+	records     int
 	unsubmitted int
 	first, last uint64
 }
 
-func (led *ledger) add(own *Owner, counter uint64) {
-	if led.held == 0 {
-		led.first = counter
+func (usage *accountUsage) add(own *Owner, counter uint64) {
+	if usage.records == 0 {
+		usage.first = counter
 	} else {
-		own.held.at(led.last).next = counter
+		own.records.at(usage.last).next = counter
 	}
-	led.last = counter
-	led.held++
-	led.unsubmitted++
+	usage.last = counter
+	usage.records++
+	usage.unsubmitted++
 }
 
-func (own *Owner) ledger(acc yuccaid.Account) *ledger {
-	led := own.accounts[acc]
-	if led == nil {
-		led = new(ledger)
-		own.accounts[acc] = led
+func (own *Owner) accountUsage(acc yuccaid.Account) *accountUsage {
+	usage := own.accounts[acc]
+	if usage == nil {
+		usage = new(accountUsage)
+		own.accounts[acc] = usage
 	}
-	return led
+	return usage
 }
 
-// checkLimits refuses an open when memory is used up. The time to come back is that
-// at which the oldest id concerned is forgotten.
+// checkLimits refuses to open a request if a limit on stored ids is reached. The
+// retry-after is the time until the oldest id concerned expires.
 func (own *Owner) checkLimits(reading time.Time, acc yuccaid.Account) error {
-	if own.held.len()+len(own.overdue) >= own.limits.Total {
-		return own.limitError(reading, acc, "total", own.limits.Total, own.held.first)
+	if own.records.len()+len(own.overdue) >= own.limits.Total {
+		return own.limitError(reading, acc, "total", own.limits.Total, own.records.first)
 	}
-	led := own.accounts[acc]
-	if led == nil {
+	usage := own.accounts[acc]
+	if usage == nil {
 		return nil
 	}
-	if led.held >= own.limits.PerAccount {
-		return own.limitError(reading, acc, "perAccount", own.limits.PerAccount, led.first)
+	if usage.records >= own.limits.PerAccount {
+		return own.limitError(reading, acc, "perAccount", own.limits.PerAccount, usage.first)
 	}
-	if led.unsubmitted >= own.limits.Unsubmitted {
-		return own.limitError(reading, acc, "unsubmitted", own.limits.Unsubmitted, led.first)
+	if usage.unsubmitted >= own.limits.Unsubmitted {
+		return own.limitError(reading, acc, "unsubmitted", own.limits.Unsubmitted, usage.first)
 	}
 	return nil
 }
 
 func (own *Owner) limitError(reading time.Time, acc yuccaid.Account, limit string, value int, oldest uint64) error {
-	back := own.lifetime
-	if rec := own.held.find(oldest); rec != nil {
-		back = own.expiry(rec.issued).Sub(reading)
+	retryAfter := own.lifetime
+	if rec := own.records.find(oldest); rec != nil {
+		retryAfter = own.expiry(rec.issued).Sub(reading)
 	}
-	return &LimitError{Account: acc, Limit: limit, Value: value, RetryAfter: back}
+	return &LimitError{Account: acc, Limit: limit, Value: value, RetryAfter: retryAfter}
 }
 
-// expiry compares milliseconds as the id carries them: record and id expire at once.
+// expiry returns when an id expires. It computes in milliseconds, as the id carries
+// them, so that record and id expire at once.
 func (own *Owner) expiry(issued int64) time.Time {
 	return time.UnixMilli(issued).Add(own.lifetime)
 }
@@ -80,43 +82,43 @@
 	return !reading.Before(own.expiry(issued))
 }
 
-// advance reads the clock and forgets what has expired. Every call begins with it:
-// an id is refused from the same instant on at which it may be forgotten.
+// advance reads the clock and removes expired records. Every call begins with it, so
+// that an id is refused from the very moment at which its record may be removed.
 func (own *Owner) advance(now time.Time) time.Time {
 	reading := own.clock.read(now)
-	for own.held.len() > 0 && own.expired(reading, own.held.at(own.held.first).issued) {
-		own.forget()
+	for own.records.len() > 0 && own.expired(reading, own.records.at(own.records.first).issued) {
+		own.expireOldest()
 	}
-	for len(own.ended) > 0 && !reading.Before(own.ended[0].at.Add(overdueGrace)) {
-		own.drop(own.ended[0].rec)
-		delete(own.overdue, own.ended[0].rec.counter)
-		own.ended = own.ended[1:]
+	for len(own.lateCloses) > 0 && !reading.Before(own.lateCloses[0].at.Add(overdueGrace)) {
+		own.uncount(own.lateCloses[0].rec)
+		delete(own.overdue, own.lateCloses[0].rec.counter)
+		own.lateCloses = own.lateCloses[1:]
 	}
 	return reading
 }
 
-// forget drops the oldest record. One that still waits or runs is set aside until it
-// ends, since its outcome is not known yet.
-func (own *Owner) forget() {
-	counter := own.held.first
-	rec := own.held.at(counter)
-	led := own.accounts[rec.account]
-	led.held--
-	led.first = rec.next
+// expireOldest removes the oldest record. A record that is still waiting or dispatched
+// is moved to overdue until it is closed, because its outcome is not known yet.
+func (own *Owner) expireOldest() {
+	counter := own.records.first
+	rec := own.records.at(counter)
+	usage := own.accounts[rec.account]
+	usage.records--
+	usage.first = rec.next
 	if rec.stage == waiting || rec.stage == dispatched {
-		kept := *rec
-		kept.counter = counter
-		own.overdue[counter] = &kept
+		overdue := *rec
+		overdue.counter = counter
+		own.overdue[counter] = &overdue
 	} else {
-		own.drop(rec)
+		own.uncount(rec)
 	}
-	if led.held == 0 {
+	if usage.records == 0 {
 		delete(own.accounts, rec.account)
 	}
-	own.held.drop()
+	own.records.drop()
 }
 
-func (own *Owner) drop(rec *record) {
+func (own *Owner) uncount(rec *record) {
 	own.stages[rec.stage]--
 	if rec.stage == opened {
 		own.accounts[rec.account].unsubmitted--
--- a/core/yuccaonce/export_test.go
+++ b/core/yuccaonce/export_test.go
@@ -2,16 +2,16 @@
 
 import "yuccacleat/core/yuccaid"
 
-// Reopen makes the owner forget that a request was submitted and how it ended.
-func (own *Owner) Reopen(text yuccaid.RequestID) {
-	req, err := own.parse(text)
+// Reopen resets a request to the opened stage, without its submission and outcome.
+func (own *Owner) Reopen(id yuccaid.RequestID) {
+	req, err := own.parse(id)
 	if err != nil {
 		return
 	}
-	if rec := own.held.find(req.Counter); rec != nil {
+	if rec := own.records.find(req.Counter); rec != nil {
 		own.stages[rec.stage]--
 		own.stages[opened]++
 		own.accounts[rec.account].unsubmitted++
-		rec.stage, rec.known = opened, false
+		rec.stage, rec.hasSubmission = opened, false
 	}
 }
--- a/core/yuccaonce/find.go
+++ b/core/yuccaonce/find.go
@@ -7,34 +7,34 @@
 )
 
 // find returns the record of an id that this incarnation issued.
-func (own *Owner) find(now time.Time, text yuccaid.RequestID) (*record, error) {
+func (own *Owner) find(now time.Time, id yuccaid.RequestID) (*record, error) {
 	own.advance(now)
-	req, err := own.parse(text)
+	req, err := own.parse(id)
 	if err != nil {
 		return nil, err
 	}
 	if rec := own.record(req.Counter); rec != nil {
 		return rec, nil
 	}
-	return nil, own.unknown(req, text)
+	return nil, own.notHeldError(req, id)
 }
 
-// findFor is find for a caller, who must not learn of other accounts' requests: an
-// id of another account is answered as one that is not held.
-func (own *Owner) findFor(now time.Time, text yuccaid.RequestID, acc yuccaid.Account) (*record, error) {
-	rec, err := own.find(now, text)
+// findFor is find for a caller, who must not learn of other accounts' requests: an id
+// of another account gives the same error as one that is not stored.
+func (own *Owner) findFor(now time.Time, id yuccaid.RequestID, acc yuccaid.Account) (*record, error) {
+	rec, err := own.find(now, id)
 	if err != nil {
 		return nil, err
 	}
 	if rec.account != acc {
-		req, _ := own.parse(text)
-		return nil, own.unknown(req, text)
+		req, _ := own.parse(id)
+		return nil, own.notHeldError(req, id)
 	}
 	return rec, nil
 }
 
-func (own *Owner) parse(text yuccaid.RequestID) (yuccaid.RequestIDFields, error) {
-	req, err := text.Parse(own.key)
+func (own *Owner) parse(id yuccaid.RequestID) (yuccaid.RequestIDFields, error) {
+	req, err := id.Parse(own.key)
 	if err != nil {
 		return yuccaid.RequestIDFields{}, err
 	}
@@ -45,17 +45,17 @@
 }
 
 func (own *Owner) record(counter uint64) *record {
-	if rec := own.held.find(counter); rec != nil {
+	if rec := own.records.find(counter); rec != nil {
 		return rec
 	}
 	return own.overdue[counter]
 }
 
-// unknown depends on the id's text and the time only, so that it tells nothing of
-// what is held.
-func (own *Owner) unknown(req yuccaid.RequestIDFields, text yuccaid.RequestID) error {
+// notHeldError depends only on the id and the time, so that it doesn't reveal which ids
+// are stored.
+func (own *Owner) notHeldError(req yuccaid.RequestIDFields, id yuccaid.RequestID) error {
 	if own.expired(own.clock.reading, req.Issued.UnixMilli()) {
-		return &ExpiredError{ID: text, Lifetime: own.lifetime}
+		return &ExpiredError{ID: id, Lifetime: own.lifetime}
 	}
-	return &UnknownIDError{ID: text}
+	return &UnknownIDError{ID: id}
 }
--- a/core/yuccaonce/limits.go
+++ b/core/yuccaonce/limits.go
@@ -3,28 +3,30 @@
 import "time"
 
 const (
-	// defaultLifetime covers the longest run and a caller's retries after a break of
-	// some minutes. It costs memory: each id is held this long.
+	// defaultLifetime covers the longest run and a caller's retries after an
+	// interruption of some minutes. It costs memory, because each id is stored for this
+	// long.
 	defaultLifetime = 15 * time.Minute
 
 	// defaultTotal bounds the owner's memory to about 40 MB, which a small VM can
-	// spare: at 200 bytes an id and 15 minutes it carries 220 requests a second.
+	// spare: at 200 bytes an id and 15 minutes it allows 220 requests a second.
 	defaultTotal = 200_000
 
-	// defaultPerAccount keeps one account's burst from using up the ids of all. It is
-	// a quarter of the total, since a few accounts are large.
+	// defaultPerAccount keeps one account's burst from using up the ids of all
+	// accounts. It is a quarter of the total, since a few accounts are large.
 	defaultPerAccount = defaultTotal / 4
 
-	// defaultUnsubmitted bounds ids that were opened and not used. A caller opens one
-	// right before submitting, so more means a fault at the caller.
+	// defaultUnsubmitted bounds ids of an account that were opened but not submitted. A
+	// caller opens an id right before submitting, so more of them mean a fault of the
+	// caller.
 	defaultUnsubmitted = 2_000
 )
 
-// Limits bounds what an owner remembers; a zero field means the default.
+// Limits bounds the number of ids that an owner stores; a zero field means the default.
 type Limits struct {
 	Total       int // ids of all accounts
 	PerAccount  int // ids of one account
-	Unsubmitted int // ids of one account that were opened and not submitted
+	Unsubmitted int // ids of one account that were opened but not submitted
 }
 
 func (lim Limits) withDefaults() Limits {
@@ -40,15 +42,15 @@
 	return lim
 }
 
-// Option changes an owner's settings.
+// Option changes a setting of an Owner.
 type Option func(*Owner)
 
-// WithLifetime sets how long an id may be submitted and its outcome asked for.
+// WithLifetime sets how long an id may be submitted and its outcome be queried.
 func WithLifetime(lifetime time.Duration) Option {
 	return func(own *Owner) { own.lifetime = lifetime }
 }
 
-// WithLimits sets the bounds on what is remembered.
+// WithLimits sets the bounds on the number of stored ids.
 func WithLimits(limits Limits) Option {
 	return func(own *Owner) { own.limits = limits.withDefaults() }
 }
--- a/core/yuccaonce/outcome.go
+++ b/core/yuccaonce/outcome.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Run says whether a request ran.
+// Run is the state of a request as reported to its caller: whether it ran.
 type Run string
 
-// The states that a caller can be told of.
+// The states that are reported to callers.
 const (
 	RunWaiting Run = "waiting"
 	RunRunning Run = "running"
@@ -14,10 +14,10 @@
 	Unknown    Run = "unknown"
 )
 
-// Reason says why a request ended as it did.
+// Reason states why a request was closed as it was.
 type Reason string
 
-// The reasons for an end other than a whole answer.
+// The reasons for closing a request other than by a complete answer.
 const (
 	ReasonDeadline        Reason = "deadline"
 	ReasonOverload        Reason = "overload"
@@ -37,8 +37,8 @@
 	ReasonShutdown        Reason = "shutdown"
 )
 
-// provesNotRun reports whether the reason shows that a dispatched request did not
-// run: the target said so by its contract, or no byte left for it.
+// provesNotRun reports whether the reason proves that a dispatched request did not run:
+// its target said so, or no byte was sent to the target.
 func (reason Reason) provesNotRun() bool {
 	switch reason {
 	case ReasonRefusedByTarget, ReasonTargetLeaving, ReasonUnsent:
@@ -47,8 +47,9 @@
 	return false
 }
 
-// Outcome is what a caller is told about a request; Back is the time after which
-// coming back makes sense.
+// Outcome is what a caller is told about a request. RetryAfter is the time after which
+// a retry makes sense, Pieces and Hash are the number of pieces and the hash of the
+// answer, and Partial means that the answer is incomplete.
 type Outcome struct {
 	Run        Run           `json:"run" msgpack:"run"`
 	Reason     Reason        `json:"reason,omitempty" msgpack:"reason,omitempty"`
@@ -58,15 +59,16 @@
 	Partial    bool          `json:"partial,omitempty" msgpack:"partial,omitempty"`
 }
 
-// Result is what the dispatching connection learned of a run's end.
+// Result is what the connection that dispatched a run reports of its end.
 type Result Outcome
 
-// settled returns the outcome that may be told for a dispatched request.
+// provenOutcome returns the outcome of a dispatched request that may be reported.
 //
-// Not run is claimed only on proof. If a cancelled or lost run were reported so, its
-// caller would send it again and pay twice, and the target's own log would show two
-// runs. Pieces of an answer contradict every claim that the request did not run.
-func (res Result) settled() Outcome {
+// A request is reported as not run only on proof. If a cancelled or lost run were
+// reported so, its caller would send it again and pay twice, and the target's own log
+// would show two runs. Pieces of an answer contradict every claim that the request did
+// not run.
+func (res Result) provenOutcome() Outcome {
 	out := Outcome(res)
 	switch {
 	case res.Run == Ran, res.Pieces > 0 && res.Run == NotRun:
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -6,8 +6,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Owner holds the requests of one incarnation and decides what becomes of each. It
-// is not safe for concurrent use.
+// Owner stores the requests of one incarnation and decides whether each may run. It is
+// not safe for concurrent use.
 type Owner struct {
 	inc      yuccaid.Incarnation
 	key      yuccaid.Key
@@ -15,11 +15,11 @@
 	limits   Limits
 	clock    clock
 
-	held     shelf
-	overdue  map[uint64]*record
-	ended    []ending
-	accounts map[yuccaid.Account]*ledger
-	stages   [closed + 1]int
+	records    recordStore
+	overdue    map[uint64]*record
+	lateCloses []lateClose
+	accounts   map[yuccaid.Account]*accountUsage
+	stages     [closed + 1]int
 }
 
 // New returns an owner without requests.
@@ -30,7 +30,7 @@
 		lifetime: defaultLifetime,
 		limits:   Limits{}.withDefaults(),
 		overdue:  make(map[uint64]*record),
-		accounts: make(map[yuccaid.Account]*ledger),
+		accounts: make(map[yuccaid.Account]*accountUsage),
 	}
 	for _, option := range options {
 		option(own)
@@ -38,141 +38,142 @@
 	return own
 }
 
-// Open draws an id for the account; nothing runs before it is submitted.
+// Open issues an id for the account; nothing runs before the id is submitted.
 func (own *Owner) Open(now time.Time, acc yuccaid.Account) (yuccaid.RequestID, error) {
 	reading := own.advance(now)
 	if err := own.checkLimits(reading, acc); err != nil {
 		return "", err
 	}
-	counter := own.held.add(record{account: acc, issued: reading.UnixMilli()})
+	counter := own.records.add(record{account: acc, issued: reading.UnixMilli()})
 	own.stages[opened]++
-	own.ledger(acc).add(own, counter)
+	own.accountUsage(acc).add(own, counter)
 	return yuccaid.RequestIDFields{Owner: own.inc, Counter: counter, Issued: reading}.Sign(own.key), nil
 }
 
-// SubmitAction says what the daemon has to do with a submit.
+// SubmitAction is what the daemon has to do with a submission.
 type SubmitAction string
 
-// The kinds of steps.
+// The actions on a submission: admit the request, join the request that was admitted
+// before under the same id, or report the recorded outcome of a closed request.
 const (
 	SubmitAdmit  SubmitAction = "admit"
 	SubmitJoin   SubmitAction = "join"
 	SubmitClosed SubmitAction = "closed"
 )
 
-// SubmitResult is the answer to a submit: admit it, join it to the running one, or pass on
-// the outcome.
+// SubmitResult is the result of Submit: the action, and the request's state or recorded
+// outcome.
 type SubmitResult struct {
 	Action  SubmitAction
 	Outcome Outcome
 }
 
-// Submit admits the first submit under an id and joins each later one to it.
-func (own *Owner) Submit(now time.Time, text yuccaid.RequestID, claim Submission) (SubmitResult, error) {
-	rec, err := own.findFor(now, text, claim.Account)
+// Submit admits the first submission under an id and joins each later one to it.
+func (own *Owner) Submit(now time.Time, id yuccaid.RequestID, submission Submission) (SubmitResult, error) {
+	rec, err := own.findFor(now, id, submission.Account)
 	if err != nil {
 		return SubmitResult{}, err
 	}
-	print := claim.fingerprint()
-	if rec.known && rec.claim != print {
-		return SubmitResult{}, &ConflictError{ID: text}
+	digest := submission.fingerprint()
+	if rec.hasSubmission && rec.submission != digest {
+		return SubmitResult{}, &ConflictError{ID: id}
 	}
 	switch rec.stage {
 	case opened:
-		rec.claim = print
-		rec.known = true
-		own.move(rec, waiting)
-		return SubmitResult{Action: SubmitAdmit, Outcome: rec.state()}, nil
+		rec.submission = digest
+		rec.hasSubmission = true
+		own.setStage(rec, waiting)
+		return SubmitResult{Action: SubmitAdmit, Outcome: rec.currentOutcome()}, nil
 	case closed:
 		return SubmitResult{Action: SubmitClosed, Outcome: rec.outcome}, nil
 	default:
-		return SubmitResult{Action: SubmitJoin, Outcome: rec.state()}, nil
+		return SubmitResult{Action: SubmitJoin, Outcome: rec.currentOutcome()}, nil
 	}
 }
 
-// Dispatch records that the request goes to the target and must be called before the
-// first byte leaves.
+// Dispatch records that the request goes to the target. It must be called before the
+// first byte is sent.
 //
-// If it were called afterwards, a displacement in between would tell the caller that
-// the request did not run while the target runs it.
-func (own *Owner) Dispatch(now time.Time, text yuccaid.RequestID, tgt yuccaid.Target) error {
-	rec, err := own.find(now, text)
+// If it were called afterwards, the request could be displaced in between, and the
+// caller would be told that the request did not run while the target runs it.
+func (own *Owner) Dispatch(now time.Time, id yuccaid.RequestID, target yuccaid.Target) error {
+	rec, err := own.find(now, id)
 	if err != nil {
 		return err
 	}
 	switch rec.stage {
 	case opened:
-		return &StageError{ID: text, Stage: RunWaiting}
+		return &StageError{ID: id, Stage: RunWaiting}
 	case dispatched:
-		return &DispatchedError{ID: text, Target: rec.target}
+		return &DispatchedError{ID: id, Target: rec.target}
 	case closed:
-		return &ClosedError{ID: text, Outcome: rec.outcome}
+		return &ClosedError{ID: id, Outcome: rec.outcome}
 	}
-	rec.target = tgt
-	own.move(rec, dispatched)
+	rec.target = target
+	own.setStage(rec, dispatched)
 	return nil
 }
 
-// CloseNotRun ends a request that was not dispatched as not run, and reports false if it
-// is too late for that.
-func (own *Owner) CloseNotRun(now time.Time, text yuccaid.RequestID, reason Reason, back time.Duration) (Outcome, bool) {
-	rec, err := own.find(now, text)
+// CloseNotRun closes a request that was not dispatched as not run. It reports false if
+// the request is already dispatched or closed.
+func (own *Owner) CloseNotRun(now time.Time, id yuccaid.RequestID, reason Reason, retryAfter time.Duration) (Outcome, bool) {
+	rec, err := own.find(now, id)
 	if err != nil {
 		return Outcome{Run: Unknown, Reason: ReasonOwnerLost}, false
 	}
 	if rec.stage >= dispatched {
-		return rec.state(), false
+		return rec.currentOutcome(), false
 	}
-	own.end(rec, Outcome{Run: NotRun, Reason: reason, RetryAfter: back})
+	own.closeRecord(rec, Outcome{Run: NotRun, Reason: reason, RetryAfter: retryAfter})
 	return rec.outcome, true
 }
 
-// Finish records the end of a dispatched request and returns the outcome to tell,
+// Finish records the end of a dispatched request and returns the outcome to report,
 // which may claim less than the result did.
-func (own *Owner) Finish(now time.Time, text yuccaid.RequestID, result Result) (Outcome, error) {
-	rec, err := own.find(now, text)
+func (own *Owner) Finish(now time.Time, id yuccaid.RequestID, result Result) (Outcome, error) {
+	rec, err := own.find(now, id)
 	if err != nil {
 		return Outcome{}, err
 	}
 	switch rec.stage {
 	case opened, waiting:
-		return rec.state(), &StageError{ID: text, Stage: RunWaiting}
+		return rec.currentOutcome(), &StageError{ID: id, Stage: RunWaiting}
 	case closed:
-		return rec.outcome, &ClosedError{ID: text, Outcome: rec.outcome}
+		return rec.outcome, &ClosedError{ID: id, Outcome: rec.outcome}
 	}
-	own.end(rec, result.settled())
+	own.closeRecord(rec, result.provenOutcome())
 	return rec.outcome, nil
 }
 
-// Outcome tells the state of the account's request.
+// Outcome returns the state of the account's request.
 //
-// An id that was never submitted is closed in the same step. Otherwise a submit that
-// is still on its way could run after the caller was told that nothing ran.
-func (own *Owner) Outcome(now time.Time, text yuccaid.RequestID, acc yuccaid.Account) (Outcome, error) {
-	rec, err := own.findFor(now, text, acc)
+// An id that was never submitted is closed in the same call. Otherwise a submission
+// still on its way could run after the caller was told that nothing ran.
+func (own *Owner) Outcome(now time.Time, id yuccaid.RequestID, acc yuccaid.Account) (Outcome, error) {
+	rec, err := own.findFor(now, id, acc)
 	if err != nil {
 		return Outcome{}, err
 	}
 	if rec.stage == opened {
-		own.end(rec, Outcome{Run: NotRun, Reason: ReasonNeverSubmitted})
+		own.closeRecord(rec, Outcome{Run: NotRun, Reason: ReasonNeverSubmitted})
 	}
-	return rec.state(), nil
+	return rec.currentOutcome(), nil
 }
 
-// Tick forgets ids past their lifetime and returns how many.
+// Tick removes ids past their lifetime and returns how many were removed.
 func (own *Owner) Tick(now time.Time) (expired int) {
-	before := own.held.len() + len(own.overdue)
+	before := own.records.len() + len(own.overdue)
 	own.advance(now)
-	return before - own.held.len() - len(own.overdue)
+	return before - own.records.len() - len(own.overdue)
 }
 
-// Counts tells how many requests are held, by how far they have come.
+// Counts is the number of stored requests by stage.
 type Counts struct {
 	Opened     int `json:"opened"`
 	Waiting    int `json:"waiting"`
 	Dispatched int `json:"dispatched"`
 	Closed     int `json:"closed"`
-	Overdue    int `json:"overdue"` // of these, past their lifetime and kept since they ended late or not yet
+	Overdue    int `json:"overdue"` // included above: past their lifetime, and not closed yet or closed late
 }
 
 // Counts returns the numbers for status and metrics.
@@ -186,7 +187,7 @@
 	}
 }
 
-func (own *Owner) move(rec *record, to stage) {
+func (own *Owner) setStage(rec *record, to stage) {
 	if rec.stage == opened {
 		own.accounts[rec.account].unsubmitted--
 	}
@@ -195,10 +196,10 @@
 	rec.stage = to
 }
 
-func (own *Owner) end(rec *record, out Outcome) {
-	own.move(rec, closed)
+func (own *Owner) closeRecord(rec *record, out Outcome) {
+	own.setStage(rec, closed)
 	rec.close(out)
 	if own.expired(own.clock.reading, rec.issued) {
-		own.ended = append(own.ended, ending{rec: rec, at: own.clock.reading})
+		own.lateCloses = append(own.lateCloses, lateClose{rec: rec, at: own.clock.reading})
 	}
 }
--- a/core/yuccaonce/owner_test.go
+++ b/core/yuccaonce/owner_test.go
@@ -14,10 +14,10 @@
 const lifetime = time.Minute
 
 var (
-	fleetKey = yuccaid.Key("fleet key for tests")
-	here     = yuccaid.NewIncarnation("vm-1", [16]byte{1})
-	start    = time.UnixMilli(1_700_000_000_000)
-	ticket   = yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
+	fleetKey    = yuccaid.Key("fleet key for tests")
+	incarnation = yuccaid.NewIncarnation("vm-1", [16]byte{1})
+	start       = time.UnixMilli(1_700_000_000_000)
+	ticket      = yuccaonce.Submission{Account: "hotline", Pool: "tickets", Operation: "file", Body: "b0d1"}
 )
 
 var _ = Describe("an owner", func() {
@@ -25,13 +25,13 @@
 	var id yuccaid.RequestID
 
 	BeforeEach(func() {
-		own = yuccaonce.New(here, fleetKey, yuccaonce.WithLifetime(lifetime),
+		own = yuccaonce.New(incarnation, fleetKey, yuccaonce.WithLifetime(lifetime),
 			yuccaonce.WithLimits(yuccaonce.Limits{Total: 4, PerAccount: 3, Unsubmitted: 2}))
 		id, _ = own.Open(start, ticket.Account)
 	})
 
-	submit := func(now time.Time, claim yuccaonce.Submission) (yuccaonce.SubmitAction, error) {
-		step, err := own.Submit(now, id, claim)
+	submit := func(now time.Time, submission yuccaonce.Submission) (yuccaonce.SubmitAction, error) {
+		step, err := own.Submit(now, id, submission)
 		return step.Action, err
 	}
 	run := func() {
@@ -39,7 +39,7 @@
 		Expect(own.Dispatch(start, id, "t1")).To(Succeed())
 	}
 
-	It("admits once, joins while it runs and passes on the outcome", func() {
+	It("admits once, joins while the request runs and returns the outcome", func() {
 		run()
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitJoin))
 		out, err := own.Finish(start, id, yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 2, Hash: "aa"})
@@ -62,9 +62,10 @@
 		Entry("in its operation", func(c *yuccaonce.Submission) { c.Operation = "look" }),
 	)
 
-	// Somebody who holds another account's id tries it in each state. If the answers
-	// differed, an outsider would learn which requests exist and when they end.
-	It("answers other accounts the same whatever it holds", func() {
+	// Guards against revealing other accounts' requests: another account queries an id
+	// in each of its stages. If the answers differed, an outsider would learn which
+	// requests exist and when they end.
+	It("answers other accounts the same in each state of the request", func() {
 		outsider := ticket
 		outsider.Account = "outsider"
 		ask := func(now time.Time) []string {
@@ -82,8 +83,9 @@
 		Expect(ask(start.Add(time.Hour))).To(Equal(overdue))
 	})
 
-	// A caller gives up on an id that it opened and asks what became of it, while its
-	// own submit still travels. Told that nothing ran, it files a new ticket.
+	// Guards against running a request that was reported as not run: a caller queries
+	// the outcome of an id while its own submission is still on its way. Told that
+	// nothing ran, it files a new ticket.
 	It("closes an unsubmitted id when its outcome is asked for", func() {
 		out, err := own.Outcome(start, id, ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
@@ -91,8 +93,9 @@
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitClosed))
 	})
 
-	// A grant and a displacement cross on their way. Whichever comes second must lose,
-	// or a caller is told that its ticket was not filed although it was.
+	// Guards against reporting a dispatched request as displaced: a grant and a
+	// displacement arrive at about the same time. If the later one weren't refused, a
+	// caller would be told that its ticket was not filed although it was.
 	It("decides grant and displacement in one step", func() {
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 		out, done := own.CloseNotRun(start, id, yuccaonce.ReasonDisplaced, time.Second)
@@ -107,7 +110,7 @@
 		Expect(own.Dispatch(start, id, "t2")).To(BeAssignableToTypeOf(&yuccaonce.DispatchedError{}))
 	})
 
-	DescribeTable("claims of a dispatched request only what is proved",
+	DescribeTable("reports of a dispatched request only what is proved",
 		func(result yuccaonce.Result, run yuccaonce.Run, partial bool) {
 			Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 			Expect(own.Dispatch(start, id, "t1")).To(Succeed())
@@ -118,7 +121,7 @@
 		},
 		Entry("whole", yuccaonce.Result{Run: yuccaonce.Ran}, yuccaonce.Ran, false),
 		Entry("refused by contract", yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonRefusedByTarget}, yuccaonce.NotRun, false),
-		Entry("no byte left", yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonUnsent}, yuccaonce.NotRun, false),
+		Entry("no byte sent", yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonUnsent}, yuccaonce.NotRun, false),
 		Entry("refused after a piece", yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonRefusedByTarget, Pieces: 1}, yuccaonce.Ran, true),
 		Entry("cancelled", yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonCancelled}, yuccaonce.Ran, true),
 		Entry("preempted", yuccaonce.Result{Run: yuccaonce.Ran, Reason: yuccaonce.ReasonPreempted}, yuccaonce.Ran, true),
@@ -126,35 +129,35 @@
 		Entry("target lost", yuccaonce.Result{Run: yuccaonce.Unknown, Reason: yuccaonce.ReasonTargetLost}, yuccaonce.Unknown, false),
 	)
 
-	It("names the remedy for steps out of order and ids of others", func() {
+	It("refuses steps out of order and ids of other owners", func() {
 		Expect(own.Dispatch(start, id, "t1")).To(BeAssignableToTypeOf(&yuccaonce.StageError{}))
 		_, err := own.Finish(start, id, yuccaonce.Result{})
 		Expect(err).To(BeAssignableToTypeOf(&yuccaonce.StageError{}))
 		other := yuccaonce.New(yuccaid.NewIncarnation("vm-1", [16]byte{2}), fleetKey)
 		_, err = other.Submit(start, id, ticket)
-		Expect(err).To(Equal(&yuccaonce.WrongOwnerError{Owner: here}))
+		Expect(err).To(Equal(&yuccaonce.WrongOwnerError{Owner: incarnation}))
 		_, err = own.Submit(start, id+"0", ticket)
 		Expect(err).To(MatchError(yuccaid.ErrForged))
 	})
 
-	It("bounds what it remembers and says when room comes back", func() {
-		limit := func(now time.Time, acc yuccaid.Account) *yuccaonce.LimitError {
+	It("bounds the stored ids and returns when one becomes free", func() {
+		limitError := func(now time.Time, acc yuccaid.Account) *yuccaonce.LimitError {
 			_, err := own.Open(now, acc)
 			var full *yuccaonce.LimitError
 			Expect(errors.As(err, &full)).To(BeTrue())
 			return full
 		}
-		next := func(now time.Time, acc yuccaid.Account) {
+		openAndSubmit := func(now time.Time, acc yuccaid.Account) {
 			id, _ = own.Open(now, acc)
 			Expect(own.Submit(now, id, yuccaonce.Submission{Account: acc})).NotTo(BeZero())
 		}
-		next(start.Add(time.Second), ticket.Account)
+		openAndSubmit(start.Add(time.Second), ticket.Account)
 		_, err := own.Open(start.Add(time.Second), ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(limit(start.Add(time.Second), ticket.Account)).To(Equal(
+		Expect(limitError(start.Add(time.Second), ticket.Account)).To(Equal(
 			&yuccaonce.LimitError{Account: ticket.Account, Limit: "perAccount", Value: 3, RetryAfter: lifetime - time.Second}))
-		next(start.Add(time.Second), "desk")
-		Expect(limit(start.Add(2*time.Second), "desk").Limit).To(Equal("total"))
+		openAndSubmit(start.Add(time.Second), "desk")
+		Expect(limitError(start.Add(2*time.Second), "desk").Limit).To(Equal("total"))
 		Expect(own.Tick(start.Add(lifetime))).To(Equal(1))
 		_, err = own.Open(start.Add(lifetime), "desk")
 		Expect(err).NotTo(HaveOccurred())
@@ -170,8 +173,9 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	// The VM's clock is set back after an id has expired, or jumps ahead while a request
-	// runs. The old id must stay refused, and the running one must still tell its end.
+	// Guards against clock jumps: the VM's clock is set back after an id has expired,
+	// or jumps ahead while a request runs. The old id must stay refused, and the
+	// running one must still report its end.
 	It("keeps its decisions when the clock jumps", func() {
 		run()
 		late, _ := own.Open(start.Add(time.Second), ticket.Account)
@@ -189,7 +193,7 @@
 })
 
 var _ = Describe("an answer buffer", func() {
-	It("keeps whole answers by age and bytes, and never a part", func() {
+	It("keeps complete answers, bounded by age and bytes, and never a part", func() {
 		buf := yuccaonce.NewAnswerBuffer[string](80, time.Second)
 		Expect(buf.Put(start, "big", "01234567890", 11)).To(BeFalse())
 		for _, id := range []yuccaid.RequestID{"0", "1", "2", "3", "4", "5", "6", "7", "8"} {
--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -6,7 +6,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// stage is how far a request has come; it only ever grows.
+// stage is a request's progress; it only increases.
 type stage uint8
 
 const (
@@ -16,20 +16,20 @@
 	closed
 )
 
-// fingerprint stands for what was submitted, in less memory than the parts.
+// fingerprint is a digest of a submission; it takes less memory than the submission.
 type fingerprint [16]byte
 
-// record is what the owner keeps of one request.
+// record is the stored state of one request.
 type record struct {
-	account yuccaid.Account
-	issued  int64  // Unix milliseconds on the owner's clock
-	counter uint64 // set once the record is overdue
-	next    uint64 // the same account's following record
-	claim   fingerprint
-	target  yuccaid.Target
-	outcome Outcome
-	stage   stage
-	known   bool // claim is set
+	account       yuccaid.Account
+	issued        int64  // Unix milliseconds on the owner's clock
+	counter       uint64 // set once the record is overdue
+	next          uint64 // counter of the same account's next record
+	submission    fingerprint
+	target        yuccaid.Target
+	outcome       Outcome
+	stage         stage
+	hasSubmission bool // submission is set
 }
 
 func (rec *record) close(out Outcome) {
@@ -37,8 +37,8 @@
 	rec.target = ""
 }
 
-// state returns what a caller may be told at present.
-func (rec *record) state() Outcome {
+// currentOutcome returns what may be reported to a caller at present.
+func (rec *record) currentOutcome() Outcome {
 	switch rec.stage {
 	case opened, waiting:
 		return Outcome{Run: RunWaiting}
@@ -49,8 +49,9 @@
 	}
 }
 
-// Submission is what a submit says of a request; Tier and Idempotent of the first submit
-// stand, since a second may come by a daemon with another configuration.
+// Submission is a request as its caller submits it. Tier and Idempotent of the first
+// submission are final, since a second one may come through a daemon with another
+// configuration.
 type Submission struct {
 	Account    yuccaid.Account
 	Pool       yuccaid.Pool
@@ -60,10 +61,10 @@
 	Idempotent bool
 }
 
-// fingerprint digests what must be the same in each submit under one id.
-func (claim Submission) fingerprint() fingerprint {
-	// The names hold no zero byte, so no two claims join to the same text.
-	joined := string(claim.Pool) + "\x00" + string(claim.Operation) + "\x00" + string(claim.Body)
+// fingerprint returns a digest of what must be equal in each submission under one id.
+func (submission Submission) fingerprint() fingerprint {
+	// The names contain no zero byte, so different submissions give different texts.
+	joined := string(submission.Pool) + "\x00" + string(submission.Operation) + "\x00" + string(submission.Body)
 	sum := sha256.Sum256([]byte(joined))
 	return fingerprint(sum[:len(fingerprint{})])
 }
--- a/core/yuccaonce/shelf.go
+++ b/core/yuccaonce/shelf.go
@@ -1,51 +1,52 @@
 package yuccaonce
 
-// chunkSize trades the memory of a half-filled chunk against the count of chunks.
+// chunkSize is a compromise: larger chunks waste memory while half filled, smaller ones
+// make more chunks.
 const chunkSize = 256
 
-// shelf holds records by counter. Counters are given out in order of issue, so the
-// oldest is always first: expiry looks at what expires and at one record more, and
-// finding a record is an index.
-type shelf struct {
+// recordStore stores records by counter. Counters are assigned in order of issue, so
+// the oldest record is always first. Expiry therefore reads only the records that
+// expire and one more, and a lookup is an array access.
+type recordStore struct {
 	chunks []*[chunkSize]record
 	first  uint64 // counter of the oldest record
 	end    uint64 // counter after the newest record
 }
 
-func (shf *shelf) len() int {
-	return int(shf.end - shf.first)
+func (store *recordStore) len() int {
+	return int(store.end - store.first)
 }
 
 // add appends a record and returns its counter.
-func (shf *shelf) add(rec record) uint64 {
-	counter := shf.end
-	shf.end++
+func (store *recordStore) add(rec record) uint64 {
+	counter := store.end
+	store.end++
 	if counter%chunkSize == 0 {
-		shf.chunks = append(shf.chunks, new([chunkSize]record))
+		store.chunks = append(store.chunks, new([chunkSize]record))
 	}
-	*shf.at(counter) = rec
+	*store.at(counter) = rec
 	return counter
 }
 
-// find returns nil for a counter that is not held.
-func (shf *shelf) find(counter uint64) *record {
-	if counter < shf.first || counter >= shf.end {
+// find returns the record with the counter, or nil if it is not stored.
+func (store *recordStore) find(counter uint64) *record {
+	if counter < store.first || counter >= store.end {
 		return nil
 	}
-	return shf.at(counter)
+	return store.at(counter)
 }
 
 // drop removes the oldest record.
-func (shf *shelf) drop() {
-	*shf.at(shf.first) = record{}
-	shf.first++
-	if shf.first%chunkSize == 0 {
-		shf.chunks[0] = nil
-		shf.chunks = shf.chunks[1:]
+func (store *recordStore) drop() {
+	*store.at(store.first) = record{}
+	store.first++
+	if store.first%chunkSize == 0 {
+		store.chunks[0] = nil
+		store.chunks = store.chunks[1:]
 	}
 }
 
-func (shf *shelf) at(counter uint64) *record {
-	base := shf.first / chunkSize
-	return &shf.chunks[counter/chunkSize-base][counter%chunkSize]
+func (store *recordStore) at(counter uint64) *record {
+	base := store.first / chunkSize
+	return &store.chunks[counter/chunkSize-base][counter%chunkSize]
 }
--- a/core/yuccaonce/world_test.go
+++ b/core/yuccaonce/world_test.go
@@ -14,20 +14,20 @@
 
 const daemons = 3
 
-// switches names one mechanism each that a world does without.
+// switches turns off one mechanism of the simulated daemons each.
 type switches struct {
-	hashOwner       bool // the owner is a hash over the live list
-	forgetsEnded    bool // an ended id can be submitted again
-	asksOnly        bool // asking for an unsubmitted id's outcome leaves it open
-	recordsLate     bool // dispatch is recorded after the first byte left
-	ignoresVoid     bool // a grant is used although the request has ended
-	cancelIsNotRun  bool // a cancelled run is told as not run
-	sameIncarnation bool // a restarted process takes over its predecessor's name
-	runsElsewhere   bool // another daemon runs what its lost owner had
+	hashOwner       bool // the owner is chosen by a hash over the daemons believed to be live
+	forgetsClosed   bool // a closed id can be submitted again
+	leavesOpen      bool // querying the outcome of an unsubmitted id leaves it open
+	recordsLate     bool // dispatch is recorded after the first byte was sent
+	ignoresClosed   bool // a grant is used although the request has been closed
+	cancelIsNotRun  bool // a cancelled run is reported as not run
+	sameIncarnation bool // a restarted process keeps its predecessor's incarnation
+	runsElsewhere   bool // another daemon runs the requests of an owner that it can't reach
 }
 
-// book is what one daemon keeps of requests.
-type book struct {
+// requestStore is one daemon's store of requests.
+type requestStore struct {
 	submit   func(id yuccaid.RequestID)
 	outcome  func(id yuccaid.RequestID) yuccaonce.Run
 	dispatch func(id yuccaid.RequestID) bool
@@ -36,7 +36,7 @@
 }
 
 type daemon struct {
-	book
+	requestStore
 	own    *yuccaonce.Owner
 	inc    yuccaid.Incarnation
 	view   [daemons]bool
@@ -50,13 +50,15 @@
 	id       yuccaid.RequestID
 }
 
-// action is one step of a world; its numbers are taken modulo what there is.
+// action is one step of a simulation. a selects a daemon, b a request, message or
+// second daemon, and c a variant; each is reduced modulo the number of choices.
 type action struct {
 	kind    string
 	a, b, c int
 }
 
-// kinds repeats what moves requests on, so that many run before a fault stops them.
+// kinds lists actions that advance requests several times, so that many requests run
+// before a fault stops them.
 var kinds = []string{
 	"open", "submit", "submit", "ask", "deliver", "deliver", "deliver", "deliver", "grant", "grant", "grant",
 	"giveUp", "finish", "restart", "pause", "cut", "look", "time", "jump",
@@ -70,55 +72,56 @@
 	}
 }), 40, 200)
 
-// world is a fleet with its messages, seen by an oracle that knows what targets ran.
-type world struct {
-	off      switches
-	now      time.Time
-	all      [daemons]*daemon
-	cuts     [daemons][daemons]bool
-	ids      []yuccaid.RequestID
-	messages []message
-	runs     map[yuccaid.RequestID]int
-	denied   map[yuccaid.RequestID]bool
-	starts   byte
+// simulation is a set of daemons with the messages between them. Its oracle knows which
+// requests the targets ran.
+type simulation struct {
+	off            switches
+	now            time.Time
+	all            [daemons]*daemon
+	cuts           [daemons][daemons]bool
+	ids            []yuccaid.RequestID
+	messages       []message
+	runs           map[yuccaid.RequestID]int
+	reportedNotRun map[yuccaid.RequestID]bool
+	starts         byte
 }
 
-func newWorld(off switches) *world {
-	w := &world{off: off, now: start, runs: map[yuccaid.RequestID]int{}, denied: map[yuccaid.RequestID]bool{}}
-	for i := range w.all {
-		w.all[i] = w.newDaemon(i)
+func newSimulation(off switches) *simulation {
+	sim := &simulation{off: off, now: start, runs: map[yuccaid.RequestID]int{}, reportedNotRun: map[yuccaid.RequestID]bool{}}
+	for i := range sim.all {
+		sim.all[i] = sim.newDaemon(i)
 	}
-	return w
+	return sim
 }
 
-func (w *world) newDaemon(i int) *daemon {
+func (sim *simulation) newDaemon(i int) *daemon {
 	nonce := [16]byte{byte(i)}
-	if !w.off.sameIncarnation {
-		w.starts++
-		nonce[1] = w.starts
+	if !sim.off.sameIncarnation {
+		sim.starts++
+		nonce[1] = sim.starts
 	}
 	d := &daemon{inc: yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprint("vm-", i)), nonce), view: [daemons]bool{true, true, true}}
 	d.own = yuccaonce.New(d.inc, fleetKey, yuccaonce.WithLifetime(lifetime))
-	d.book = w.ownerBook(d)
-	if w.off.hashOwner {
-		d.book = memoryBook()
+	d.requestStore = sim.ownerStore(d)
+	if sim.off.hashOwner {
+		d.requestStore = mapStore()
 	}
 	return d
 }
 
-func (w *world) ownerBook(d *daemon) book {
+func (sim *simulation) ownerStore(d *daemon) requestStore {
 	own := d.own
-	now := func() time.Time { return w.now.Add(d.skew) }
+	now := func() time.Time { return sim.now.Add(d.skew) }
 	ended := func(id yuccaid.RequestID) {
-		if w.off.forgetsEnded {
+		if sim.off.forgetsClosed {
 			own.Reopen(id)
 		}
 	}
-	return book{
+	return requestStore{
 		submit: func(id yuccaid.RequestID) { own.Submit(now(), id, ticket) },
 		outcome: func(id yuccaid.RequestID) yuccaonce.Run {
 			out, _ := own.Outcome(now(), id, ticket.Account)
-			if w.off.asksOnly && out.Reason == yuccaonce.ReasonNeverSubmitted {
+			if sim.off.leavesOpen && out.Reason == yuccaonce.ReasonNeverSubmitted {
 				own.Reopen(id)
 			}
 			return out.Run
@@ -126,7 +129,7 @@
 		dispatch: func(id yuccaid.RequestID) bool {
 			err := own.Dispatch(now(), id, "t1")
 			var ended *yuccaonce.ClosedError
-			return err == nil || w.off.ignoresVoid && errors.As(err, &ended)
+			return err == nil || sim.off.ignoresClosed && errors.As(err, &ended)
 		},
 		giveUp: func(id yuccaid.RequestID) bool {
 			_, done := own.CloseNotRun(now(), id, yuccaonce.ReasonDisplaced, 0)
@@ -145,8 +148,8 @@
 	}
 }
 
-// memoryBook keeps ids as they come, as a table of idempotency keys does.
-func memoryBook() book {
+// mapStore records ids as they are submitted, like a table of idempotency keys.
+func mapStore() requestStore {
 	runs := map[yuccaid.RequestID]yuccaonce.Run{}
 	move := func(id yuccaid.RequestID, from, to yuccaonce.Run) bool {
 		if runs[id] != from {
@@ -155,7 +158,7 @@
 		runs[id] = to
 		return true
 	}
-	return book{
+	return requestStore{
 		submit: func(id yuccaid.RequestID) { move(id, "", yuccaonce.RunWaiting) },
 		outcome: func(id yuccaid.RequestID) yuccaonce.Run {
 			move(id, "", yuccaonce.NotRun)
@@ -173,17 +176,18 @@
 	}
 }
 
-// owner tells which daemon the one at i takes for the owner, and false for none.
-func (w *world) owner(i int, id yuccaid.RequestID) (int, bool) {
+// owner returns the daemon that the daemon at i considers the owner, and false if there
+// is none.
+func (sim *simulation) owner(i int, id yuccaid.RequestID) (int, bool) {
 	best, score := -1, uint64(0)
-	for k, other := range w.all {
-		if !w.off.hashOwner {
+	for k, other := range sim.all {
+		if !sim.off.hashOwner {
 			if req, err := id.Parse(fleetKey); err == nil && req.Owner == other.inc {
 				return k, true
 			}
 			continue
 		}
-		if h := xxhash.Sum64String(string(id) + string(other.inc.VM)); w.all[i].view[k] && h >= score {
+		if h := xxhash.Sum64String(string(id) + string(other.inc.VM)); sim.all[i].view[k] && h >= score {
 			best, score = k, h
 		}
 	}
@@ -191,167 +195,169 @@
 }
 
 // send routes a caller's message from the daemon at i to the request's owner.
-func (w *world) send(kind string, i int, id yuccaid.RequestID) error {
-	to, found := w.owner(i, id)
+func (sim *simulation) send(kind string, i int, id yuccaid.RequestID) error {
+	to, found := sim.owner(i, id)
 	if found && to == i {
-		return w.handle(message{kind: kind, to: i, id: id})
+		return sim.handle(message{kind: kind, to: i, id: id})
 	}
 	if found {
-		w.messages = append(w.messages, message{kind: kind, from: i, to: to, id: id})
+		sim.messages = append(sim.messages, message{kind: kind, from: i, to: to, id: id})
 	}
-	if w.off.runsElsewhere && kind == "submit" && (!found || w.cuts[i][to]) {
-		return w.ran(id)
+	if sim.off.runsElsewhere && kind == "submit" && (!found || sim.cuts[i][to]) {
+		return sim.ran(id)
 	}
 	return nil
 }
 
-func (w *world) handle(m message) error {
-	d := w.all[m.to]
+func (sim *simulation) handle(m message) error {
+	d := sim.all[m.to]
 	switch m.kind {
 	case "submit":
 		d.submit(m.id)
 	case "ask":
-		return w.told(m.id, d.outcome(m.id))
+		return sim.reported(m.id, d.outcome(m.id))
 	case "grant":
-		if w.off.recordsLate {
-			w.messages = append(w.messages, message{kind: "record", from: m.to, to: m.to, id: m.id})
-			return w.ran(m.id)
+		if sim.off.recordsLate {
+			sim.messages = append(sim.messages, message{kind: "record", from: m.to, to: m.to, id: m.id})
+			return sim.ran(m.id)
 		}
 		if d.dispatch(m.id) {
-			w.messages = append(w.messages, message{kind: "run", from: m.to, to: m.to, id: m.id})
+			sim.messages = append(sim.messages, message{kind: "run", from: m.to, to: m.to, id: m.id})
 		}
 	case "record":
 		d.dispatch(m.id)
 	case "run":
-		return w.ran(m.id)
+		return sim.ran(m.id)
 	}
 	return nil
 }
 
-func (w *world) ran(id yuccaid.RequestID) error {
-	w.runs[id]++
-	return w.check(id)
+func (sim *simulation) ran(id yuccaid.RequestID) error {
+	sim.runs[id]++
+	return sim.check(id)
 }
 
-func (w *world) told(id yuccaid.RequestID, run yuccaonce.Run) error {
+func (sim *simulation) reported(id yuccaid.RequestID, run yuccaonce.Run) error {
 	if run == yuccaonce.NotRun {
-		w.denied[id] = true
+		sim.reportedNotRun[id] = true
 	}
-	return w.check(id)
+	return sim.check(id)
 }
 
-// check is the oracle.
-func (w *world) check(id yuccaid.RequestID) error {
-	if w.runs[id] > 1 {
-		return fmt.Errorf("%s ran %d times", id, w.runs[id])
+// check is the oracle. It returns an error if the request ran twice, or ran and was
+// reported as not run.
+func (sim *simulation) check(id yuccaid.RequestID) error {
+	if sim.runs[id] > 1 {
+		return fmt.Errorf("%s ran %d times", id, sim.runs[id])
 	}
-	if w.runs[id] > 0 && w.denied[id] {
-		return fmt.Errorf("%s ran and was called not run", id)
+	if sim.runs[id] > 0 && sim.reportedNotRun[id] {
+		return fmt.Errorf("%s ran and was reported as not run", id)
 	}
 	return nil
 }
 
-// play runs a history and returns the first breach that the oracle sees.
-func (w *world) play(actions []action) error {
+// play runs a history and returns the first violation that the oracle reports.
+func (sim *simulation) play(actions []action) error {
 	for _, act := range actions {
-		if err := w.step(act); err != nil {
+		if err := sim.step(act); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *world) step(act action) error {
+func (sim *simulation) step(act action) error {
 	i := act.a % daemons
-	d := w.all[i]
+	d := sim.all[i]
 	if act.kind == "pause" {
 		d.paused = act.c%4 == 0
 	}
 	if act.kind == "restart" {
-		w.all[i] = w.newDaemon(i)
+		sim.all[i] = sim.newDaemon(i)
 	}
 	if d.paused {
 		return nil
 	}
 	switch act.kind {
 	case "open":
-		id, _ := d.own.Open(w.now.Add(d.skew), ticket.Account)
-		w.ids = append(w.ids, id)
+		id, _ := d.own.Open(sim.now.Add(d.skew), ticket.Account)
+		sim.ids = append(sim.ids, id)
 	case "cut":
 		k := act.b % daemons
 		cut := i != k && act.c%3 == 0
-		w.cuts[i][k], w.cuts[k][i] = cut, cut
+		sim.cuts[i][k], sim.cuts[k][i] = cut, cut
 	case "look":
 		for k := range d.view {
-			d.view[k] = !w.cuts[i][k] && !w.all[k].paused
+			d.view[k] = !sim.cuts[i][k] && !sim.all[k].paused
 		}
 	case "time":
-		w.now = w.now.Add(time.Duration(act.c) * time.Second)
+		sim.now = sim.now.Add(time.Duration(act.c) * time.Second)
 	case "jump":
 		d.skew = time.Duration(act.c-6) * 10 * time.Second
 	case "deliver":
-		return w.deliver(act)
+		return sim.deliver(act)
 	}
-	if len(w.ids) == 0 {
+	if len(sim.ids) == 0 {
 		return nil
 	}
-	return w.stepRequest(act, i, w.ids[act.b%len(w.ids)])
+	return sim.stepRequest(act, i, sim.ids[act.b%len(sim.ids)])
 }
 
-func (w *world) stepRequest(act action, i int, id yuccaid.RequestID) error {
+func (sim *simulation) stepRequest(act action, i int, id yuccaid.RequestID) error {
 	switch act.kind {
 	case "submit", "ask":
-		return w.send(act.kind, i, id)
+		return sim.send(act.kind, i, id)
 	case "grant":
-		to, _ := w.owner(i, id)
-		w.messages = append(w.messages, message{kind: "grant", from: i, to: max(to, 0), id: id})
+		to, _ := sim.owner(i, id)
+		sim.messages = append(sim.messages, message{kind: "grant", from: i, to: max(to, 0), id: id})
 	case "giveUp":
-		if w.all[i].giveUp(id) {
-			return w.told(id, yuccaonce.NotRun)
+		if sim.all[i].giveUp(id) {
+			return sim.reported(id, yuccaonce.NotRun)
 		}
 	case "finish":
-		return w.finish(act, i, id)
+		return sim.finish(act, i, id)
 	}
 	return nil
 }
 
-// deliver hands over any message, out of order, and every fourth one twice. What
-// goes to a target travels on one stream, which may be late but doubles nothing.
-func (w *world) deliver(act action) error {
-	if len(w.messages) == 0 {
+// deliver delivers any one of the messages, out of order, and a quarter of the messages
+// twice. A message to a target travels on one stream, so it may be late but is never
+// delivered twice.
+func (sim *simulation) deliver(act action) error {
+	if len(sim.messages) == 0 {
 		return nil
 	}
-	at := act.b % len(w.messages)
-	m := w.messages[at]
-	if w.cuts[m.from][m.to] || w.all[m.to].paused {
+	at := act.b % len(sim.messages)
+	m := sim.messages[at]
+	if sim.cuts[m.from][m.to] || sim.all[m.to].paused {
 		return nil
 	}
 	if act.c%4 != 0 || m.kind == "run" {
-		w.messages = append(w.messages[:at:at], w.messages[at+1:]...)
+		sim.messages = append(sim.messages[:at:at], sim.messages[at+1:]...)
 	}
-	return w.handle(m)
+	return sim.handle(m)
 }
 
-// finish ends a run: refused before it ran, cancelled, lost or whole.
-func (w *world) finish(act action, i int, id yuccaid.RequestID) error {
+// finish finishes a run as refused before it ran, cancelled, complete or lost.
+func (sim *simulation) finish(act action, i int, id yuccaid.RequestID) error {
 	result := yuccaonce.Result{Run: yuccaonce.Unknown, Reason: yuccaonce.ReasonTargetLost}
 	switch {
 	case act.c%4 == 0:
-		for at, m := range w.messages {
+		for at, m := range sim.messages {
 			if m.kind == "run" && m.id == id {
-				w.messages = append(w.messages[:at:at], w.messages[at+1:]...)
+				sim.messages = append(sim.messages[:at:at], sim.messages[at+1:]...)
 				result = yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonRefusedByTarget}
 				break
 			}
 		}
 	case act.c%4 == 1:
 		result = yuccaonce.Result{Run: yuccaonce.NotRun, Reason: yuccaonce.ReasonCancelled}
-	case act.c%4 == 2 && w.runs[id] > 0:
+	case act.c%4 == 2 && sim.runs[id] > 0:
 		result = yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 1}
 	}
-	run := w.all[i].finish(id, result)
-	if w.off.cancelIsNotRun && run != "" && result.Reason == yuccaonce.ReasonCancelled {
+	run := sim.all[i].finish(id, result)
+	if sim.off.cancelIsNotRun && run != "" && result.Reason == yuccaonce.ReasonCancelled {
 		run = yuccaonce.NotRun
 	}
-	return w.told(id, run)
+	return sim.reported(id, run)
 }
