--- a/core/yuccaorder/doc.go
+++ b/core/yuccaorder/doc.go
@@ -1,12 +1,13 @@
-// Package yuccaorder decides which orders bring targets to the state that the
-// accepted configuration wishes for.
+// Package yuccaorder decides which orders bring targets to the state that the accepted
+// configuration wishes for them.
 //
-// Decisions are level-triggered: each compares the wish with what the target was just
-// seen to have, so a lost, doubled or failed order is repaired by the next look and
-// leaders need not remember what their predecessors sent. The configuration's number
-// is the fencing number: all leaders derive the same order from the same number, and a
-// target that checks refuses an older one.
+// Decisions are level-triggered: each compares the wish with the state in which the
+// target was just observed. A lost, duplicated or failed order is thus repaired after
+// the next observation, and leaders need not remember what their predecessors sent. The
+// number of the configuration is the fencing number: all leaders derive the same order
+// from the same number, and a target that checks the number refuses an older one.
 //
-// A target that doesn't check obeys whoever comes last. A new leader therefore waits
-// until every order of an old leader has expired, and repairs what it then sees.
+// A target that doesn't check it obeys the last order it receives. A new leader
+// therefore waits until every order of earlier leaders has expired, and repairs the
+// state that it observes then.
 package yuccaorder
--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -6,11 +6,11 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Kind says what an order changes.
+// Kind states what an order changes.
 type Kind string
 
-// The kinds of orders, in the sequence in which a target is brought up: nothing else
-// can be changed before the model is there.
+// The kinds of orders, in the sequence in which a target is brought to its wished
+// state: nothing else can be changed before the model is loaded.
 const (
 	Load    Kind = "load"
 	Version Kind = "version"
@@ -19,8 +19,8 @@
 	Unload  Kind = "unload"
 )
 
-// Order is one step towards the wished state; Expires is the time it may still be
-// obeyed after it was decided.
+// Order is one step towards the wished state. ValidFor is how long after the decision
+// the target may still obey it.
 type Order struct {
 	Target   yuccaid.Target
 	Kind     Kind
@@ -32,17 +32,18 @@
 	ValidFor time.Duration
 }
 
-// fetches reports whether the order makes the target read from the weight store.
-func (order Order) fetches() bool {
+// readsWeights reports whether the order makes the target read from the weight store.
+func (order Order) readsWeights() bool {
 	return order.Kind == Load || order.Kind == Version || order.Kind == Adapter
 }
 
-// ObservedState is what a target was seen to have.
+// ObservedState is the state in which a target was observed.
 type ObservedState struct {
 	Model    yuccaid.Model
 	Version  string
 	Adapters []yuccaid.Model
 	Role     string
-	// Fence is the highest fencing number the target has seen, 0 if it checks none.
+	// Fence is the highest fencing number that the target has received, or 0 if it
+	// doesn't check fencing numbers.
 	Fence yuccaid.ConfigNumber
 }
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -11,21 +11,23 @@
 )
 
 const (
-	// DefaultOrderLifetime is how long an order may be obeyed. Longer would keep new leaders
-	// waiting before targets that don't check; shorter would expire orders in a slow
-	// connection.
+	// DefaultOrderLifetime is how long after its decision an order may be obeyed. A
+	// longer one would keep new leaders waiting before targets that don't check fencing
+	// numbers; with a shorter one orders would expire on a slow connection.
 	DefaultOrderLifetime = 5 * time.Second
-	// DefaultLoadsPerMinute is the fleet's share of the weight store, in reads per minute.
+	// DefaultLoadsPerMinute is the rate at which all leaders together may make targets
+	// read from the weight store.
 	DefaultLoadsPerMinute = 30.0
-	// loadTime is how long a target may take to load before it is ordered again. The
-	// order's own life is far shorter: it bounds when it is taken, not when it is done.
-	loadTime = 2 * time.Minute
+	// loadTimeout is how long a target may take to load before the order is repeated.
+	// An order's lifetime is far shorter, because it bounds when the order is received
+	// and not when it is done.
+	loadTimeout = 2 * time.Minute
 )
 
-// HoldReason says why no order is sent now.
+// HoldReason states why no order is sent now.
 type HoldReason string
 
-// The reasons for sending nothing.
+// The reasons for sending no order.
 const (
 	Settled          HoldReason = "settled"
 	ConfigBehind     HoldReason = "behind"
@@ -34,107 +36,112 @@
 	LoadPacing       HoldReason = "weightStorePacing"
 )
 
-// Planner decides the orders of one pool's leader.
+// Planner decides the orders that the leader of one pool sends.
 type Planner struct {
-	life   time.Duration
-	loads  *rate.Limiter
-	since  time.Time
-	orders map[yuccaid.Target]sent
+	orderLifetime time.Duration
+	loadLimiter   *rate.Limiter
+	leaderSince   time.Time
+	lastOrders    map[yuccaid.Target]sentOrder
 }
 
-// sent is the last order to a target and when it ceases to be obeyed.
-type sent struct {
-	order Order
-	until time.Time
+// sentOrder is the last order to a target and when it may be repeated.
+type sentOrder struct {
+	order    Order
+	repeatAt time.Time
 }
 
-// Option changes a planner's settings.
+// Option changes a setting of a Planner.
 type Option func(*Planner)
 
-// WithOrderLifetime sets how long an order may be obeyed; every leader must use the same.
-func WithOrderLifetime(life time.Duration) Option {
-	return func(plan *Planner) { plan.life = life }
+// WithOrderLifetime sets how long an order may be obeyed; every leader must use the
+// same value.
+func WithOrderLifetime(lifetime time.Duration) Option {
+	return func(plan *Planner) { plan.orderLifetime = lifetime }
 }
 
 // New returns the planner of a leader that took over at the given time.
-func New(since time.Time, options ...Option) *Planner {
+func New(leaderSince time.Time, options ...Option) *Planner {
 	plan := &Planner{
-		life:   DefaultOrderLifetime,
-		loads:  rate.NewLimiter(0, 1),
-		since:  since,
-		orders: make(map[yuccaid.Target]sent),
+		orderLifetime: DefaultOrderLifetime,
+		loadLimiter:   rate.NewLimiter(0, 1),
+		leaderSince:   leaderSince,
+		lastOrders:    make(map[yuccaid.Target]sentOrder),
 	}
 	for _, option := range options {
 		option(plan)
 	}
-	plan.SetLoadRate(since, DefaultLoadsPerMinute, 1)
+	plan.SetLoadRate(leaderSince, DefaultLoadsPerMinute, 1)
 	return plan
 }
 
-// SetLoadRate sets this leader's part of the weight store's rate.
+// SetLoadRate sets this leader's share of the weight store's rate.
 //
 // A release note that changes a model's version makes every leader load at once. The
-// store then refuses or slows all of them, urgent ones too. Each leader keeps to an
-// equal part of the leaders in view; in a cut each side sees fewer leaders and takes
-// more, so the sum may exceed the rate by the number of parts for as long as it lasts.
+// store would then refuse or slow all of the reads, urgent ones too. Each leader
+// therefore uses an equal share among the leaders that it knows. In a partition each
+// side knows fewer leaders and uses more, so the total may reach the rate times the
+// number of parts until the partition ends.
 func (plan *Planner) SetLoadRate(now time.Time, perMinute float64, leaders int) {
 	perSecond := perMinute / time.Minute.Seconds() / float64(max(leaders, 1))
-	plan.loads.SetLimitAt(now, rate.Limit(perSecond))
+	plan.loadLimiter.SetLimitAt(now, rate.Limit(perSecond))
 }
 
 // NextOrder compares a target with its wish and returns the order to send now, or the
 // reason for sending none.
-func (plan *Planner) NextOrder(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, seen ObservedState) (Order, HoldReason) {
-	order, differs := step(wish, seen)
+func (plan *Planner) NextOrder(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, observed ObservedState) (Order, HoldReason) {
+	order, differs := firstDifference(wish, observed)
 	if !differs {
-		delete(plan.orders, name)
+		delete(plan.lastOrders, name)
 		return Order{}, Settled
 	}
-	// A target that has seen a newer number was ordered by a leader that knows more.
-	if seen.Fence > number {
+	// The target has received an order of a leader with a newer configuration.
+	if observed.Fence > number {
 		return Order{}, ConfigBehind
 	}
-	// An old leader that was frozen may still have an order under way to a target that
-	// doesn't check; it would undo ours. No order outlives its life, so wait for it.
-	if !target.ChecksFence && now.Before(plan.since.Add(plan.life)) {
+	// An earlier leader that was frozen may still have an order on its way to a target
+	// that doesn't check fencing numbers; it would undo this leader's order. No order
+	// is obeyed after its lifetime, so wait for that time.
+	if !target.ChecksFence && now.Before(plan.leaderSince.Add(plan.orderLifetime)) {
 		return Order{}, WaitForOldOrders
 	}
 	order.Target = name
 	order.Fence = number
-	order.ValidFor = plan.life
-	if last, found := plan.orders[name]; found && now.Before(last.until) && last.order == order {
+	order.ValidFor = plan.orderLifetime
+	if last, found := plan.lastOrders[name]; found && now.Before(last.repeatAt) && last.order == order {
 		return Order{}, OrderPending
 	}
-	if order.fetches() && !plan.loads.AllowN(now, 1) {
+	if order.readsWeights() && !plan.loadLimiter.AllowN(now, 1) {
 		return Order{}, LoadPacing
 	}
-	plan.orders[name] = sent{order: order, until: now.Add(plan.patience(order))}
+	plan.lastOrders[name] = sentOrder{order: order, repeatAt: now.Add(plan.repeatAfter(order))}
 	return order, ""
 }
 
-// patience is how long to wait for an order to show before it is repeated.
-func (plan *Planner) patience(order Order) time.Duration {
-	if order.fetches() {
-		return loadTime
+// repeatAfter returns how long to wait for an order to take effect before it is
+// repeated.
+func (plan *Planner) repeatAfter(order Order) time.Duration {
+	if order.readsWeights() {
+		return loadTimeout
 	}
-	return plan.life
+	return plan.orderLifetime
 }
 
-// step returns the first difference between wish and target. An empty field of the
-// wish asks for nothing, so a target that nobody configured is left as it is.
-func step(wish yuccastate.Wish, seen ObservedState) (Order, bool) {
-	if wish.Model != "" && wish.Model != seen.Model {
+// firstDifference returns the order for the first difference between the wish and the
+// target's state. An empty field of the wish asks for nothing, so a target without a
+// configured wish is left as it is.
+func firstDifference(wish yuccastate.Wish, observed ObservedState) (Order, bool) {
+	if wish.Model != "" && wish.Model != observed.Model {
 		return Order{Kind: Load, Model: wish.Model, Version: wish.Version}, true
 	}
-	if wish.Version != "" && wish.Version != seen.Version {
+	if wish.Version != "" && wish.Version != observed.Version {
 		return Order{Kind: Version, Model: wish.Model, Version: wish.Version}, true
 	}
 	for _, adapter := range wish.Adapters {
-		if !slices.Contains(seen.Adapters, adapter) {
+		if !slices.Contains(observed.Adapters, adapter) {
 			return Order{Kind: Adapter, Adapter: adapter}, true
 		}
 	}
-	if wish.Role != "" && wish.Role != seen.Role {
+	if wish.Role != "" && wish.Role != observed.Role {
 		return Order{Kind: Role, Role: wish.Role}, true
 	}
 	return Order{}, false
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -15,8 +15,8 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// engine obeys orders as a target does: by fencing number if it checks, and never
-// after an order's life.
+// engine obeys orders like a target: by fencing number if it checks one, and never
+// after an order's lifetime.
 type engine struct {
 	checks bool
 	seen   yuccaorder.ObservedState
@@ -49,7 +49,7 @@
 
 var _ = Describe("orders to targets", func() {
 	checking := yuccastate.Target{ChecksFence: true}
-	trusting := yuccastate.Target{}
+	notChecking := yuccastate.Target{}
 
 	It("bring a target to its wish one step at a time and then stop", func() {
 		plan := yuccaorder.New(start)
@@ -68,10 +68,11 @@
 		Expect(kinds).To(Equal([]yuccaorder.Kind{yuccaorder.Load, yuccaorder.Role}))
 	})
 
-	// A leader is frozen with an order in hand. Its successor brings the target to the
-	// new version; the old leader wakes and sends the old order. Users would be
-	// answered by a version that operators had withdrawn.
-	DescribeTable("of a leader that was frozen don't win",
+	// Guards against obeying a late order. A leader is frozen before its order is
+	// delivered, and its successor brings the target to the new version; then the old
+	// leader resumes and sends the old order. Callers would be answered by a version
+	// that operators had withdrawn.
+	DescribeTable("of a leader that was frozen are not obeyed",
 		func(target yuccastate.Target) {
 			eng := &engine{checks: target.ChecksFence}
 			old := yuccaorder.New(start.Add(-time.Hour))
@@ -90,12 +91,13 @@
 			Expect(eng.obey(late, now.Sub(start))).To(BeFalse())
 			Expect(eng.seen.Version).To(Equal(wishFor(2).Version))
 		},
-		Entry("before a target that checks the fencing number", checking),
-		Entry("before a target that doesn't, by its expiry", trusting),
+		Entry("by a target that checks the fencing number", checking),
+		Entry("by a target that doesn't, after the order's lifetime", notChecking),
 	)
 
-	// A load takes minutes and the order's life is seconds. Repeating it each time would
-	// use up the weight store's rate that other targets wait for.
+	// Guards against repeating loads. A load takes minutes and an order's lifetime is
+	// seconds; repeating the order each time would use up the weight store's rate that
+	// other targets wait for.
 	It("are not repeated while a load is under way", func() {
 		plan := yuccaorder.New(start)
 		orders := 0
@@ -108,7 +110,7 @@
 		Expect(orders).To(Equal(1))
 	})
 
-	It("keep within the weight store's rate when every target needs a load", func() {
+	It("keep to the weight store's rate when every target needs a load", func() {
 		const leaders = 4
 		loads := 0
 		plans := make([]*yuccaorder.Planner, leaders)
@@ -130,9 +132,10 @@
 	})
 })
 
-// Two leaders act at once on the same targets, either may be behind, and orders come
-// late. A target that checks must never go back to an older number, and once one
-// leader is left it must reach the newest wish.
+// Guards against returning to an older configuration. Two leaders order the same target
+// at once, either may have an older configuration, and orders come late. A target that
+// checks fencing numbers must never accept a lower one, and once a single leader
+// remains, the target must reach the newest wish.
 func TestNewestWishWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eng := &engine{checks: true}
@@ -154,7 +157,7 @@
 			}
 			order = late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
 			if eng.obey(order, 0) && order.Fence < highest {
-				t.Fatalf("went back from %d to %d", highest, order.Fence)
+				t.Fatalf("fencing number fell from %d to %d", highest, order.Fence)
 			}
 			highest = max(highest, eng.seen.Fence)
 		}
@@ -167,7 +170,7 @@
 			}
 		}
 		if eng.seen.Version != wishFor(6).Version || eng.seen.Role != "decode" {
-			t.Fatalf("ended at %+v", eng.seen)
+			t.Fatalf("final state is %+v", eng.seen)
 		}
 	})
 }
