--- a/core/yuccapack/check.go
+++ b/core/yuccapack/check.go
@@ -5,37 +5,38 @@
 	"errors"
 )
 
-// maxDepth bounds how deep arrays and maps stand in one another. The messages need
-// four; a value of nothing but opened arrays would have a recursive decoder take
+// maxDepth bounds the nesting of arrays and maps. The messages need four levels; a
+// value that consists only of nested array headers would make a recursive decoder use
 // hundreds of megabytes of stack.
 const maxDepth = 32
 
 var (
-	// ErrLength says that a value announces more than follows it.
-	ErrLength = errors.New("a length exceeds what follows: send the value again")
-	// ErrTrailing says that bytes follow a value.
+	// ErrLength means that a value announces more bytes or items than follow it.
+	ErrLength = errors.New("a length exceeds the bytes that follow: send the value again")
+	// ErrTrailing means that bytes follow the value.
 	ErrTrailing = errors.New("bytes follow the value: send one value only")
-	// ErrTooDeep says that arrays and maps stand too deep in one another.
+	// ErrTooDeep means that arrays and maps are nested too deep.
 	ErrTooDeep = errors.New("the value is nested too deep: send a flatter one")
-	// ErrInvalidCode says that a byte is none that msgpack uses.
-	ErrInvalidCode = errors.New("a byte is no msgpack: send the value again")
+	// ErrInvalidCode means that a byte is not a msgpack type code.
+	ErrInvalidCode = errors.New("a byte is not a msgpack type code: send the value again")
 )
 
-// Check walks over one msgpack value without recursion and without allocating: it refuses what is cut short, has bytes left over or is nested too deep before a
-// decoder allocates anything on the word of a length inside.
+// Check validates one msgpack value without recursion and without allocating. It
+// refuses a value that is truncated, followed by further bytes or nested too deep,
+// before a decoder allocates memory for a length that the value announces.
 func Check(body []byte) error {
-	var open [maxDepth]uint64
+	var remaining [maxDepth]uint64
 	depth := 0
-	open[0] = 1
+	remaining[0] = 1
 	for {
-		for open[depth] == 0 {
+		for remaining[depth] == 0 {
 			if depth == 0 {
 				return checkEnd(body)
 			}
 			depth--
 		}
-		open[depth]--
-		size, items, err := head(body)
+		remaining[depth]--
+		size, items, err := header(body)
 		if err != nil {
 			return err
 		}
@@ -47,7 +48,7 @@
 			return ErrTooDeep
 		}
 		depth++
-		open[depth] = items
+		remaining[depth] = items
 	}
 }
 
@@ -58,17 +59,17 @@
 	return nil
 }
 
-// shape tells how a value's bytes go on behind its first one.
-type shape struct {
+// layout describes the bytes of a value after its type code: lengthBytes bytes of a
+// count, then fixed further bytes. perItem is the number of values for each counted
+// item; 0 means that the count is of bytes.
+type layout struct {
 	lengthBytes int
 	fixed       uint64
 	perItem     uint64
 }
 
-// shapes holds the codes from 0xc0 to 0xdf. A value has lengthBytes of a count and
-// fixed further bytes; perItem says how many values each counted item is, and 0
-// that the count is of bytes.
-var shapes = [...]shape{
+// layouts holds the layouts of the type codes from 0xc0 to 0xdf.
+var layouts = [...]layout{
 	{},
 	{},
 	{},
@@ -104,61 +105,61 @@
 }
 
 const (
-	firstShape  = 0xc0
+	firstLayout = 0xc0
 	unusedCode  = 0xc1
-	lastShape   = 0xdf
+	lastLayout  = 0xdf
 	fixMap      = 0x80
 	fixArray    = 0x90
 	fixString   = 0xa0
-	itemsMask   = 0x0f
-	lettersMask = 0x1f
+	countMask   = 0x0f
+	lengthMask  = 0x1f
 )
 
-// head returns how many bytes the value's own part takes and how many values follow
-// inside it.
-func head(body []byte) (size int, items uint64, err error) {
+// header returns how many bytes of body the value itself takes, and how many values are
+// nested directly inside it.
+func header(body []byte) (size int, items uint64, err error) {
 	if len(body) == 0 {
 		return 0, 0, ErrLength
 	}
 	code := body[0]
 	switch {
-	case code < fixMap, code > lastShape:
+	case code < fixMap, code > lastLayout:
 		return 1, 0, nil
 	case code < fixArray:
-		return 1, 2 * uint64(code&itemsMask), nil
+		return 1, 2 * uint64(code&countMask), nil
 	case code < fixString:
-		return 1, uint64(code & itemsMask), nil
-	case code < firstShape:
-		return within(body, 1+uint64(code&lettersMask), 0)
+		return 1, uint64(code & countMask), nil
+	case code < firstLayout:
+		return bounded(body, 1+uint64(code&lengthMask), 0)
 	case code == unusedCode:
 		return 0, 0, ErrInvalidCode
 	}
-	return shaped(body, shapes[code-firstShape])
+	return layoutHeader(body, layouts[code-firstLayout])
 }
 
-func shaped(body []byte, form shape) (size int, items uint64, err error) {
-	own := 1 + uint64(form.lengthBytes)
-	if uint64(len(body)) < own {
+func layoutHeader(body []byte, lay layout) (size int, items uint64, err error) {
+	headerBytes := 1 + uint64(lay.lengthBytes)
+	if uint64(len(body)) < headerBytes {
 		return 0, 0, ErrLength
 	}
-	count := number(body[1:own])
-	if form.perItem == 0 {
-		return within(body, own+form.fixed+count, 0)
+	count := bigEndian(body[1:headerBytes])
+	if lay.perItem == 0 {
+		return bounded(body, headerBytes+lay.fixed+count, 0)
 	}
-	return within(body, own, form.perItem*count)
+	return bounded(body, headerBytes, lay.perItem*count)
 }
 
-// within refuses a value that claims more than there is; each value inside takes a
-// byte at least.
-func within(body []byte, size, items uint64) (int, uint64, error) {
+// bounded refuses a value that announces more than the body holds; each nested value
+// takes at least a byte.
+func bounded(body []byte, size, items uint64) (int, uint64, error) {
 	if size+items > uint64(len(body)) {
 		return 0, 0, ErrLength
 	}
 	return int(size), items, nil
 }
 
-func number(raw []byte) uint64 {
+func bigEndian(encoded []byte) uint64 {
 	var wide [8]byte
-	copy(wide[8-len(raw):], raw)
+	copy(wide[8-len(encoded):], encoded)
 	return binary.BigEndian.Uint64(wide[:])
 }
--- a/core/yuccapack/check_test.go
+++ b/core/yuccapack/check_test.go
@@ -9,8 +9,9 @@
 	"yuccacleat/core/yuccapack"
 )
 
-// Damaged bytes reach a decoder. What passes the check must never announce more than
-// is there, or a few bytes end a process for lack of memory.
+// Guards against values that announce more than they hold, such as damaged ones: a
+// decoder would allocate memory for the announced length, and a few bytes could end the
+// process.
 func FuzzCheck(f *testing.F) {
 	for _, value := range []any{1, "text", []int{1, 2}, map[string]int{"a": 1}, nil, 2.5, []byte("x")} {
 		raw, err := msgpack.Marshal(value)
@@ -24,7 +25,7 @@
 	}
 	for _, hostile := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdf, 0xff, 0xff, 0xff, 0xff}, {0xc6, 0xff, 0xff, 0xff, 0xff}, {}} {
 		if !errors.Is(yuccapack.Check(hostile), yuccapack.ErrLength) {
-			f.Fatalf("% x was let through", hostile)
+			f.Fatalf("% x was not refused", hostile)
 		}
 		f.Add(hostile)
 	}
