--- a/core/yuccaonce/answers.go
+++ b/core/yuccaonce/answers.go
@@ -54,16 +54,16 @@
 
 // Put stores a complete answer of the given size, evicting the oldest answers if
 // necessary. It reports false if the answer is too large or the id already has one.
-func (buf *AnswerBuffer[A]) Put(now time.Time, id yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
+func (buf *AnswerBuffer[A]) Put(now time.Time, requestID yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
 	reading := buf.advance(now)
-	if buf.answers[id] != nil || size > buf.limit/answerShare {
+	if buf.answers[requestID] != nil || size > buf.limit/answerShare {
 		return false
 	}
 	for buf.bytes+size > buf.limit {
 		buf.drop()
 	}
-	entry := &keptAnswer[A]{id: id, answer: answer, size: size, added: reading}
-	buf.answers[id] = entry
+	entry := &keptAnswer[A]{id: requestID, answer: answer, size: size, added: reading}
+	buf.answers[requestID] = entry
 	buf.order = append(buf.order, entry)
 	buf.bytes += size
 	return true
@@ -77,9 +77,9 @@
 }
 
 // Get returns the complete answer if it is still stored.
-func (buf *AnswerBuffer[A]) Get(now time.Time, id yuccaid.RequestID) (A, bool) {
+func (buf *AnswerBuffer[A]) Get(now time.Time, requestID yuccaid.RequestID) (A, bool) {
 	buf.advance(now)
-	entry := buf.answers[id]
+	entry := buf.answers[requestID]
 	if entry == nil {
 		var none A
 		return none, false
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -96,7 +96,7 @@
 //
 // If it were called afterwards, the request could be displaced in between, and the
 // caller would be told that the request did not run while the target runs it.
-func (own *Owner) Dispatch(now time.Time, id yuccaid.RequestID, target yuccaid.Target) error {
+func (own *Owner) Dispatch(now time.Time, id yuccaid.RequestID, tgt yuccaid.Target) error {
 	rec, err := own.find(now, id)
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	case closed:
 		return &ClosedError{ID: id, Outcome: rec.outcome}
 	}
-	rec.target = target
+	rec.target = tgt
 	own.setStage(rec, dispatched)
 	return nil
 }
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -55,8 +55,8 @@
 
 // WithOrderLifetime sets how long an order may be obeyed; every leader must use the
 // same value.
-func WithOrderLifetime(lifetime time.Duration) Option {
-	return func(plan *Planner) { plan.orderLifetime = lifetime }
+func WithOrderLifetime(orderLifetime time.Duration) Option {
+	return func(plan *Planner) { plan.orderLifetime = orderLifetime }
 }
 
 // New returns the planner of a leader that took over at the given time.
