--- a/core/yuccaplace/cache.go
+++ b/core/yuccaplace/cache.go
@@ -5,119 +5,122 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// block is one recorded prefix block in a target's cache, linked by last use.
+// block is one prefix block in a cacheModel, linked to its neighbours by last use.
 type block struct {
 	hash         uint64
 	newer, older int32
 }
 
-// record is what the leader believes a target's prefix cache holds, the least
-// recently used block first out, bounded by the engine's own cache.
+// cacheModel is the leader's estimate of which prefix blocks a target's cache holds. It
+// holds as many blocks as the engine's cache and evicts the least recently used block
+// first.
 //
-// The engines publish their cache late and with gaps, so the record is made from what
-// was sent there and merely corrected by the events.
-type record struct {
+// The engines publish their cache events late and with gaps. The model is therefore
+// built from the prompts that were sent to the target, and the events only correct it.
+type cacheModel struct {
 	limit  int
-	places map[uint64]int32
+	index  map[uint64]int32
 	blocks []block
 	free   []int32
 	newest int32
 	oldest int32
-	// hits and stored count blocks that were found and blocks that were new, both
-	// fading with each prompt.
+	// hits and stored are moving averages over prompts: the blocks of a prompt that
+	// were found in the cache, and the blocks that were added.
 	hits   float64
 	stored float64
 }
 
-// note counts what a prompt found and what it stored.
-func (rec *record) note(hits, stored int) {
-	rec.hits += valueWeight * (float64(hits) - rec.hits)
-	rec.stored += valueWeight * (float64(stored) - rec.stored)
+// recordPrompt adds one prompt's found and added blocks to the averages.
+func (model *cacheModel) recordPrompt(hits, stored int) {
+	model.hits += cacheValueWeight * (float64(hits) - model.hits)
+	model.stored += cacheValueWeight * (float64(stored) - model.stored)
 }
 
-// worth is how many blocks were found lately for each that was stored: what pushing a
-// block out of a full cache is likely to cost later.
-func (rec *record) worth() float64 {
-	if len(rec.places) < rec.limit || rec.stored <= 0 {
+// evictionCost returns how many blocks were recently found for each block that was
+// added, up to maxCacheValue. It estimates what evicting a block will cost later; it is
+// 0 while the cache isn't full, because nothing is evicted then.
+func (model *cacheModel) evictionCost() float64 {
+	if len(model.index) < model.limit || model.stored <= 0 {
 		return 0
 	}
-	return min(rec.hits/rec.stored, mostWorth)
+	return min(model.hits/model.stored, maxCacheValue)
 }
 
-const none = -1
+const noBlock = -1
 
-func newRecord(cache yuccaid.Tokens) record {
-	return record{
+func newCacheModel(cache yuccaid.Tokens) cacheModel {
+	return cacheModel{
 		limit:  int(cache / yuccaqueue.BlockTokens),
-		places: map[uint64]int32{},
-		newest: none,
-		oldest: none,
+		index:  map[uint64]int32{},
+		newest: noBlock,
+		oldest: noBlock,
 	}
 }
 
-// touch makes a block the most recently used; it returns the hash that had to go for
-// it and whether the block is new.
-func (rec *record) touch(hash uint64) (evicted uint64, gone, fresh bool) {
-	if rec.limit == 0 {
+// touch makes a block the most recently used one and adds it if it is absent. It
+// returns the hash of the block that was evicted for it, whether there was one, and
+// whether the block was added.
+func (model *cacheModel) touch(hash uint64) (evicted uint64, didEvict, added bool) {
+	if model.limit == 0 {
 		return 0, false, false
 	}
-	if at, found := rec.places[hash]; found {
-		rec.unlink(at)
-		rec.link(at)
+	if at, found := model.index[hash]; found {
+		model.unlink(at)
+		model.link(at)
 		return 0, false, false
 	}
-	if len(rec.places) >= rec.limit {
-		evicted, gone = rec.blocks[rec.oldest].hash, true
-		rec.drop(evicted)
+	if len(model.index) >= model.limit {
+		evicted, didEvict = model.blocks[model.oldest].hash, true
+		model.drop(evicted)
 	}
-	at := rec.slot()
-	rec.blocks[at].hash = hash
-	rec.places[hash] = at
-	rec.link(at)
-	return evicted, gone, true
+	at := model.allocate()
+	model.blocks[at].hash = hash
+	model.index[hash] = at
+	model.link(at)
+	return evicted, didEvict, true
 }
 
-func (rec *record) drop(hash uint64) bool {
-	at, found := rec.places[hash]
+func (model *cacheModel) drop(hash uint64) bool {
+	at, found := model.index[hash]
 	if !found {
 		return false
 	}
-	rec.unlink(at)
-	delete(rec.places, hash)
-	rec.free = append(rec.free, at)
+	model.unlink(at)
+	delete(model.index, hash)
+	model.free = append(model.free, at)
 	return true
 }
 
-func (rec *record) slot() int32 {
-	if last := len(rec.free) - 1; last >= 0 {
-		at := rec.free[last]
-		rec.free = rec.free[:last]
+func (model *cacheModel) allocate() int32 {
+	if last := len(model.free) - 1; last >= 0 {
+		at := model.free[last]
+		model.free = model.free[:last]
 		return at
 	}
-	rec.blocks = append(rec.blocks, block{})
-	return int32(len(rec.blocks) - 1)
+	model.blocks = append(model.blocks, block{})
+	return int32(len(model.blocks) - 1)
 }
 
-func (rec *record) link(at int32) {
-	rec.blocks[at].newer, rec.blocks[at].older = none, rec.newest
-	if rec.newest != none {
-		rec.blocks[rec.newest].newer = at
+func (model *cacheModel) link(at int32) {
+	model.blocks[at].newer, model.blocks[at].older = noBlock, model.newest
+	if model.newest != noBlock {
+		model.blocks[model.newest].newer = at
 	} else {
-		rec.oldest = at
+		model.oldest = at
 	}
-	rec.newest = at
+	model.newest = at
 }
 
-func (rec *record) unlink(at int32) {
-	one := rec.blocks[at]
-	if one.newer != none {
-		rec.blocks[one.newer].older = one.older
+func (model *cacheModel) unlink(at int32) {
+	removed := model.blocks[at]
+	if removed.newer != noBlock {
+		model.blocks[removed.newer].older = removed.older
 	} else {
-		rec.newest = one.older
+		model.newest = removed.older
 	}
-	if one.older != none {
-		rec.blocks[one.older].newer = one.newer
+	if removed.older != noBlock {
+		model.blocks[removed.older].newer = removed.newer
 	} else {
-		rec.oldest = one.newer
+		model.oldest = removed.newer
 	}
 }
--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -7,268 +7,282 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Verdict says why a request got no target.
+// Verdict reports whether Choose found a target and, if not, why.
 type Verdict int
 
 // The verdicts of Choose.
 const (
-	// Found says that there is a target.
+	// Found means that the choice holds a target.
 	Found Verdict = iota
-	// NoFreeSlot says that no target of the set has room.
+	// NoFreeSlot means that no target of the set can accept the request now.
 	NoFreeSlot
-	// Unsuitable says that those with room can't meet the deadline, or not without harm to
-	// others; another request may still use that room.
+	// Unsuitable means that targets have free slots, but none of them can meet the
+	// request's deadline without harm to other requests. Another request may still use
+	// those slots.
 	Unsuitable
-	// WaitForBetter says that a target without room now is worth waiting for.
+	// WaitForBetter means that a target without a free slot is worth waiting for.
 	WaitForBetter
 )
 
-// Choice is a target for a request and what is expected there.
+// Choice is a target for a request with the estimates for it: the cached part of the
+// prompt, the wait until its prefill starts, and the time from now until its answer is
+// complete.
 type Choice struct {
 	TargetState *TargetState
 	Cached      yuccaid.Tokens
 	Wait        time.Duration
 	Finish      time.Duration
-	high        time.Duration
+	finishP90   time.Duration
 	cost        float64
 }
 
-// Choose returns the cheapest target of the set that has room and meets the deadline.
+// Choose returns the cheapest target of the set that has a free slot and meets the
+// deadline.
 //
-// Made for a fleet of unlike speeds whose load reports are old: the cost is the time
-// until the answer is whole, by the leader's own count of what is there, plus the
-// prefill that another target's cache would have saved, each by its policy weight. So
-// a cached prefix draws a request to its target, and gives way as soon as waiting
-// there costs more than computing the prefix again.
-func (fleet *Placer) Choose(now time.Time, reach *TargetSet, shape *Request) (Choice, Verdict) {
-	fleet.stamp++
-	deepest := min(fleet.prefixes.mark(fleet.stamp, shape.Prefixes), shape.Prompt)
+// Targets differ in speed and their load reports are old. The cost is therefore the
+// estimated time until the answer is complete, by the leader's own count of what runs
+// on the target, plus the prefill that another target's cache would have saved, each
+// multiplied by its policy weight. A cached prefix thus attracts a request to its
+// target only until waiting there costs more than computing the prefix again.
+func (placer *Placer) Choose(now time.Time, set *TargetSet, req *Request) (Choice, Verdict) {
+	placer.generation++
+	longestCached := min(placer.prefixes.markHeld(placer.generation, req.Prefixes), req.Prompt)
 	best := Choice{cost: math.Inf(1)}
 	verdict := NoFreeSlot
-	keep := fleet.longRoom(shape)
-	for _, node := range reach.nodes {
-		if keep && node.longs == 0 {
+	confined := placer.longPromptsConfined(req)
+	for _, state := range set.states {
+		if confined && state.longPrompts == 0 {
 			continue
 		}
-		if !fleet.room(now, node, shape) {
+		if !placer.canAccept(now, state, req) {
 			continue
 		}
-		if reach.holds(node) {
-			if fleet.mayProbe(now, node, shape) {
-				return Choice{TargetState: node, Finish: fleet.usual(node, shape)}, Found
+		if set.excludes(state) {
+			if placer.mayProbe(now, state, req) {
+				return Choice{TargetState: state, Finish: placer.usualTime(state, req)}, Found
 			}
 			continue
 		}
-		choice := fleet.estimate(now, node, shape, deepest, node.company(now))
+		choice := placer.estimate(now, state, req, longestCached, state.targetLoad(now))
 		if verdict == NoFreeSlot {
 			verdict = Unsuitable
 		}
-		if choice.late(now, shape) || choice.cost >= best.cost || fleet.spoils(now, node, shape, &choice) {
+		if choice.missesDeadline(now, req) || choice.cost >= best.cost || placer.harmsOthers(now, state, req, &choice) {
 			continue
 		}
 		verdict = Found
 		best = choice
 	}
-	if verdict == Found && fleet.worthWaiting(now, reach, shape, deepest, &best) {
+	if verdict == Found && placer.worthWaiting(now, set, req, longestCached, &best) {
 		return best, WaitForBetter
 	}
 	return best, verdict
 }
 
-// worthWaiting reports whether a target without room now, which holds more of the
-// prompt than the best with room, is the better choice even with the wait. It looks
-// only when what the cache saves is more than the depth, so not for short requests.
-func (fleet *Placer) worthWaiting(now time.Time, reach *TargetSet, shape *Request, deepest yuccaid.Tokens, best *Choice) bool {
-	if fleet.plain || shape.LastAttempt || best.TargetState.prefillTime(deepest-best.Cached) <= fleet.depth {
+// worthWaiting reports whether a target without a free slot that holds more of the
+// prompt than the best target with one costs less, even including the wait. It compares
+// targets only if the longer cached prefix saves more prefill time than maxPrefillWait,
+// so it never makes short requests wait.
+func (placer *Placer) worthWaiting(now time.Time, set *TargetSet, req *Request, longestCached yuccaid.Tokens, best *Choice) bool {
+	if placer.plainService || req.LastAttempt || best.TargetState.prefillTime(longestCached-best.Cached) <= placer.maxPrefillWait {
 		return false
 	}
-	for _, node := range reach.nodes {
-		if node.stamp != fleet.stamp || node.hit <= best.Cached || fleet.room(now, node, shape) {
+	for _, state := range set.states {
+		if state.generation != placer.generation || state.heldPrefix <= best.Cached || placer.canAccept(now, state, req) {
 			continue
 		}
-		if other, ok := fleet.later(now, node, shape, deepest); ok && other.cost < best.cost {
+		if queued, ok := placer.estimateQueued(now, state, req, longestCached); ok && queued.cost < best.cost {
 			return true
 		}
 	}
 	return false
 }
 
-// spoils reports whether the request would take from others on the target what they
-// need more. At its last moment a request is let in unless it makes a run late.
-func (fleet *Placer) spoils(now time.Time, node *TargetState, shape *Request, choice *Choice) bool {
-	if fleet.plain {
+// harmsOthers reports whether the request would harm requests that take precedence over
+// it on the target. On its last attempt a request is rejected only if it would make a
+// run late.
+func (placer *Placer) harmsOthers(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
+	if placer.plainService {
 		return false
 	}
-	return node.harms(now, shape, choice) || !shape.LastAttempt && fleet.crowdsOut(now, node, shape, choice)
+	return state.makesRunsLate(now, req, choice) || !req.LastAttempt && placer.blocksHigherTier(now, state, req, choice)
 }
 
-// later estimates a target that has no room now but holds more of the prompt than
-// nothing. Waiting for it is worth while as long as it costs less than computing the
-// prefix again somewhere else, which would also push out what is cached there.
-func (fleet *Placer) later(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens) (Choice, bool) {
-	if node.Leaving() || node.probing {
+// estimateQueued estimates the request on a target that has no free slot now but holds
+// part of the prompt. It reports false if the request's deadline leaves too little
+// slack to wait. Waiting is worthwhile while it costs less than computing the prefix
+// again on another target, which would also evict blocks cached there.
+func (placer *Placer) estimateQueued(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens) (Choice, bool) {
+	if state.Leaving() || state.probing {
 		return Choice{}, false
 	}
-	with := node.company(now)
-	if node.busy(now) >= node.Target.Slots+fleet.spare {
-		with.wait += node.slotWait(now)
+	load := state.targetLoad(now)
+	if state.occupied(now) >= state.Target.Slots+placer.extraSlots {
+		load.prefillWait += state.slotWait(now)
 	}
-	choice := fleet.estimate(now, node, shape, deepest, with)
-	spare := shape.Deadline.Sub(now) - choice.Finish
-	return choice, spare > time.Duration(patienceSlack*float64(choice.Finish))
+	choice := placer.estimate(now, state, req, longestCached, load)
+	slack := req.Deadline.Sub(now) - choice.Finish
+	return choice, slack > time.Duration(queueSlack*float64(choice.Finish))
 }
 
-// slotWait is how long until the first of the target's runs is likely to end.
-func (node *TargetState) slotWait(now time.Time) time.Duration {
-	least := time.Duration(math.MaxInt64)
-	for _, run := range node.runs {
+// slotWait returns the estimated time until the first of the target's runs finishes.
+func (state *TargetState) slotWait(now time.Time) time.Duration {
+	shortest := time.Duration(math.MaxInt64)
+	for _, run := range state.runs {
 		if !run.Prefilling() {
-			least = min(least, node.decodeTime(run.left(now), float64(len(node.runs)-1)))
+			shortest = min(shortest, state.decodeTime(run.tokensLeft(now), float64(len(state.runs)-1)))
 		}
 	}
-	if least == math.MaxInt64 {
-		return node.prefillWait(now)
+	if shortest == math.MaxInt64 {
+		return state.prefillWait(now)
 	}
-	return least
+	return shortest
 }
 
-// late reports whether the request is likely to miss its deadline. Until its last
-// moment it wants room even for a long answer: what ends late has cost the target its
-// prefill and its answer, and nobody gets anything for it.
-func (choice *Choice) late(now time.Time, shape *Request) bool {
-	return now.Add(choice.needs(shape)).After(shape.Deadline)
+// missesDeadline reports whether the request is likely to miss its deadline. Before its
+// last attempt it must have time for a long answer as well, because a run that finishes
+// late has cost the target its prefill and its decoding and is of no use to the caller.
+func (choice *Choice) missesDeadline(now time.Time, req *Request) bool {
+	return now.Add(choice.requiredTime(req)).After(req.Deadline)
 }
 
-func (choice *Choice) needs(shape *Request) time.Duration {
-	if shape.LastAttempt {
+func (choice *Choice) requiredTime(req *Request) time.Duration {
+	if req.LastAttempt {
 		return choice.Finish
 	}
-	return max(choice.Finish, choice.high)
+	return max(choice.Finish, choice.finishP90)
 }
 
-// longRoom reports whether a long prompt may only join targets that already work on
-// one, because the others are kept for short requests. It counts over the whole fleet:
-// counted over each set of targets, a long prompt of a lower tier could find room in
-// its set which one of a higher tier is refused in another.
-func (fleet *Placer) longRoom(shape *Request) bool {
-	if !shape.LongPrompt || shape.LastAttempt {
+// longPromptsConfined reports whether a long prompt may only join targets that already
+// work on one, because the others are kept free for short requests. It counts over all
+// targets of the placer: counted over each target set, a long prompt of a lower tier
+// could be placed in its set while one of a higher tier is rejected in another.
+func (placer *Placer) longPromptsConfined(req *Request) bool {
+	if !req.LongPrompt || req.LastAttempt {
 		return false
 	}
 	occupied, usable := 0, 0
-	for _, node := range fleet.nodes {
-		if node.Leaving() || node.probing {
+	for _, state := range placer.states {
+		if state.Leaving() || state.probing {
 			continue
 		}
 		usable++
-		if node.longs > 0 {
+		if state.longPrompts > 0 {
 			occupied++
 		}
 	}
-	return occupied >= usable-fleet.reserve(usable)
+	return occupied >= usable-placer.reserve(usable)
 }
 
-// room reports whether a target may get another request now.
+// canAccept reports whether a target may get another request now.
 //
-// Engines know no tiers and serve in order of arrival. What waits inside one can't be
-// overtaken by an urgent request, so little may wait there: nothing beyond its slots,
-// and prompts for no longer than the depth.
-func (fleet *Placer) room(now time.Time, node *TargetState, shape *Request) bool {
-	if node.Leaving() || node.busy(now) >= node.Target.Slots+fleet.spare {
+// Engines know no tiers and serve requests in order of arrival. An urgent request can't
+// overtake what waits inside an engine, so a target gets no request beyond its slots
+// and the extra ones, and none while its queued prompts take longer than
+// maxPrefillWait.
+func (placer *Placer) canAccept(now time.Time, state *TargetState, req *Request) bool {
+	if state.Leaving() || state.occupied(now) >= state.Target.Slots+placer.extraSlots {
 		return false
 	}
-	return fleet.plain || shape.LastAttempt || node.prefillWait(now) <= fleet.depth+fleet.saved(node, shape)
+	return placer.plainService || req.LastAttempt || state.prefillWait(now) <= placer.maxPrefillWait+placer.cachedPrefillTime(state, req)
 }
 
-// saved is how long computing the cached part of the prompt would take. So much longer
-// may a request wait inside the target: there it costs others only what isn't cached,
-// while elsewhere it would compute the prefix again and push another one out.
-func (fleet *Placer) saved(node *TargetState, shape *Request) time.Duration {
-	if node.stamp != fleet.stamp {
+// cachedPrefillTime returns how long computing the part of the prompt that the target
+// holds would take. The request may wait inside the target for that much longer: there
+// it costs other requests only the part that isn't cached, while elsewhere the prefix
+// would be computed again and another one evicted.
+func (placer *Placer) cachedPrefillTime(state *TargetState, req *Request) time.Duration {
+	if state.generation != placer.generation {
 		return 0
 	}
-	return node.prefillTime(min(node.hit, shape.Prompt))
+	return state.prefillTime(min(state.heldPrefix, req.Prompt))
 }
 
-// mayProbe lets a single request find out whether a target is well again. It goes if
-// the target's usual speed would leave it half its time. The top tier goes only when
-// no lower one has gone for a while more: what a probe risks is its deadline.
-func (fleet *Placer) mayProbe(now time.Time, node *TargetState, shape *Request) bool {
-	at := node.probeAt
-	if shape.Rank == 0 {
-		at = at.Add(patience * node.probePause)
+// mayProbe reports whether the request may go to a target under probing, to find out
+// whether the target has recovered. At the target's usual speed it must use at most
+// half of the request's remaining time. A request of the top tier goes only if no
+// request of a lower tier has gone for a further probe interval, because a probe may
+// miss its deadline.
+func (placer *Placer) mayProbe(now time.Time, state *TargetState, req *Request) bool {
+	notBefore := state.probeAt
+	if req.Rank == 0 {
+		notBefore = notBefore.Add(topTierProbeDelay * state.probeInterval)
 	}
-	if shape.LastAttempt || len(node.runs) > 0 || now.Before(at) {
+	if req.LastAttempt || len(state.runs) > 0 || now.Before(notBefore) {
 		return false
 	}
-	return shape.Deadline.Sub(now) > 2*fleet.usual(node, shape)
+	return req.Deadline.Sub(now) > 2*placer.usualTime(state, req)
 }
 
-func (fleet *Placer) usual(node *TargetState, shape *Request) time.Duration {
-	if fleet.plain {
-		return seconds(1 / node.call.usual)
+func (placer *Placer) usualTime(state *TargetState, req *Request) time.Duration {
+	if placer.plainService {
+		return seconds(1 / state.call.usual)
 	}
-	return seconds(float64(shape.Prompt)/node.prefill.usual + float64(shape.Answer)/node.decode.usual)
+	return seconds(float64(req.Prompt)/state.prefill.usual + float64(req.Answer)/state.decode.usual)
 }
 
-// company is what a request would find on a target, perhaps after others have gone.
-type company struct {
-	wait     time.Duration
-	running  float64
-	decoding float64
-	prompts  float64
+// targetLoad is the load that a request would find on a target, now or after a change:
+// the prefill time of the queued prompts, the numbers of running and of decoding
+// requests, and the share of the time that prompts take.
+type targetLoad struct {
+	prefillWait time.Duration
+	running     float64
+	decoding    float64
+	promptShare float64
 }
 
-func (node *TargetState) company(now time.Time) company {
-	return company{
-		wait:     node.prefillWait(now),
-		running:  float64(len(node.runs)),
-		decoding: float64(node.decoding()),
-		prompts:  node.meter.promptsTo(meterRanks),
+func (state *TargetState) targetLoad(now time.Time) targetLoad {
+	return targetLoad{
+		prefillWait: state.prefillWait(now),
+		running:     float64(len(state.runs)),
+		decoding:    float64(state.decoding()),
+		promptShare: state.meter.promptShareUpTo(meterRanks),
 	}
 }
 
-func (fleet *Placer) estimate(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens, with company) Choice {
-	if fleet.plain {
-		finish := seconds(1 / node.call.recent)
-		return Choice{TargetState: node, Finish: finish, cost: finish.Seconds()}
+func (placer *Placer) estimate(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens, load targetLoad) Choice {
+	if placer.plainService {
+		finish := seconds(1 / state.call.recent)
+		return Choice{TargetState: state, Finish: finish, cost: finish.Seconds()}
 	}
 	var cached yuccaid.Tokens
-	if node.stamp == fleet.stamp {
-		cached = yuccaid.Tokens(float64(min(node.hit, shape.Prompt)) * node.trust)
+	if state.generation == placer.generation {
+		cached = yuccaid.Tokens(float64(min(state.heldPrefix, req.Prompt)) * state.cacheTrust)
 	}
-	start := with.wait + node.prefillBeside(shape.Prompt-cached, with.decoding)
-	choice := Choice{TargetState: node, Cached: cached, Wait: with.wait}
-	choice.Finish = start + node.decodeBeside(float64(shape.Answer)*surety, with.running, with.prompts)
-	high := start + node.decodeBeside(float64(max(shape.AnswerP90, shape.Answer)), with.running, with.prompts)
-	again := node.prefillTime(deepest - cached).Seconds()
-	again += node.prefillTime(shape.Prompt-cached).Seconds() * node.cache.worth()
-	choice.high = high
-	choice.cost = fleet.policy.GoodputWeight*lateness(choice.Finish, high, shape.Deadline.Sub(now)) +
-		fleet.policy.WasteWeight*recompute*again
+	start := load.prefillWait + state.prefillTimeBeside(req.Prompt-cached, load.decoding)
+	choice := Choice{TargetState: state, Cached: cached, Wait: load.prefillWait}
+	choice.Finish = start + state.decodeTimeBeside(float64(req.Answer)*answerMargin, load.running, load.promptShare)
+	finishP90 := start + state.decodeTimeBeside(float64(max(req.AnswerP90, req.Answer)), load.running, load.promptShare)
+	recomputed := state.prefillTime(longestCached - cached).Seconds()
+	recomputed += state.prefillTime(req.Prompt-cached).Seconds() * state.cache.evictionCost()
+	choice.finishP90 = finishP90
+	choice.cost = placer.policy.GoodputWeight*finishCost(choice.Finish, finishP90, req.Deadline.Sub(now)) +
+		placer.policy.WasteWeight*recomputeWeight*recomputed
 	return choice
 }
 
-// lateness weighs a finishing time by how much of the request's time it takes, and
-// what goes beyond the deadline much more. A letter that has minutes doesn't compete
-// for the fastest target with a note that has seconds.
-func lateness(finish, high, slack time.Duration) float64 {
-	tight := float64(high) / float64(max(slack, time.Millisecond))
-	return finish.Seconds()*min(tight, 1) + overrun*max(high-slack, 0).Seconds()
+// finishCost returns the cost of finishing a request at the given time. The time is
+// weighted by the share of the remaining time that a long answer would take, so a
+// letter with minutes left doesn't compete with a note that has seconds for the fastest
+// target. Time beyond the deadline weighs much more.
+func finishCost(finish, finishP90, slack time.Duration) float64 {
+	used := float64(finishP90) / float64(max(slack, time.Millisecond))
+	return finish.Seconds()*min(used, 1) + overrunWeight*max(finishP90-slack, 0).Seconds()
 }
 
-// harms reports whether the request would make a run of its tier or a higher one late
-// that is in time without it: its prompt takes the target's time from the answers, and
-// one answer more slows all of them.
-func (node *TargetState) harms(now time.Time, shape *Request, choice *Choice) bool {
-	prompt := seconds(node.sharing.prompts * float64(shape.Prompt-choice.Cached) / node.prefill.recent)
-	before := float64(len(node.runs) - 1)
-	for _, run := range node.runs {
-		if run.Rank > shape.Rank || run.Prefilling() {
+// makesRunsLate reports whether the request would make a run of its own or a higher
+// tier miss its deadline that would meet it otherwise. The request's prompt takes time
+// from the answers that the target decodes, and one more answer slows all of them.
+func (state *TargetState) makesRunsLate(now time.Time, req *Request, choice *Choice) bool {
+	promptDelay := seconds(state.interference.promptFactor * float64(req.Prompt-choice.Cached) / state.prefill.recent)
+	others := float64(len(state.runs) - 1)
+	for _, run := range state.runs {
+		if run.Rank > req.Rank || run.Prefilling() {
 			continue
 		}
 		slack := run.Deadline.Sub(now)
-		left := run.left(now)
-		if node.decodeTime(left, before) <= slack && node.decodeTime(left, before+1)+prompt > slack {
+		tokensLeft := run.tokensLeft(now)
+		if state.decodeTime(tokensLeft, others) <= slack && state.decodeTime(tokensLeft, others+1)+promptDelay > slack {
 			return true
 		}
 	}
--- a/core/yuccaplace/data.go
+++ b/core/yuccaplace/data.go
@@ -3,126 +3,139 @@
 import "time"
 
 const (
-	// recentWeight is the weight of one observation in a target's present rate: a
-	// target that turns slow is known after three requests, and one odd request moves
+	// recentWeight is the weight of one observation in a target's recent rate. A target
+	// that becomes slow is detected after three requests, and a single outlier moves
 	// the rate by a third at most.
 	recentWeight = 0.3
-	// usualWeight is the weight of one observation in the rate that a target is
-	// measured against. It forgets in some fifty requests, so a target that was moved to
-	// other hardware isn't called a straggler for ever.
+	// usualWeight is the weight of one observation in a target's usual rate, with which
+	// its recent rate is compared. Observations fade over about fifty requests, so a
+	// target that was moved to other hardware isn't treated as a straggler forever.
 	usualWeight = 0.02
-	// oddPart divides the weight of a straggler's observations: some five hundred of them
-	// make slowness usual, so only a change that lasts does.
-	oddPart = 10
-	// bestWeight lets the best speed sink, in some thousand requests, when a target no
-	// longer comes near it.
+	// stragglerDivisor divides usualWeight for the observations of a straggler. It
+	// takes about five hundred of them to make the slow rate the usual one, so only a
+	// lasting change does.
+	stragglerDivisor = 10
+	// bestWeight is the weight with which the best rate falls to an observed one, over
+	// about a thousand requests, when the target no longer reaches it.
 	bestWeight = 0.001
-	// firstRates is how many observations make up what is usual for a target. With
-	// fewer one odd request would; with more a real straggler that was never seen well
-	// would be taken for usual anyway.
-	firstRates = 8
+	// initialSamples is how many observations establish a target's usual rate. With
+	// fewer, one outlier would distort it; with more, a straggler that was never seen
+	// at full speed would still be taken for normal.
+	initialSamples = 8
 
-	// probeWeight is the weight of what a probe saw: nothing younger is known, and a
-	// target that is well again has to come back after one probe, not after ten.
+	// probeWeight is the weight of a probe's observation. No newer observation exists,
+	// and a target that has recovered must return to ordinary use after one probe, not
+	// after ten.
 	probeWeight = 1
-	// forgetHalf is the time without news in which half of a rate's distance from the
-	// usual one is forgotten: some five requests of ordinary length.
-	forgetHalf = 20 * time.Second
-	// slowRatio is the loss of speed against its own usual rate at which a target gets
-	// probes only. Below it the cost already sends it less work; beyond it the learned
-	// rate lags behind a target that is still getting slower.
+	// rateHalfLife is the time without observations after which half of the distance
+	// between a recent rate and the usual one is gone: about five requests of ordinary
+	// length.
+	rateHalfLife = 20 * time.Second
+	// slowRatio is the factor below its usual rate at which a target gets only probes.
+	// Above that rate the cost already sends it less work; below it the learned rate
+	// lags behind a target that is still becoming slower.
 	slowRatio = 4.0
-	// overdueRatio and overdueSlack say when a target that shows nothing counts as
-	// stalled: four times what its own rate explains and a second for the network and
-	// for the grain of the reports.
-	overdueRatio = 4.0
-	overdueSlack = time.Second
-	// probeFirst and probeLast bound the pause between probes, which doubles with each
-	// that fails: a dead target costs one request in a minute, a short stall is over
-	// after five seconds.
-	probeFirst = 5 * time.Second
-	probeLast  = time.Minute
-	// patience is how many pauses more a probe of the top tier waits for one of a lower
-	// tier to go instead.
-	patience = 1
-	// fadePause is the grain in which old news fades.
-	fadePause = time.Second
-	// crowdingGuess and promptsGuess are what sharing starts from: in a full batch a token
-	// takes twice as long, and prompts and answers share the time equally.
-	crowdingGuess = 1.0
-	promptsGuess  = 1.0
-	// sharingStep is how far one answer moves the model: a hundred answers under changing
-	// load make a new one. mostSharing and mostLost bound it.
-	sharingStep = 0.05
-	mostSharing = 4.0
-	mostLost    = 0.95
-	// meterSpan is the span over which a target's share of prompt work is averaged. Sweep:
-	// 20 s gives 89.4 and 83.7 of all and 92.6 and 86.4 of the first tier, 10 s 89.6 and
-	// 83.2 of all and 92.1 and 84.4 of the first tier.
+	// stallFactor and stallSlack bound how long a target may show no progress before it
+	// counts as stalled: four times the time that its own rate predicts, plus a second
+	// for the network and for the interval between reports.
+	stallFactor = 4.0
+	stallSlack  = time.Second
+	// minProbeInterval and maxProbeInterval bound the interval between probes, which
+	// doubles with each failed probe: a target that is down costs one request a minute,
+	// and a short stall is over after five seconds.
+	minProbeInterval = 5 * time.Second
+	maxProbeInterval = time.Minute
+	// topTierProbeDelay is for how many further probe intervals a request of the top
+	// tier leaves a probe to lower tiers.
+	topTierProbeDelay = 1
+	// fadeInterval is the interval at which recent rates move back towards the usual
+	// ones.
+	fadeInterval = time.Second
+	// initialCrowding and initialPromptFactor are the initial values of the
+	// interference model: in a full batch a token takes twice as long as alone, and
+	// prompts and answers share the time equally.
+	initialCrowding     = 1.0
+	initialPromptFactor = 1.0
+	// interferenceStep is how far one answer moves the interference model: about a
+	// hundred answers under varying load replace it. maxCrowding bounds its crowding;
+	// maxPromptLoss bounds the share of the decoding time that prompts can take.
+	interferenceStep = 0.05
+	maxCrowding      = 4.0
+	maxPromptLoss    = 0.95
+	// meterSpan is the time constant of the moving average of the time that a target
+	// spends on prompts.
 	meterSpan = 20 * time.Second
-	// meterRanks is how many tiers are told apart in it.
+	// meterRanks is how many tiers the meter counts separately.
 	meterRanks = 4
-	// lengthWeight is the weight of one answer in the mean length of its operation, and
-	// highStep the step of the value that highPart of the answers stay below.
-	lengthWeight = 0.02
-	highStep     = 0.05
-	highPart     = 0.9
-	// firstHigh is that value before any answer was seen.
-	firstHigh = 1.3
-	// longestRatio bounds what one odd answer can do to the mean.
-	longestRatio = 5
-	// overrun is how many seconds of a later answer a second beyond the deadline weighs.
-	// Sweep: 4 gives 89.9 and 82.8, 12 gives 90.1 and 82.7.
-	overrun = 4.0
-	// recompute is how many seconds of a later answer a second of prefill weighs that
-	// another target's cache would have saved.
-	recompute = 10.0
-	// patienceSlack is how much of its expected time a request must have to spare before
-	// it waits for a target that holds its prefix.
-	patienceSlack = 0.3
-	// valueWeight is the weight of one prompt in what a target's cache is worth, and
-	// mostWorth the most that a block may count for.
-	valueWeight = 0.03
-	mostWorth   = 2.0
-	// surety is how much longer than expected an answer is taken to be when its deadline
-	// is checked. A request that ends late has cost its whole prefill and answer. Sweep:
-	// 1.1 gives 90.0 and 83.6 with less waste, 1 gives 89.9 and 84.1.
-	surety = 1.0
-	// typicalWeight is the weight of one arrival in the picture of its tier, and
-	// guardSpan how long after the last arrival targets are kept open for the next. Sweep:
-	// 30 s gives 89.4 and 83.7, 10 s 89.5 and 83.1.
+	// answerMeanWeight is the weight of one answer in the mean answer length of its
+	// operation. p90Step is the step size of the 90th percentile, and p90Quantile the
+	// share of answers that stay below it.
+	answerMeanWeight = 0.02
+	p90Step          = 0.05
+	p90Quantile      = 0.9
+	// initialP90 is the 90th percentile before any answer was observed, as a multiple
+	// of the estimated length.
+	initialP90 = 1.3
+	// maxAnswerRatio bounds the effect of one outlier on the mean.
+	maxAnswerRatio = 5
+	// overrunWeight is the cost of a second beyond the deadline, in seconds of a later
+	// answer.
+	overrunWeight = 4.0
+	// recomputeWeight is the cost of a second of prefill that another target's cache
+	// would have saved, in seconds of a later answer.
+	recomputeWeight = 10.0
+	// queueSlack is the slack that a request must have in order to wait for a target
+	// that holds its prefix, as a fraction of its estimated time there.
+	queueSlack = 0.3
+	// cacheValueWeight is the weight of one prompt in the averages from which
+	// evictionCost is computed, and maxCacheValue the largest value that evictionCost
+	// returns for a block.
+	cacheValueWeight = 0.03
+	maxCacheValue    = 2.0
+	// answerMargin multiplies the expected length of an answer when the request's
+	// finishing time is estimated. A request that finishes late wastes its whole
+	// prefill and answer.
+	answerMargin = 1.0
+	// typicalWeight is the weight of one arrival in the typical request of its tier,
+	// and typicalSpan how long after the last arrival of a tier targets are kept open
+	// for its next request.
 	typicalWeight = 0.05
-	guardSpan     = 30 * time.Second
-	// minimalSample is the shortest prefill that says something about the rate; below
-	// it fixed costs dominate.
-	minimalSample = 64
-	// defaultDepth is how much prefill, in time, may wait in a target before it gets
-	// another request. Work in an engine is out of reach of the tiers. Sweep by the trial
-	// (24 scenarios, share of all served at the hotline and the desk): 100 ms 90.5 and
-	// 82.7, 250 ms 89.9 and 82.8, 500 ms 90.0 and 83.0: flat, so short.
-	defaultDepth = 250 * time.Millisecond
-	// defaultSpare is how many requests beyond its slots a target may hold.
-	defaultSpare = 0
-	// longPrefill is the prefill time from which a prompt counts as long: a short
-	// lookup behind it would wait longer than it takes itself by far.
-	longPrefill = time.Second
-	// longestReserve is the largest part of the targets that is kept free of long
+	typicalSpan   = 30 * time.Second
+	// minPrefillSample is the fewest uncached prompt tokens from which a prefill rate
+	// is measured; below it fixed costs dominate.
+	minPrefillSample = 64
+	// defaultMaxPrefillWait is how much prefill time may be queued in a target that
+	// gets another request. It is short because tiers have no effect on work that is
+	// already inside an engine.
+	defaultMaxPrefillWait = 250 * time.Millisecond
+	// defaultExtraSlots is how many requests beyond its slots a target may hold.
+	defaultExtraSlots = 0
+	// longPrefillTime is the prefill time from which a prompt counts as long, because a
+	// short lookup behind it would wait far longer than it takes itself.
+	longPrefillTime = time.Second
+	// maxReservedShare is the largest share of the targets that is kept free of long
 	// prompts.
-	longestReserve = 0.5
-	// demandWeight is the weight of one arrival in the share of short work.
-	demandWeight = 0.01
-	// foreignLife is how long a load report that shows work of others counts: two
-	// periods of today's reports.
-	foreignLife = 5 * time.Second
-	// gapTrust is what a gap in the cache events leaves of the trust in the record.
-	gapTrust = 0.7
-	// trustWeight is the weight of one observed cache hit in the trust.
-	trustWeight = 0.1
-	// maxPrefixes bounds the blocks that are recorded for one prompt: 65,536 tokens.
-	maxPrefixes = 256
-	// guessPrefill and guessDecode stand in for rates the configuration leaves out.
-	guessPrefill = 2000
-	guessDecode  = 30
-	// guessCall is the first guess of a plain service's call.
-	guessCall = 200 * time.Millisecond
+	maxReservedShare = 0.5
+	// arrivalWeight is the weight of one arrival in the averages of short work and of
+	// all work.
+	arrivalWeight = 0.01
+	// loadReportLifetime is how long a load report that shows requests of other leaders
+	// is used: two periods of the reports at present.
+	loadReportLifetime = 5 * time.Second
+	// lostEventsTrust is the factor by which the trust in a cache model falls when
+	// cache events were lost.
+	lostEventsTrust = 0.7
+	// hitTrustWeight is the weight of one observed cache hit in the trust in a cache
+	// model.
+	hitTrustWeight = 0.1
+	// maxPromptBlocks bounds the blocks that are recorded for one prompt: 65,536
+	// tokens.
+	maxPromptBlocks = 256
+	// defaultPrefillRate and defaultDecodeRate replace rates that the configuration
+	// leaves out, in tokens per second.
+	defaultPrefillRate = 2000
+	defaultDecodeRate  = 30
+	// defaultCallTime is the initial estimate of the duration of a plain service's
+	// call.
+	defaultCallTime = 200 * time.Millisecond
 )
--- a/core/yuccaplace/doc.go
+++ b/core/yuccaplace/doc.go
@@ -1,12 +1,13 @@
 // Package yuccaplace estimates what a request costs on each target and chooses the
-// target: waiting work, prompt tokens that no cache holds, learned speeds,
-// stragglers.
+// target. The estimates cover the work that waits on the target, the prompt tokens that
+// its cache doesn't hold, its learned speed, and whether it is a straggler.
 //
-// Speeds are learned for each target from what the owners of requests saw, net of what
-// else ran there, so that neither stale reports nor a full batch mislead it. Which
-// prefixes a target holds follows from what was sent there, bounded by its cache and
-// corrected by its events. A choice scans the targets of one pool in one data centre.
+// Speeds are learned for each target from the measurements of the requests' owners,
+// corrected for what else ran on the target, so neither stale load reports nor a full
+// batch distort them. Which prefixes a target holds is derived from the prompts that
+// were sent to it, bounded by the size of its cache and corrected by its cache events.
+// A choice scans the targets of one pool in one data centre.
 //
-// The package has no clock, no sockets and no goroutines; the present time is an argument of
-// what decides.
+// The package has no clock, no sockets and no goroutines; the functions that depend on
+// the present time take it as an argument.
 package yuccaplace
--- a/core/yuccaplace/failed.go
+++ b/core/yuccaplace/failed.go
@@ -6,18 +6,19 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// RecordFailure notes that a target could not be reached, refused a request, or broke off.
+// RecordFailure records that a target could not be reached, refused a request, or broke
+// off an answer.
 //
-// A dead target ends each request at once and so always looks idle: it would draw
-// every request of the pool and fail it. Callers would see their requests refused one
-// after the other beside engines that work. So one failure leaves the target to
-// probes, whose pause grows while they fail.
-func (fleet *Placer) RecordFailure(now time.Time, name yuccaid.Target) {
-	node, found := fleet.byName[name]
+// A target that is down fails each request at once and so always looks idle. Without
+// backoff it would attract every request of the pool and fail it, while other targets
+// work. After one failure the target therefore gets only probes, at an interval that
+// grows while they fail.
+func (placer *Placer) RecordFailure(now time.Time, name yuccaid.Target) {
+	state, found := placer.byName[name]
 	if !found {
 		return
 	}
-	node.newsAt = now
-	node.failing = true
-	node.startProbing(now)
+	state.observedAt = now
+	state.failing = true
+	state.startProbing(now)
 }
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -7,284 +7,291 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Option changes a fleet at its construction.
+// Option changes a setting of a Placer.
 type Option func(*Placer)
 
-// WithMaxPrefillWait sets how much prefill may wait in a target before it gets another request.
-func WithMaxPrefillWait(depth time.Duration) Option {
-	return func(fleet *Placer) { fleet.depth = depth }
+// WithMaxPrefillWait sets how much prefill time may be queued in a target that gets
+// another request.
+func WithMaxPrefillWait(maxPrefillWait time.Duration) Option {
+	return func(placer *Placer) { placer.maxPrefillWait = maxPrefillWait }
 }
 
 // WithExtraSlots sets how many requests beyond its slots a target may hold.
-func WithExtraSlots(spare int) Option {
-	return func(fleet *Placer) { fleet.spare = spare }
+func WithExtraSlots(extraSlots int) Option {
+	return func(placer *Placer) { placer.extraSlots = extraSlots }
 }
 
-// Placer is the set of targets of one pool in one data centre.
+// Placer chooses among the targets of one pool in one data centre.
 type Placer struct {
-	policy    Policy
-	plain     bool
-	depth     time.Duration
-	spare     int
-	nodes     []*TargetState
-	byName    map[yuccaid.Target]*TargetState
-	prefixes  prefixes
-	stamp     uint64
-	sharing   *sharing
-	lengths   map[yuccaid.Operation]*length
-	typical   [meterRanks]typical
-	shortWork float64
-	allWork   float64
+	policy         Policy
+	plainService   bool
+	maxPrefillWait time.Duration
+	extraSlots     int
+	states         []*TargetState
+	byName         map[yuccaid.Target]*TargetState
+	prefixes       prefixes
+	generation     uint64
+	interference   *interference
+	answerLengths  map[yuccaid.Operation]*answerLength
+	typicalRequest [meterRanks]typicalRequest
+	shortWork      float64
+	allWork        float64
 }
 
-// New returns a fleet without targets.
+// New returns a placer without targets.
 func New(options ...Option) *Placer {
-	fleet := &Placer{
-		policy:   Policy{GoodputWeight: 1, WasteWeight: 1},
-		depth:    defaultDepth,
-		spare:    defaultSpare,
-		byName:   map[yuccaid.Target]*TargetState{},
-		sharing:  &sharing{crowding: crowdingGuess, prompts: promptsGuess},
-		lengths:  map[yuccaid.Operation]*length{},
-		prefixes: prefixes{holders: map[uint64][]*TargetState{}},
+	placer := &Placer{
+		policy:         Policy{GoodputWeight: 1, WasteWeight: 1},
+		maxPrefillWait: defaultMaxPrefillWait,
+		extraSlots:     defaultExtraSlots,
+		byName:         map[yuccaid.Target]*TargetState{},
+		interference:   &interference{crowding: initialCrowding, promptFactor: initialPromptFactor},
+		answerLengths:  map[yuccaid.Operation]*answerLength{},
+		prefixes:       prefixes{holders: map[uint64][]*TargetState{}},
 	}
 	for _, option := range options {
-		option(fleet)
+		option(placer)
 	}
-	return fleet
+	return placer
 }
 
-// Configure takes over the targets; what was learned of those that stay is kept.
-func (fleet *Placer) Configure(policy Policy, plain bool, targets []Target) {
-	fleet.plain = plain
-	fleet.policy = Policy{
-		GoodputWeight: orElse(policy.GoodputWeight, 1),
-		WasteWeight:   orElse(policy.WasteWeight, 1),
+// Configure replaces the policy and the targets. What was learned about targets that
+// stay is kept.
+func (placer *Placer) Configure(policy Policy, plainService bool, targets []Target) {
+	placer.plainService = plainService
+	placer.policy = Policy{
+		GoodputWeight: positiveOr(policy.GoodputWeight, 1),
+		WasteWeight:   positiveOr(policy.WasteWeight, 1),
 	}
-	before := fleet.byName
-	fleet.byName = make(map[yuccaid.Target]*TargetState, len(targets))
-	fleet.nodes = fleet.nodes[:0]
-	for _, tgt := range targets {
-		node, found := before[tgt.Name]
+	before := placer.byName
+	placer.byName = make(map[yuccaid.Target]*TargetState, len(targets))
+	placer.states = placer.states[:0]
+	for _, target := range targets {
+		state, found := before[target.Name]
 		if !found {
-			node = newNode(tgt, fleet.sharing)
+			state = newTargetState(target, placer.interference)
 		}
-		fleet.update(node, tgt)
-		fleet.nodes = append(fleet.nodes, node)
-		fleet.byName[tgt.Name] = node
-		delete(before, tgt.Name)
+		placer.update(state, target)
+		placer.states = append(placer.states, state)
+		placer.byName[target.Name] = state
+		delete(before, target.Name)
 	}
-	for _, node := range before {
-		node.leaving = true
-		fleet.prefixes.clear(node)
+	for _, state := range before {
+		state.leaving = true
+		placer.prefixes.clear(state)
 	}
 }
 
-func (fleet *Placer) update(node *TargetState, tgt Target) {
-	if tgt.Prefill != node.Target.Prefill || tgt.Decode != node.Target.Decode {
-		node.guess(tgt)
+func (placer *Placer) update(state *TargetState, target Target) {
+	if target.Prefill != state.Target.Prefill || target.Decode != state.Target.Decode {
+		state.resetRates(target)
 	}
-	resized := tgt.Cache != node.Target.Cache
-	node.Target = tgt
+	resized := target.Cache != state.Target.Cache
+	state.Target = target
 	if resized {
-		fleet.prefixes.clear(node)
+		placer.prefixes.clear(state)
 	}
 }
 
-// TargetStates returns the targets in the order of the configuration.
-func (fleet *Placer) TargetStates() []*TargetState {
-	return fleet.nodes
+// TargetStates returns the states of all targets in the order of the configuration.
+func (placer *Placer) TargetStates() []*TargetState {
+	return placer.states
 }
 
-// TargetState returns a target by its name.
-func (fleet *Placer) TargetState(name yuccaid.Target) (*TargetState, bool) {
-	node, found := fleet.byName[name]
-	return node, found
+// TargetState returns the state of the named target.
+func (placer *Placer) TargetState(name yuccaid.Target) (*TargetState, bool) {
+	state, found := placer.byName[name]
+	return state, found
 }
 
-// SetLeaving notes a target's word, age ago, on whether it takes new work. An old report
-// that says it does can't undo a younger word that it leaves.
-func (fleet *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
-	node, found := fleet.byName[name]
-	at := now.Add(-age)
-	if !found || at.Before(node.leftAt) {
+// SetLeaving applies a target's report, made the given age ago, on whether it is
+// leaving, that is, takes no new work. A report older than the last one is ignored, so
+// an old one can't revert the decision to leave.
+func (placer *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
+	state, found := placer.byName[name]
+	reportedAt := now.Add(-age)
+	if !found || reportedAt.Before(state.leavingReportedAt) {
 		return
 	}
-	node.leaving = leaving
-	node.leftAt = at
+	state.leaving = leaving
+	state.leavingReportedAt = reportedAt
 }
 
-// StartRun counts a run on a target and records its prompt as cached there.
-func (fleet *Placer) StartRun(now time.Time, node *TargetState, run *Run, hashes []uint64) {
-	node.begin(now, run)
-	fleet.prefixes.sent(node, hashes)
+// StartRun adds a run to a target and records its prompt as cached there.
+func (placer *Placer) StartRun(now time.Time, state *TargetState, run *Run, hashes []uint64) {
+	state.startRun(now, run)
+	placer.prefixes.recordPrompt(state, hashes)
 }
 
-// FinishPrefill notes the end of a run's prefill.
-func (fleet *Placer) FinishPrefill(now time.Time, run *Run) {
+// FinishPrefill records the end of a run's prefill.
+func (placer *Placer) FinishPrefill(now time.Time, run *Run) {
 	if !run.Prefilling() {
 		return
 	}
-	run.node.prefilled(now, run)
+	run.state.endPrefill(now, run)
 	run.FirstTokenAt = now
 }
 
-// ReleaseRun gives back what a run held.
-func (fleet *Placer) ReleaseRun(now time.Time, run *Run) {
-	run.node.end(now, run)
+// ReleaseRun removes a run from its target and so frees its slot.
+func (placer *Placer) ReleaseRun(now time.Time, run *Run) {
+	run.state.releaseRun(now, run)
 }
 
-// RunMeasurement is what an owner measured of a finished run.
+// RunMeasurement is what an owner measured on a finished run.
 type RunMeasurement struct {
 	Prompt, Cached, Answer yuccaid.Tokens
 	Prefill, Decode        time.Duration
-	// Complete says that the answer came to its end.
+	// Complete means that the answer came to its end.
 	Complete bool
 }
 
-// LearnFromRun takes a finished run's speeds into the target's rates.
-func (fleet *Placer) LearnFromRun(now time.Time, run *Run, seen RunMeasurement) {
-	node := run.node
-	node.newsAt = now
-	node.failing = false
+// LearnFromRun updates the target's learned rates from a finished run.
+func (placer *Placer) LearnFromRun(now time.Time, run *Run, measured RunMeasurement) {
+	state := run.state
+	state.observedAt = now
+	state.failing = false
 	weight := recentWeight
-	if node.probing {
+	if state.probing {
 		weight = probeWeight
 	}
-	if fleet.plain {
-		node.call.observe(1/max(now.Sub(run.StartedAt).Seconds(), 0.001), weight)
-		node.judge(now)
+	if placer.plainService {
+		state.call.observe(1/max(now.Sub(run.StartedAt).Seconds(), 0.001), weight)
+		state.updateHealth(now)
 		return
 	}
-	node.meter.advance(now, node)
-	if work := seen.Prompt - seen.Cached; work >= minimalSample && seen.Prefill > 0 {
-		company, _ := run.atFirst.since(run.atBegin)
-		rate := float64(work) / seen.Prefill.Seconds()
-		node.prefill.observe(rate/node.promptPart(company), weight)
+	state.meter.advance(now, state)
+	if uncached := measured.Prompt - measured.Cached; uncached >= minPrefillSample && measured.Prefill > 0 {
+		others, _ := run.meterAtFirstToken.since(run.meterAtStart)
+		rate := float64(uncached) / measured.Prefill.Seconds()
+		state.prefill.observe(rate/state.prefillShare(others), weight)
 	}
-	if run.Answer > 0 && seen.Complete {
-		fleet.length(run.Operation).observe(float64(seen.Answer) / float64(run.Answer))
+	if run.Answer > 0 && measured.Complete {
+		placer.answerLength(run.Operation).observe(float64(measured.Answer) / float64(run.Answer))
 	}
-	if seen.Answer > 1 && seen.Decode > 0 {
-		company, prompts := node.meter.since(run.atFirst)
-		company = max(company-1, 0)
-		rate := float64(seen.Answer) / seen.Decode.Seconds()
-		if !node.probing {
-			fleet.sharing.learn(node.decode.usual/rate, company/node.slots(), node.lost(company, prompts))
+	if measured.Answer > 1 && measured.Decode > 0 {
+		others, promptShare := state.meter.since(run.meterAtFirstToken)
+		others = max(others-1, 0)
+		rate := float64(measured.Answer) / measured.Decode.Seconds()
+		if !state.probing {
+			placer.interference.learn(state.decode.usual/rate, others/state.slots(), state.promptLoss(others, promptShare))
 		}
-		node.decode.observe(rate*node.crowding(company)/node.answerPart(company, prompts), weight)
+		state.decode.observe(rate*state.crowdingFactor(others)/state.decodeShare(others, promptShare), weight)
 	}
 	if run.Cached > 0 {
-		hit := min(float64(seen.Cached)/float64(run.Cached), 1)
-		node.trust += trustWeight * (hit - node.trust)
+		hitRatio := min(float64(measured.Cached)/float64(run.Cached), 1)
+		state.cacheTrust += hitTrustWeight * (hitRatio - state.cacheTrust)
 	}
-	node.judge(now)
+	state.updateHealth(now)
 }
 
-// judge decides from the rates whether the target goes on, is left to probes, or is
-// taken back.
-func (node *TargetState) judge(now time.Time) {
-	slow := node.prefill.slow() || node.decode.slow() || node.call.slow()
+// updateHealth starts probing a target whose rates are slow, and returns a target under
+// probing to ordinary use once its rates are not.
+func (state *TargetState) updateHealth(now time.Time) {
+	slow := state.prefill.slow() || state.decode.slow() || state.call.slow()
 	switch {
 	case slow:
-		node.startProbing(now)
-	case node.probing:
-		node.probing = false
+		state.startProbing(now)
+	case state.probing:
+		state.probing = false
 	}
 }
 
-// Tick looks for targets that show no progress, and lets old news fade.
-func (fleet *Placer) Tick(now time.Time) {
-	for _, node := range fleet.nodes {
-		ratio := node.overdue(now, fleet.plain)
+// Tick starts probing targets that show no progress, and moves the rates of the others
+// back towards their usual ones.
+func (placer *Placer) Tick(now time.Time) {
+	for _, state := range placer.states {
+		ratio := state.stallRatio(now, placer.plainService)
 		if ratio == 0 {
-			node.fade(now)
+			state.fadeRates(now)
 			continue
 		}
-		node.newsAt = now
-		node.failing = true
-		node.startProbing(now)
-		if fleet.plain {
-			node.call.atMost(node.call.usual / ratio)
+		state.observedAt = now
+		state.failing = true
+		state.startProbing(now)
+		if placer.plainService {
+			state.call.capRecent(state.call.usual / ratio)
 		} else {
-			node.prefill.atMost(node.prefill.usual / ratio)
+			state.prefill.capRecent(state.prefill.usual / ratio)
 		}
 	}
 }
 
-// fade forgets old news of a target in ordinary use; one left to probes stays there
-// until a probe shows that it is well.
-func (node *TargetState) fade(now time.Time) {
-	idle := now.Sub(node.newsAt)
-	if node.probing || idle < fadePause {
+// fadeRates moves the recent rates of a target in ordinary use back towards the usual
+// ones while nothing is observed. A target under probing keeps its rates until a probe
+// shows that it has recovered.
+func (state *TargetState) fadeRates(now time.Time) {
+	idle := now.Sub(state.observedAt)
+	if state.probing || idle < fadeInterval {
 		return
 	}
-	part := 1 - math.Exp2(-float64(fadePause)/float64(forgetHalf))
-	node.newsAt = now
-	node.prefill.forget(part)
-	node.decode.forget(part)
-	node.call.forget(part)
+	fraction := 1 - math.Exp2(-float64(fadeInterval)/float64(rateHalfLife))
+	state.observedAt = now
+	state.prefill.returnToUsual(fraction)
+	state.decode.returnToUsual(fraction)
+	state.call.returnToUsual(fraction)
 }
 
-// LoadReport is a target's own report.
+// LoadReport is a target's own report of its load.
 type LoadReport struct {
 	Age     time.Duration
 	Waiting int
 	Running int
 }
 
-// ApplyLoadReport takes a load report. What it shows beyond the most that was granted around
-// its time is the work of others and occupies slots until the report is too old.
-func (fleet *Placer) ApplyLoadReport(now time.Time, name yuccaid.Target, load LoadReport) {
-	node, found := fleet.byName[name]
-	if !found || load.Age >= foreignLife {
+// ApplyLoadReport applies a load report. Requests beyond the peak number of granted
+// runs around the report's time belong to other leaders and occupy slots until the
+// report expires.
+func (placer *Placer) ApplyLoadReport(now time.Time, name yuccaid.Target, report LoadReport) {
+	state, found := placer.byName[name]
+	if !found || report.Age >= loadReportLifetime {
 		return
 	}
-	node.peak.note(now, len(node.runs))
-	node.foreign = max(load.Running+load.Waiting-node.peak.value(), 0)
-	node.foreignTil = now.Add(foreignLife - load.Age)
+	state.runPeak.add(now, len(state.runs))
+	state.foreignRuns = max(report.Running+report.Waiting-state.runPeak.value(), 0)
+	state.foreignUntil = now.Add(loadReportLifetime - report.Age)
 }
 
-// ApplyCacheEvent corrects the record of a target's prefix cache.
+// ApplyCacheEvent corrects the model of a target's prefix cache.
 //
-// After a gap nobody knows what was evicted. Dropping the record would send every
-// prompt through a full prefill again; keeping it whole would hold prompts back for a
-// cache that is gone. So the record stays and counts for less until hits confirm it.
-func (fleet *Placer) ApplyCacheEvent(name yuccaid.Target, stored, evicted []uint64, gap bool) {
-	node, found := fleet.byName[name]
+// After lost events it is unknown which blocks were evicted. Dropping the model would
+// send every prompt through a full prefill again; keeping full trust in it would make
+// prompts wait for blocks that no longer exist. The model therefore stays, and its
+// trust falls until observed hits confirm it.
+func (placer *Placer) ApplyCacheEvent(name yuccaid.Target, stored, evicted []uint64, eventsLost bool) {
+	state, found := placer.byName[name]
 	if !found {
 		return
 	}
-	if gap {
-		node.trust *= gapTrust
+	if eventsLost {
+		state.cacheTrust *= lostEventsTrust
 	}
-	fleet.prefixes.evicted(node, evicted)
-	fleet.prefixes.stored(node, stored)
+	placer.prefixes.removeEvicted(state, evicted)
+	placer.prefixes.addStored(state, stored)
 }
 
-// RecordArrival notes an arrival, from which the room kept for short requests and for higher
-// tiers follows.
-func (fleet *Placer) RecordArrival(now time.Time, shape *Request, long bool, work time.Duration) {
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	fleet.arrived(now, shape, float64(shape.Prompt-cached))
-	fleet.allWork += demandWeight * (work.Seconds() - fleet.allWork)
+// RecordArrival updates the averages from which the capacity reserved for short
+// requests and for higher tiers is computed.
+func (placer *Placer) RecordArrival(now time.Time, req *Request, longPrompt bool, work time.Duration) {
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	placer.updateTypical(now, req, float64(req.Prompt-cached))
+	placer.allWork += arrivalWeight * (work.Seconds() - placer.allWork)
 	short := work.Seconds()
-	if long {
+	if longPrompt {
 		short = 0
 	}
-	fleet.shortWork += demandWeight * (short - fleet.shortWork)
+	placer.shortWork += arrivalWeight * (short - placer.shortWork)
 }
 
-// reserve is how many of n targets are kept free of long prompts.
+// reserve returns how many of n targets are kept free of long prompts.
 //
-// A short lookup that arrives while every target works on a rulebook waits for
-// seconds, longer than its deadline. The room follows the share of short work in the
-// demand, so that it doesn't idle when there is little of it, and is never more than
-// half, so that long prompts aren't starved by it.
-func (fleet *Placer) reserve(n int) int {
-	if n < 2 || fleet.shortWork <= 0 {
+// A short lookup that arrives while every target works on a rulebook waits for seconds,
+// longer than its deadline. The reserve follows the share of short work in the demand,
+// so that it doesn't idle when there is little of it, and is at most half of the
+// targets, so that long prompts aren't starved.
+func (placer *Placer) reserve(n int) int {
+	if n < 2 || placer.shortWork <= 0 {
 		return 0
 	}
-	part := int(math.Ceil(fleet.shortWork / fleet.allWork * float64(n)))
-	return min(part, int(longestReserve*float64(n)))
+	wanted := int(math.Ceil(placer.shortWork / placer.allWork * float64(n)))
+	return min(wanted, int(maxReservedShare*float64(n)))
 }
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -2,77 +2,80 @@
 
 import "time"
 
-// typical is what a request of a tier looked like lately.
-type typical struct {
-	prompt float64
-	answer float64
-	slack  float64
-	seen   time.Time
+// typicalRequest is the moving average of the requests of one tier: uncached prompt
+// tokens, 90th percentile of the answer in tokens, and seconds until the deadline.
+type typicalRequest struct {
+	prompt    float64
+	answerP90 float64
+	slack     float64
+	lastSeen  time.Time
 }
 
-// arrived takes a request into the picture of its tier.
-func (fleet *Placer) arrived(now time.Time, shape *Request, uncached float64) {
-	if shape.Rank < 0 || shape.Rank >= meterRanks {
+// updateTypical adds an arrival to the typical request of its tier.
+func (placer *Placer) updateTypical(now time.Time, req *Request, uncached float64) {
+	if req.Rank < 0 || req.Rank >= meterRanks {
 		return
 	}
-	typ := &fleet.typical[shape.Rank]
-	if typ.seen.IsZero() {
-		*typ = typical{prompt: uncached, answer: float64(shape.AnswerP90), slack: shape.Deadline.Sub(now).Seconds()}
+	typical := &placer.typicalRequest[req.Rank]
+	if typical.lastSeen.IsZero() {
+		*typical = typicalRequest{prompt: uncached, answerP90: float64(req.AnswerP90), slack: req.Deadline.Sub(now).Seconds()}
 	}
-	typ.prompt += typicalWeight * (uncached - typ.prompt)
-	typ.answer += typicalWeight * (float64(shape.AnswerP90) - typ.answer)
-	typ.slack += typicalWeight * (shape.Deadline.Sub(now).Seconds() - typ.slack)
-	typ.seen = now
+	typical.prompt += typicalWeight * (uncached - typical.prompt)
+	typical.answerP90 += typicalWeight * (float64(req.AnswerP90) - typical.answerP90)
+	typical.slack += typicalWeight * (req.Deadline.Sub(now).Seconds() - typical.slack)
+	typical.lastSeen = now
 }
 
-// crowdsOut reports whether the request would close a target to the next request of a
-// higher tier.
+// blocksHigherTier reports whether the request would leave a target unable to serve the
+// next request of a higher tier.
 //
-// Made for engines whose answers slow one another: a target that is full of letters
-// still has room for a note and yet can't finish it in time. Cancelling letters then
-// throws their work away, and a dozen of them for one note wastes most of the fleet.
-// So a lower tier stays away from a target that could serve a typical request of a
-// higher one, were only its own tier and those above there, and couldn't any more with
-// this request; as long as such requests keep coming.
-func (fleet *Placer) crowdsOut(now time.Time, node *TargetState, shape *Request, choice *Choice) bool {
-	with := node.company(now)
-	own := node.prefillBeside(shape.Prompt-choice.Cached, with.decoding)
-	for rank := range min(shape.Rank, meterRanks) {
-		typ := &fleet.typical[rank]
-		if typ.seen.IsZero() || now.Sub(typ.seen) > guardSpan {
+// Answers on one engine slow each other. A target full of letters may have a free slot
+// for a note and yet be too slow for the note's deadline. Cancelling letters for it
+// wastes their work, and cancelling a dozen of them for one note wastes most of the
+// pool's work. A request is therefore kept off a target that could serve a typical
+// request of a higher tier beside the runs of that tier and those above it, but could
+// not with this request added. This holds only while requests of the higher tier keep
+// arriving.
+func (placer *Placer) blocksHigherTier(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
+	load := state.targetLoad(now)
+	ownPrefill := state.prefillTimeBeside(req.Prompt-choice.Cached, load.decoding)
+	for rank := range min(req.Rank, meterRanks) {
+		typical := &placer.typicalRequest[rank]
+		if typical.lastSeen.IsZero() || now.Sub(typical.lastSeen) > typicalSpan {
 			continue
 		}
-		more := with
-		more.wait += own
-		more.running++
-		more.decoding++
-		more.prompts += own.Seconds() / meterSpan.Seconds()
-		if !node.fits(typ, more) && node.fits(typ, node.above(now, rank)) {
+		loadAfter := load
+		loadAfter.prefillWait += ownPrefill
+		loadAfter.running++
+		loadAfter.decoding++
+		loadAfter.promptShare += ownPrefill.Seconds() / meterSpan.Seconds()
+		if !state.canServe(typical, loadAfter) && state.canServe(typical, state.loadUpToRank(now, rank)) {
 			return true
 		}
 	}
 	return false
 }
 
-func (node *TargetState) fits(typ *typical, with company) bool {
-	need := with.wait + seconds(typ.prompt/(node.prefill.recent*node.promptPart(with.decoding)))
-	need += node.decodeBeside(typ.answer, with.running, with.prompts)
-	return need.Seconds() <= typ.slack
+func (state *TargetState) canServe(typical *typicalRequest, load targetLoad) bool {
+	needed := load.prefillWait + seconds(typical.prompt/(state.prefill.recent*state.prefillShare(load.decoding)))
+	needed += state.decodeTimeBeside(typical.answerP90, load.running, load.promptShare)
+	return needed.Seconds() <= typical.slack
 }
 
-// above is the company that the rank and those above it make on the target.
-func (node *TargetState) above(now time.Time, rank int) company {
-	with := company{prompts: node.meter.promptsTo(rank)}
-	for _, run := range node.runs {
+// loadUpToRank returns the load that runs of the rank and of higher tiers put on the
+// target.
+func (state *TargetState) loadUpToRank(now time.Time, rank int) targetLoad {
+	load := targetLoad{promptShare: state.meter.promptShareUpTo(rank)}
+	for _, run := range state.runs {
 		if run.Rank > rank {
 			continue
 		}
-		with.running++
+		load.running++
 		if run.Prefilling() {
-			with.wait += node.left(now, run)
+			load.prefillWait += state.prefillLeft(now, run)
 		} else {
-			with.decoding++
+			load.decoding++
 		}
 	}
-	return with
+	return load
 }
--- a/core/yuccaplace/length.go
+++ b/core/yuccaplace/length.go
@@ -2,38 +2,40 @@
 
 import "yuccacleat/core/yuccaid"
 
-// length is how the answers of one operation turn out against their owners' estimates.
+// answerLength is the ratio of actual to estimated answer lengths of one operation: its
+// mean and its 90th percentile.
 //
-// Nobody knows how long an answer gets. Placing by the mean makes a quarter of the
-// requests late that barely fit; the high value is what nine of ten stay below.
-type length struct {
-	mean, high float64
+// The length of an answer is unknown in advance. Placing requests by the mean makes a
+// quarter of those late that barely fit, so they are placed by the length that nine of
+// ten answers stay below.
+type answerLength struct {
+	mean, p90 float64
 }
 
-func (fleet *Placer) length(op yuccaid.Operation) *length {
-	len, found := fleet.lengths[op]
+func (placer *Placer) answerLength(op yuccaid.Operation) *answerLength {
+	stats, found := placer.answerLengths[op]
 	if !found {
-		len = &length{mean: 1, high: firstHigh}
-		fleet.lengths[op] = len
+		stats = &answerLength{mean: 1, p90: initialP90}
+		placer.answerLengths[op] = stats
 	}
-	return len
+	return stats
 }
 
-// observe moves the mean by a weight and the high value by steps that balance when
-// one answer in ten is longer.
-func (len *length) observe(ratio float64) {
-	ratio = min(ratio, longestRatio)
-	len.mean += lengthWeight * (ratio - len.mean)
-	if ratio > len.high {
-		len.high += highStep * highPart
+// observe adds one answer's ratio. The percentile moves by steps that balance when one
+// answer in ten is longer.
+func (stats *answerLength) observe(ratio float64) {
+	ratio = min(ratio, maxAnswerRatio)
+	stats.mean += answerMeanWeight * (ratio - stats.mean)
+	if ratio > stats.p90 {
+		stats.p90 += p90Step * p90Quantile
 	} else {
-		len.high -= highStep * (1 - highPart)
+		stats.p90 -= p90Step * (1 - p90Quantile)
 	}
-	len.high = max(len.high, len.mean)
+	stats.p90 = max(stats.p90, stats.mean)
 }
 
-// FillAnswerP90 fills in how long the answer of a request of the operation may get.
-func (fleet *Placer) FillAnswerP90(op yuccaid.Operation, shape *Request) {
-	len := fleet.length(op)
-	shape.AnswerP90 = yuccaid.Tokens(float64(shape.Answer) * len.high)
+// FillAnswerP90 sets the request's AnswerP90 from the answers of the operation so far.
+func (placer *Placer) FillAnswerP90(op yuccaid.Operation, req *Request) {
+	stats := placer.answerLength(op)
+	req.AnswerP90 = yuccaid.Tokens(float64(req.Answer) * stats.p90)
 }
--- a/core/yuccaplace/meter.go
+++ b/core/yuccaplace/meter.go
@@ -5,61 +5,62 @@
 	"time"
 )
 
-// reading is what a target's meter shows at one time: the seconds that answers have
-// been decoded, summed over answers, and the seconds that a prompt was there.
-type reading struct {
-	at      time.Time
-	answers float64
-	prompts float64
+// meterReading is the state of a target's meter at one time: the total decoding time of
+// all answers in seconds, and the time in seconds during which a prompt was on the
+// target.
+type meterReading struct {
+	at            time.Time
+	answerSeconds float64
+	promptSeconds float64
 }
 
-// since returns the mean number of answers and the part of the time with a prompt
+// since returns the mean number of answers and the share of the time with a prompt
 // between two readings.
-func (rd reading) since(before reading) (answers, prompts float64) {
+func (rd meterReading) since(before meterReading) (answers, promptShare float64) {
 	span := rd.at.Sub(before.at).Seconds()
 	if span <= 0 {
 		return 0, 0
 	}
-	return (rd.answers - before.answers) / span, (rd.prompts - before.prompts) / span
+	return (rd.answerSeconds - before.answerSeconds) / span, (rd.promptSeconds - before.promptSeconds) / span
 }
 
-// meter knows how busy a target was while a run was there. Without it a target that is
-// merely full would pass for one that has become slow.
+// meter measures how busy a target was while a run was on it. Without it a target that
+// is merely full would be taken for one that has become slow.
 type meter struct {
-	reading
-	// lately is the part of the time that a prompt of each rank was there lately, the
-	// last one standing for all ranks that follow.
-	lately [meterRanks]float64
+	meterReading
+	// recentShare is the share of recent time during which the target worked on a
+	// prompt of each rank; the last entry counts all further ranks.
+	recentShare [meterRanks]float64
 }
 
-// promptsTo is the part of the time that prompts of the rank and above take. Those of
-// lower tiers don't count: they are kept off a target where they would make an answer
-// of a higher tier late.
-func (mt *meter) promptsTo(rank int) float64 {
+// promptShareUpTo returns the share of the time that prompts of the rank and of higher
+// tiers take. Prompts of lower tiers don't count, because they are kept off a target
+// where they would make an answer of a higher tier late.
+func (mt *meter) promptShareUpTo(rank int) float64 {
 	sum := 0.0
-	for _, part := range mt.lately[:meterRank(rank)+1] {
-		sum += part
+	for _, share := range mt.recentShare[:meterIndex(rank)+1] {
+		sum += share
 	}
 	return sum
 }
 
-func meterRank(rank int) int {
+func meterIndex(rank int) int {
 	return min(max(rank, 0), meterRanks-1)
 }
 
-func (mt *meter) advance(now time.Time, node *TargetState) {
-	span := now.Sub(mt.at).Seconds()
-	if mt.at.IsZero() || span < 0 {
-		span = 0
+func (mt *meter) advance(now time.Time, state *TargetState) {
+	elapsed := now.Sub(mt.at).Seconds()
+	if mt.at.IsZero() || elapsed < 0 {
+		elapsed = 0
 	}
 	mt.at = now
-	mt.answers += span * float64(node.decoding())
-	gone := math.Exp(-span / meterSpan.Seconds())
-	for at := range mt.lately {
-		mt.lately[at] *= gone
+	mt.answerSeconds += elapsed * float64(state.decoding())
+	decay := math.Exp(-elapsed / meterSpan.Seconds())
+	for at := range mt.recentShare {
+		mt.recentShare[at] *= decay
 	}
-	if len(node.prefilling) > 0 {
-		mt.prompts += span
-		mt.lately[meterRank(node.prefilling[0].Rank)] += 1 - gone
+	if len(state.prefilling) > 0 {
+		mt.promptSeconds += elapsed
+		mt.recentShare[meterIndex(state.prefilling[0].Rank)] += 1 - decay
 	}
 }
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -7,250 +7,262 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// TargetState is what the fleet believes of one target.
+// TargetState is the leader's view of one target: its configuration, granted runs,
+// learned rates, cache model and health.
 type TargetState struct {
 	Target Target
 
-	sharing    *sharing
-	runs       []*Run
-	prefilling []*Run
-	backlog    yuccaid.Tokens
-	longs      int
-	headSince  time.Time
-	prefill    speed
-	decode     speed
-	call       speed
-	cache      record
-	trust      float64
-	leaving    bool
-	leftAt     time.Time
-	probing    bool
-	// failing says that the target showed no progress or could not be reached, and not
-	// only that it was slow.
-	failing    bool
-	probeAt    time.Time
-	probePause time.Duration
-	newsAt     time.Time
-	foreign    int
-	foreignTil time.Time
-	peak       peak
-	meter      meter
-
-	stamp uint64
-	hit   yuccaid.Tokens
+	interference      *interference
+	runs              []*Run
+	prefilling        []*Run
+	queuedPrefill     yuccaid.Tokens
+	longPrompts       int
+	headStartedAt     time.Time
+	prefill           speed
+	decode            speed
+	call              speed
+	cache             cacheModel
+	cacheTrust        float64
+	leaving           bool
+	leavingReportedAt time.Time
+	probing           bool
+	// failing means that the target showed no progress or could not be reached, rather
+	// than being merely slow.
+	failing       bool
+	probeAt       time.Time
+	probeInterval time.Duration
+	observedAt    time.Time
+	foreignRuns   int
+	foreignUntil  time.Time
+	runPeak       runPeak
+	meter         meter
+
+	generation uint64
+	heldPrefix yuccaid.Tokens
 }
 
-func newNode(tgt Target, shr *sharing) *TargetState {
-	node := &TargetState{Target: tgt, sharing: shr, cache: newRecord(tgt.Cache), trust: 1}
-	node.guess(tgt)
-	return node
+func newTargetState(target Target, model *interference) *TargetState {
+	state := &TargetState{Target: target, interference: model, cache: newCacheModel(target.Cache), cacheTrust: 1}
+	state.resetRates(target)
+	return state
 }
 
-func (node *TargetState) guess(tgt Target) {
-	node.prefill = newSpeed(orElse(float64(tgt.Prefill), guessPrefill))
-	node.decode = newSpeed(orElse(float64(tgt.Decode), guessDecode))
-	node.call = newSpeed(1 / guessCall.Seconds())
+func (state *TargetState) resetRates(target Target) {
+	state.prefill = newSpeed(positiveOr(float64(target.Prefill), defaultPrefillRate))
+	state.decode = newSpeed(positiveOr(float64(target.Decode), defaultDecodeRate))
+	state.call = newSpeed(1 / defaultCallTime.Seconds())
 }
 
-func orElse(value, other float64) float64 {
+func positiveOr(value, fallback float64) float64 {
 	if value <= 0 {
-		return other
+		return fallback
 	}
 	return value
 }
 
 // Running returns how many granted requests the target holds.
-func (node *TargetState) Running() int {
-	return len(node.runs)
+func (state *TargetState) Running() int {
+	return len(state.runs)
 }
 
 // Leaving reports whether the target takes no new work.
-func (node *TargetState) Leaving() bool {
-	return node.Target.Leaving || node.leaving
+func (state *TargetState) Leaving() bool {
+	return state.Target.Leaving || state.leaving
 }
 
-// busy counts what occupies slots: granted requests and, while a fresh load report
-// shows them, those of others, such as a second leader during a partition.
-func (node *TargetState) busy(now time.Time) int {
-	if now.Before(node.foreignTil) {
-		return len(node.runs) + node.foreign
+// occupied returns how many requests occupy slots: the granted ones and, while a fresh
+// load report shows them, those of other leaders, such as a second leader during a
+// partition.
+func (state *TargetState) occupied(now time.Time) int {
+	if now.Before(state.foreignUntil) {
+		return len(state.runs) + state.foreignRuns
 	}
-	return len(node.runs)
+	return len(state.runs)
 }
 
-// prefillWait is how long the prompts that are already there will keep the target.
-func (node *TargetState) prefillWait(now time.Time) time.Duration {
-	if len(node.prefilling) == 0 {
+// prefillWait returns the estimated time until the target has processed the prompts
+// that it already holds.
+func (state *TargetState) prefillWait(now time.Time) time.Duration {
+	if len(state.prefilling) == 0 {
 		return 0
 	}
-	head := node.prefilling[0].uncached()
-	left := node.prefillTime(head) - now.Sub(node.headSince)
-	return max(left, 0) + node.prefillTime(node.backlog-head)
+	head := state.prefilling[0].uncached()
+	headLeft := state.prefillTime(head) - now.Sub(state.headStartedAt)
+	return max(headLeft, 0) + state.prefillTime(state.queuedPrefill-head)
 }
 
-// prefillTime is how long a prompt takes beside the answers that are decoded now.
+// prefillTime returns the estimated prefill time of a prompt beside the answers that
+// are decoded now.
 //
-// Made for engines that batch continuously: their time is shared between one prompt
-// and all answers, so a prompt gets S/(S+n) of it while n of S slots decode.
-func (node *TargetState) prefillTime(tokens yuccaid.Tokens) time.Duration {
-	return node.prefillBeside(tokens, float64(node.decoding()))
+// It models engines that batch continuously. Such an engine divides its time between
+// one prompt and all answers: while n of its S slots decode, a prompt gets S/(S+n) of
+// the time.
+func (state *TargetState) prefillTime(tokens yuccaid.Tokens) time.Duration {
+	return state.prefillTimeBeside(tokens, float64(state.decoding()))
 }
 
-func (node *TargetState) prefillBeside(tokens yuccaid.Tokens, answers float64) time.Duration {
-	return seconds(float64(tokens) / (node.prefill.recent * node.promptPart(answers)))
+func (state *TargetState) prefillTimeBeside(tokens yuccaid.Tokens, answers float64) time.Duration {
+	return seconds(float64(tokens) / (state.prefill.recent * state.prefillShare(answers)))
 }
 
-// decodeTime is how long an answer takes in the company of others, if prompts keep the
-// target as busy as they did lately.
-func (node *TargetState) decodeTime(tokens, company float64) time.Duration {
-	return node.decodeBeside(tokens, company, node.meter.promptsTo(meterRanks))
+// decodeTime returns the estimated decoding time of an answer beside the given number
+// of other answers, if prompts keep the target as busy as recently.
+func (state *TargetState) decodeTime(tokens, others float64) time.Duration {
+	return state.decodeTimeBeside(tokens, others, state.meter.promptShareUpTo(meterRanks))
 }
 
-// decodeBeside is decodeTime where prompts take a part of the time.
-func (node *TargetState) decodeBeside(tokens, company, prompts float64) time.Duration {
-	rate := node.decode.recent * node.answerPart(company, prompts) / node.crowding(company)
+// decodeTimeBeside is decodeTime with a given share of the time taken by prompts.
+func (state *TargetState) decodeTimeBeside(tokens, others, promptShare float64) time.Duration {
+	rate := state.decode.recent * state.decodeShare(others, promptShare) / state.crowdingFactor(others)
 	return seconds(tokens / rate)
 }
 
-func (node *TargetState) decoding() int {
-	return len(node.runs) - len(node.prefilling)
+func (state *TargetState) decoding() int {
+	return len(state.runs) - len(state.prefilling)
 }
 
-func (node *TargetState) slots() float64 {
-	return float64(max(node.Target.Slots, 1))
+func (state *TargetState) slots() float64 {
+	return float64(max(state.Target.Slots, 1))
 }
 
-// promptPart is the part of the target's time that a prompt gets beside n answers.
-func (node *TargetState) promptPart(n float64) float64 {
-	return node.slots() / (node.slots() + n*node.sharing.prompts)
+// prefillShare returns the share of the target's time that a prompt gets beside n
+// answers.
+func (state *TargetState) prefillShare(n float64) float64 {
+	return state.slots() / (state.slots() + n*state.interference.promptFactor)
 }
 
-// answerPart is the part that answers get when a prompt is there for a part of the time.
-func (node *TargetState) answerPart(n, prompts float64) float64 {
-	return 1 - min(node.sharing.prompts*node.lost(n, prompts), mostLost)
+// decodeShare returns the share of the target's time that n answers get when a prompt
+// is present for the given share of the time.
+func (state *TargetState) decodeShare(n, promptShare float64) float64 {
+	return 1 - min(state.interference.promptFactor*state.promptLoss(n, promptShare), maxPromptLoss)
 }
 
-// lost is the part of the time that prompts would take at equal shares.
-func (node *TargetState) lost(n, prompts float64) float64 {
-	return min(prompts, 1) * node.slots() / (node.slots() + n)
+// promptLoss returns the share of the time that prompts would take from n answers if
+// the target divided its time equally.
+func (state *TargetState) promptLoss(n, promptShare float64) float64 {
+	return min(promptShare, 1) * state.slots() / (state.slots() + n)
 }
 
-// crowding is how many times longer a token takes with n other answers than alone.
-func (node *TargetState) crowding(n float64) float64 {
-	return 1 + node.sharing.crowding*n/node.slots()
+// crowdingFactor returns how many times longer a token takes beside n other answers
+// than alone.
+func (state *TargetState) crowdingFactor(n float64) float64 {
+	return 1 + state.interference.crowding*n/state.slots()
 }
 
 func seconds(sec float64) time.Duration {
 	return time.Duration(sec * float64(time.Second))
 }
 
-func (node *TargetState) begin(now time.Time, run *Run) {
-	node.meter.advance(now, node)
-	run.atBegin = node.meter.reading
-	run.node = node
+func (state *TargetState) startRun(now time.Time, run *Run) {
+	state.meter.advance(now, state)
+	run.meterAtStart = state.meter.meterReading
+	run.state = state
 	run.StartedAt = now
-	node.runs = append(node.runs, run)
-	if len(node.prefilling) == 0 {
-		node.headSince = now
+	state.runs = append(state.runs, run)
+	if len(state.prefilling) == 0 {
+		state.headStartedAt = now
 	}
-	node.prefilling = append(node.prefilling, run)
-	node.backlog += run.uncached()
+	state.prefilling = append(state.prefilling, run)
+	state.queuedPrefill += run.uncached()
 	if run.LongPrompt {
-		node.longs++
+		state.longPrompts++
 	}
-	node.peak.note(now, len(node.runs))
+	state.runPeak.add(now, len(state.runs))
 }
 
-// prefilled takes a run out of the prompts that wait or are worked on.
-func (node *TargetState) prefilled(now time.Time, run *Run) {
-	at := slices.Index(node.prefilling, run)
+// endPrefill removes a run from the prompts that wait or are processed.
+func (state *TargetState) endPrefill(now time.Time, run *Run) {
+	at := slices.Index(state.prefilling, run)
 	if at < 0 {
 		return
 	}
-	node.meter.advance(now, node)
-	run.atFirst = node.meter.reading
-	node.prefilling = slices.Delete(node.prefilling, at, at+1)
-	node.backlog -= run.uncached()
+	state.meter.advance(now, state)
+	run.meterAtFirstToken = state.meter.meterReading
+	state.prefilling = slices.Delete(state.prefilling, at, at+1)
+	state.queuedPrefill -= run.uncached()
 	if at == 0 {
-		node.headSince = now
+		state.headStartedAt = now
 	}
 	if run.LongPrompt {
-		node.longs--
+		state.longPrompts--
 	}
 }
 
-func (node *TargetState) end(now time.Time, run *Run) {
-	node.prefilled(now, run)
-	at := slices.Index(node.runs, run)
+func (state *TargetState) releaseRun(now time.Time, run *Run) {
+	state.endPrefill(now, run)
+	at := slices.Index(state.runs, run)
 	if at < 0 {
 		return
 	}
-	node.meter.advance(now, node)
-	last := len(node.runs) - 1
-	node.runs[at] = node.runs[last]
-	node.runs[last] = nil
-	node.runs = node.runs[:last]
+	state.meter.advance(now, state)
+	last := len(state.runs) - 1
+	state.runs[at] = state.runs[last]
+	state.runs[last] = nil
+	state.runs = state.runs[:last]
 }
 
-// overdue returns how much longer the oldest prompt has taken than the target's own
-// rate explains; zero while it is within bounds.
+// stallRatio returns how many times longer the oldest prompt has taken than the
+// target's own rate predicts, or zero while that is within bounds.
 //
-// A stalled target finishes nothing, so nothing that finishes would ever tell of it.
-func (node *TargetState) overdue(now time.Time, plain bool) float64 {
-	if len(node.prefilling) == 0 {
+// A stalled target finishes no run, so no measurement of a finished run would show the
+// stall.
+func (state *TargetState) stallRatio(now time.Time, plainService bool) float64 {
+	if len(state.prefilling) == 0 {
 		return 0
 	}
-	expected := node.prefillTime(node.prefilling[0].uncached())
-	if plain {
-		expected = seconds(1 / node.call.recent)
+	expected := state.prefillTime(state.prefilling[0].uncached())
+	if plainService {
+		expected = seconds(1 / state.call.recent)
 	}
-	elapsed := now.Sub(node.headSince)
-	if elapsed < time.Duration(overdueRatio*float64(expected))+overdueSlack {
+	elapsed := now.Sub(state.headStartedAt)
+	if elapsed < time.Duration(stallFactor*float64(expected))+stallSlack {
 		return 0
 	}
 	return float64(elapsed) / float64(max(expected, time.Millisecond))
 }
 
-// startProbing leaves the target to probes. The pause between them grows when one has
-// failed, not when a run that began before the first ends late.
-func (node *TargetState) startProbing(now time.Time) {
-	if node.probing && now.Before(node.probeAt) {
+// startProbing restricts the target to probes. The interval between them grows when a
+// probe has failed, but not when a run that was started before the first probe finishes
+// late.
+func (state *TargetState) startProbing(now time.Time) {
+	if state.probing && now.Before(state.probeAt) {
 		return
 	}
-	node.probePause = min(2*node.probePause, probeLast)
-	if !node.probing {
-		node.probing = true
-		node.probePause = probeFirst
+	state.probeInterval = min(2*state.probeInterval, maxProbeInterval)
+	if !state.probing {
+		state.probing = true
+		state.probeInterval = minProbeInterval
 	}
-	node.probeAt = now.Add(node.probePause)
+	state.probeAt = now.Add(state.probeInterval)
 }
 
-func (node *TargetState) waste(now time.Time, run *Run) yuccaid.Tokens {
+func (state *TargetState) wastedPrefill(now time.Time, run *Run) yuccaid.Tokens {
 	if !run.Prefilling() {
 		return run.uncached()
 	}
-	if len(node.prefilling) == 0 || node.prefilling[0] != run {
+	if len(state.prefilling) == 0 || state.prefilling[0] != run {
 		return 0
 	}
-	done := yuccaid.Tokens(now.Sub(node.headSince).Seconds() * node.prefill.recent)
+	done := yuccaid.Tokens(now.Sub(state.headStartedAt).Seconds() * state.prefill.recent)
 	return min(done, run.uncached())
 }
 
-// peak is the largest number of runs over the last one to two periods. A load report
-// is compared with it: its count is old, and requests that have ended since then must
-// not pass for the work of others.
-type peak struct {
-	since         time.Time
-	now, previous int
+// runPeak is the largest number of runs over the last one to two periods of
+// loadReportLifetime. Load reports are compared with it because their counts are old:
+// requests that have finished since then must not be taken for requests of other
+// leaders.
+type runPeak struct {
+	since             time.Time
+	current, previous int
 }
 
-func (pk *peak) note(now time.Time, running int) {
-	if now.Sub(pk.since) > foreignLife {
-		pk.previous, pk.now, pk.since = pk.now, 0, now
+func (pk *runPeak) add(now time.Time, running int) {
+	if now.Sub(pk.since) > loadReportLifetime {
+		pk.previous, pk.current, pk.since = pk.current, 0, now
 	}
-	pk.now = max(pk.now, running)
+	pk.current = max(pk.current, running)
 }
 
-func (pk *peak) value() int {
-	return max(pk.now, pk.previous)
+func (pk *runPeak) value() int {
+	return max(pk.current, pk.previous)
 }
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -8,9 +8,9 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Preemption is a set of runs of one target whose cancelling makes room.
+// Preemption is a set of runs on one target that would be cancelled for a request.
 //
-// Slack is the time left until no eviction in the set of targets would help any more.
+// Slack is the time left until no preemption in the target set could help any more.
 type Preemption struct {
 	Choice        Choice
 	Runs          []*Run
@@ -18,104 +18,106 @@
 	Slack         time.Duration
 }
 
-// PlanPreemption returns the runs of lower tiers to cancel so that the request meets its
-// deadline, with the least prefill thrown away, or false when no cancelling helps.
+// PlanPreemption returns the runs of lower tiers to cancel so that the request meets
+// its deadline, choosing the target where the least prefill is wasted. It reports false
+// if no cancelling helps.
 //
-// It is for a request that would be refused otherwise. The deadline has to hold for a
-// long answer too: cancelling for a request that then ends late loses both, and under
-// overload it takes the whole fleet's time. On each target the lowest tier
-// goes first and within it the run that has the least prefill behind it; no more runs
-// are taken than needed.
-func (fleet *Placer) PlanPreemption(now time.Time, reach *TargetSet, shape *Request) (Preemption, bool) {
-	fleet.stamp++
-	deepest := min(fleet.prefixes.mark(fleet.stamp, shape.Prefixes), shape.Prompt)
+// It is for a request that would be rejected otherwise. The deadline has to hold for a
+// long answer too: if the request finished late all the same, both its work and that of
+// the cancelled runs would be lost, which under overload takes the time of the whole
+// pool. On each target runs of the lowest tier are cancelled first, and within a tier
+// those with the least prefill done; no more runs are cancelled than needed.
+func (placer *Placer) PlanPreemption(now time.Time, set *TargetSet, req *Request) (Preemption, bool) {
+	placer.generation++
+	longestCached := min(placer.prefixes.markHeld(placer.generation, req.Prefixes), req.Prompt)
 	var best Preemption
 	found := false
 	slack := time.Duration(0)
-	for _, node := range reach.nodes {
-		if reach.holds(node) {
+	for _, state := range set.states {
+		if set.excludes(state) {
 			continue
 		}
-		one, ok := fleet.evictOn(now, node, shape, deepest)
+		plan, ok := placer.preemptOn(now, state, req, longestCached)
 		if !ok {
 			continue
 		}
-		slack = max(slack, one.Slack)
-		if !found || one.WastedPrefill < best.WastedPrefill {
-			best, found = one, true
+		slack = max(slack, plan.Slack)
+		if !found || plan.WastedPrefill < best.WastedPrefill {
+			best, found = plan, true
 		}
 	}
 	best.Slack = slack
 	return best, found
 }
 
-func (fleet *Placer) evictOn(now time.Time, node *TargetState, shape *Request, deepest yuccaid.Tokens) (Preemption, bool) {
-	victims := node.below(now, shape.Rank)
+func (placer *Placer) preemptOn(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens) (Preemption, bool) {
+	victims := state.preemptible(now, req.Rank)
 	if len(victims) == 0 {
 		return Preemption{}, false
 	}
-	without := func(runs []*Run) (Choice, bool) {
-		choice := fleet.estimate(now, node, shape, deepest, node.without(now, runs))
-		slots := node.busy(now)-len(runs) < node.Target.Slots+fleet.spare
-		return choice, slots && !choice.late(now, shape)
+	estimateWithout := func(runs []*Run) (Choice, bool) {
+		choice := placer.estimate(now, state, req, longestCached, state.loadWithout(now, runs))
+		hasSlot := state.occupied(now)-len(runs) < state.Target.Slots+placer.extraSlots
+		return choice, hasSlot && !choice.missesDeadline(now, req)
 	}
 	enough := 1
-	choice, ok := without(victims[:enough])
+	choice, ok := estimateWithout(victims[:enough])
 	for !ok && enough < len(victims) {
 		enough++
-		choice, ok = without(victims[:enough])
+		choice, ok = estimateWithout(victims[:enough])
 	}
 	if !ok {
 		return Preemption{}, false
 	}
 	victims = victims[:enough]
-	// One that was taken first because it wastes little may free nothing that the
-	// request lacks.
+	// A run that was selected first because it wastes little prefill may free nothing
+	// that the request needs.
 	for at := len(victims) - 2; at >= 0; at-- {
 		fewer := slices.Concat(victims[:at], victims[at+1:])
-		if other, enough := without(fewer); enough {
-			victims, choice = fewer, other
+		if cheaper, enough := estimateWithout(fewer); enough {
+			victims, choice = fewer, cheaper
 		}
 	}
-	one := Preemption{Choice: choice, Runs: victims, Slack: shape.Deadline.Sub(now.Add(choice.needs(shape)))}
+	plan := Preemption{Choice: choice, Runs: victims, Slack: req.Deadline.Sub(now.Add(choice.requiredTime(req)))}
 	for _, run := range victims {
-		one.WastedPrefill += node.waste(now, run)
+		plan.WastedPrefill += state.wastedPrefill(now, run)
 	}
-	return one, true
+	return plan, true
 }
 
-// without is the company on the target once the runs are cancelled.
-func (node *TargetState) without(now time.Time, runs []*Run) company {
-	with := node.company(now)
+// loadWithout returns the load of the target once the runs are cancelled.
+func (state *TargetState) loadWithout(now time.Time, runs []*Run) targetLoad {
+	load := state.targetLoad(now)
 	for _, run := range runs {
-		with.running--
+		load.running--
 		if !run.Prefilling() {
-			with.decoding--
+			load.decoding--
 		}
-		with.wait -= node.left(now, run)
+		load.prefillWait -= state.prefillLeft(now, run)
 	}
-	with.wait = max(with.wait, 0)
-	return with
+	load.prefillWait = max(load.prefillWait, 0)
+	return load
 }
 
-// below returns the runs that a request of the rank may have cancelled.
-func (node *TargetState) below(now time.Time, rank int) []*Run {
+// preemptible returns the runs that a request of the rank may have cancelled, in the
+// order of cancelling.
+func (state *TargetState) preemptible(now time.Time, rank int) []*Run {
 	var list []*Run
-	for _, run := range node.runs {
+	for _, run := range state.runs {
 		if run.Cancellable && run.Rank > rank {
 			list = append(list, run)
 		}
 	}
 	slices.SortStableFunc(list, func(a, b *Run) int {
-		return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(node.waste(now, a), node.waste(now, b)))
+		return cmp.Or(cmp.Compare(b.Rank, a.Rank), cmp.Compare(state.wastedPrefill(now, a), state.wastedPrefill(now, b)))
 	})
 	return list
 }
 
-// left is the prefill time that cancelling a run saves.
-func (node *TargetState) left(now time.Time, run *Run) time.Duration {
+// prefillLeft returns the prefill time that cancelling a run saves.
+func (state *TargetState) prefillLeft(now time.Time, run *Run) time.Duration {
 	if !run.Prefilling() {
 		return 0
 	}
-	return node.prefillTime(run.uncached() - node.waste(now, run))
+	return state.prefillTime(run.uncached() - state.wastedPrefill(now, run))
 }
--- a/core/yuccaplace/prefix.go
+++ b/core/yuccaplace/prefix.go
@@ -8,21 +8,20 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// prefixes knows for each recorded block which targets hold it.
+// prefixes is an index from each recorded block to the targets that hold it.
 //
-// The index runs from block to targets, so that a request asks once for its prompt
-// and not once for each target.
+// A request thus looks up its prompt once, and not once for each target.
 type prefixes struct {
 	holders map[uint64][]*TargetState
 }
 
-func (pre *prefixes) add(hash uint64, node *TargetState) {
-	pre.holders[hash] = append(pre.holders[hash], node)
+func (pre *prefixes) add(hash uint64, state *TargetState) {
+	pre.holders[hash] = append(pre.holders[hash], state)
 }
 
-func (pre *prefixes) drop(hash uint64, node *TargetState) {
+func (pre *prefixes) drop(hash uint64, state *TargetState) {
 	list := pre.holders[hash]
-	at := slices.Index(list, node)
+	at := slices.Index(list, state)
 	if at < 0 {
 		return
 	}
@@ -36,82 +35,84 @@
 	pre.holders[hash] = list[:last]
 }
 
-// sent records that a prompt went to a target. The deepest block is touched first:
-// then the last block of a chain is evicted before the ones it builds on, as in the
-// engines, and holding a block implies holding those before it.
-func (pre *prefixes) sent(node *TargetState, hashes []uint64) {
-	hashes = hashes[:min(len(hashes), maxPrefixes, node.cache.limit)]
+// recordPrompt records that a prompt was sent to a target. The last block is touched
+// first, so the last block of a chain is evicted before those that it builds on, as in
+// the engines. Holding a block therefore implies holding those before it.
+func (pre *prefixes) recordPrompt(state *TargetState, hashes []uint64) {
+	hashes = hashes[:min(len(hashes), maxPromptBlocks, state.cache.limit)]
 	stored := 0
 	for _, hash := range slices.Backward(hashes) {
-		if pre.touch(node, hash) {
+		if pre.touch(state, hash) {
 			stored++
 		}
 	}
-	node.cache.note(len(hashes)-stored, stored)
+	state.cache.recordPrompt(len(hashes)-stored, stored)
 }
 
-// touch records the use of a block and reports whether it is new there.
-func (pre *prefixes) touch(node *TargetState, hash uint64) bool {
-	evicted, gone, fresh := node.cache.touch(hash)
-	if gone {
-		pre.drop(evicted, node)
+// touch records the use of a block and reports whether it is new on the target.
+func (pre *prefixes) touch(state *TargetState, hash uint64) bool {
+	evicted, didEvict, added := state.cache.touch(hash)
+	if didEvict {
+		pre.drop(evicted, state)
 	}
-	if fresh {
-		pre.add(hash, node)
+	if added {
+		pre.add(hash, state)
 	}
-	return fresh
+	return added
 }
 
-// stored adds blocks that a target says it has. Those already recorded keep their
-// place: the events come late and say nothing about the order of use.
-func (pre *prefixes) stored(node *TargetState, hashes []uint64) {
+// addStored adds blocks that a target has reported. Blocks already recorded keep their
+// position in the order of use, because cache events come late and don't tell when a
+// block was used.
+func (pre *prefixes) addStored(state *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
-		if _, found := node.cache.places[hash]; !found && node.cache.limit > 0 {
-			pre.touch(node, hash)
+		if _, found := state.cache.index[hash]; !found && state.cache.limit > 0 {
+			pre.touch(state, hash)
 		}
 	}
 }
 
-func (pre *prefixes) evicted(node *TargetState, hashes []uint64) {
+func (pre *prefixes) removeEvicted(state *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
-		if node.cache.drop(hash) {
-			pre.drop(hash, node)
+		if state.cache.drop(hash) {
+			pre.drop(hash, state)
 		}
 	}
 }
 
-func (pre *prefixes) clear(node *TargetState) {
-	for hash := range node.cache.places {
-		pre.drop(hash, node)
+func (pre *prefixes) clear(state *TargetState) {
+	for hash := range state.cache.index {
+		pre.drop(hash, state)
 	}
-	node.cache = newRecord(node.Target.Cache)
+	state.cache = newCacheModel(state.Target.Cache)
 }
 
-// deepest returns how much of the prompt some target holds.
-func (pre *prefixes) deepest(hashes []uint64) yuccaid.Tokens {
-	hashes = hashes[:min(len(hashes), maxPrefixes)]
-	depth := sort.Search(len(hashes), func(at int) bool { return len(pre.holders[hashes[at]]) == 0 })
-	return yuccaid.Tokens(depth) * yuccaqueue.BlockTokens
+// longestHeld returns the largest number of prompt tokens that any target holds.
+func (pre *prefixes) longestHeld(hashes []uint64) yuccaid.Tokens {
+	hashes = hashes[:min(len(hashes), maxPromptBlocks)]
+	heldBlocks := sort.Search(len(hashes), func(at int) bool { return len(pre.holders[hashes[at]]) == 0 })
+	return yuccaid.Tokens(heldBlocks) * yuccaqueue.BlockTokens
 }
 
-// mark notes on every target how much of the prompt it holds, under a new stamp, and
-// returns the longest. The depth at which any target holds the prompt is found by
-// bisection, and the walk back ends once every holder of the first block is known.
-func (pre *prefixes) mark(stamp uint64, hashes []uint64) yuccaid.Tokens {
-	hashes = hashes[:min(len(hashes), maxPrefixes)]
+// markHeld sets on every target that holds part of the prompt how much it holds, with
+// the given generation, and returns the largest amount. Bisection finds the number of
+// leading blocks that any target holds; the walk back from there ends once every holder
+// of the first block is marked.
+func (pre *prefixes) markHeld(generation uint64, hashes []uint64) yuccaid.Tokens {
+	hashes = hashes[:min(len(hashes), maxPromptBlocks)]
 	if len(hashes) == 0 || len(pre.holders[hashes[0]]) == 0 {
 		return 0
 	}
-	depth := sort.Search(len(hashes), func(at int) bool { return len(pre.holders[hashes[at]]) == 0 })
-	seen := 0
-	for at := depth - 1; at >= 0 && seen < len(pre.holders[hashes[0]]); at-- {
-		for _, node := range pre.holders[hashes[at]] {
-			if node.stamp != stamp {
-				node.stamp = stamp
-				node.hit = yuccaid.Tokens(at+1) * yuccaqueue.BlockTokens
-				seen++
+	heldBlocks := sort.Search(len(hashes), func(at int) bool { return len(pre.holders[hashes[at]]) == 0 })
+	marked := 0
+	for at := heldBlocks - 1; at >= 0 && marked < len(pre.holders[hashes[0]]); at-- {
+		for _, state := range pre.holders[hashes[at]] {
+			if state.generation != generation {
+				state.generation = generation
+				state.heldPrefix = yuccaid.Tokens(at+1) * yuccaqueue.BlockTokens
+				marked++
 			}
 		}
 	}
-	return yuccaid.Tokens(depth) * yuccaqueue.BlockTokens
+	return yuccaid.Tokens(heldBlocks) * yuccaqueue.BlockTokens
 }
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -8,129 +8,136 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// TargetSet is a set of targets that some accounts may use, with the best rates in it.
+// TargetSet is a set of targets that some accounts may use, with the best, mean and
+// slowest rates of its targets.
 type TargetSet struct {
-	nodes   []*TargetState
-	prefill float64
-	decode  float64
-	call    float64
-	mean    float64
-	slowest rates
-	slots   int
-	usable  int
-	// relaxed says that no target is in ordinary use, so that slow ones have to do.
-	relaxed bool
+	states      []*TargetState
+	bestPrefill float64
+	bestDecode  float64
+	bestCall    float64
+	meanPrefill float64
+	slowest     rates
+	slots       int
+	usableCount int
+	// allSlow means that no target is in ordinary use, so slow ones get ordinary
+	// requests too.
+	allSlow bool
 }
 
 type rates struct {
 	prefill, decode float64
 }
 
-// NewTargetSet returns the set of the named targets, or of all when none is named.
-func (fleet *Placer) NewTargetSet(names []yuccaid.Target) *TargetSet {
-	reach := &TargetSet{}
-	for _, node := range fleet.nodes {
-		if len(names) == 0 || slices.Contains(names, node.Target.Name) {
-			reach.nodes = append(reach.nodes, node)
+// NewTargetSet returns the set of the named targets, or of all targets if no name is
+// given.
+func (placer *Placer) NewTargetSet(names []yuccaid.Target) *TargetSet {
+	set := &TargetSet{}
+	for _, state := range placer.states {
+		if len(names) == 0 || slices.Contains(names, state.Target.Name) {
+			set.states = append(set.states, state)
 		}
 	}
-	reach.Refresh()
-	return reach
+	set.Refresh()
+	return set
 }
 
-// Has reports whether the set holds a target.
-func (reach *TargetSet) Has(node *TargetState) bool {
-	return slices.Contains(reach.nodes, node)
+// Has reports whether the set contains the target.
+func (set *TargetSet) Has(state *TargetState) bool {
+	return slices.Contains(set.states, state)
 }
 
-// UsableCount returns how many targets of the set take ordinary work.
-func (reach *TargetSet) UsableCount() int {
-	return reach.usable
+// UsableCount returns how many targets of the set take ordinary requests.
+func (set *TargetSet) UsableCount() int {
+	return set.usableCount
 }
 
-// AnyAccepting reports whether a target of the set may ever take work.
-func (reach *TargetSet) AnyAccepting() bool {
-	return slices.ContainsFunc(reach.nodes, func(node *TargetState) bool { return !node.Leaving() })
+// AnyAccepting reports whether at least one target of the set isn't leaving.
+func (set *TargetSet) AnyAccepting() bool {
+	return slices.ContainsFunc(set.states, func(state *TargetState) bool { return !state.Leaving() })
 }
 
-// holds reports whether a target gets no ordinary work now. Probes are for finding out
-// whether a slow target is well again while others work. When all of a set are slow,
-// keeping requests from them would leave callers waiting before idle engines; only a
-// target that shows no progress at all is still left to probes.
-func (reach *TargetSet) holds(node *TargetState) bool {
-	return node.Leaving() || node.probing && (node.failing || !reach.relaxed)
+// excludes reports whether a target gets no ordinary requests now. Probes find out
+// whether a slow target has recovered while other targets do the work. If all targets
+// of a set are slow, excluding them would leave callers waiting before idle engines;
+// then only targets that are leaving or failing are excluded.
+func (set *TargetSet) excludes(state *TargetState) bool {
+	return state.Leaving() || state.probing && (state.failing || !set.allSlow)
 }
 
-// Refresh takes the learned rates into the set's best and mean ones.
-func (reach *TargetSet) Refresh() {
-	reach.prefill, reach.decode, reach.call, reach.mean = 0, 0, 0, 0
-	reach.slots, reach.usable = 0, 0
-	reach.relaxed = !slices.ContainsFunc(reach.nodes, func(node *TargetState) bool { return !node.Leaving() && !node.probing })
-	reach.slowest = rates{prefill: math.Inf(1), decode: math.Inf(1)}
-	for _, node := range reach.nodes {
-		if reach.holds(node) {
+// Refresh recomputes the rates and counts of the set from its targets.
+func (set *TargetSet) Refresh() {
+	set.bestPrefill, set.bestDecode, set.bestCall, set.meanPrefill = 0, 0, 0, 0
+	set.slots, set.usableCount = 0, 0
+	set.allSlow = !slices.ContainsFunc(set.states, func(state *TargetState) bool { return !state.Leaving() && !state.probing })
+	set.slowest = rates{prefill: math.Inf(1), decode: math.Inf(1)}
+	for _, state := range set.states {
+		if set.excludes(state) {
 			continue
 		}
-		reach.usable++
-		reach.slots += node.Target.Slots
-		reach.prefill = max(reach.prefill, node.prefill.best)
-		reach.decode = max(reach.decode, node.decode.best)
-		reach.call = max(reach.call, node.call.recent)
-		reach.mean += node.prefill.recent
-		reach.slowest.prefill = min(reach.slowest.prefill, node.prefill.recent)
-		reach.slowest.decode = min(reach.slowest.decode, node.decode.recent)
+		set.usableCount++
+		set.slots += state.Target.Slots
+		set.bestPrefill = max(set.bestPrefill, state.prefill.best)
+		set.bestDecode = max(set.bestDecode, state.decode.best)
+		set.bestCall = max(set.bestCall, state.call.recent)
+		set.meanPrefill += state.prefill.recent
+		set.slowest.prefill = min(set.slowest.prefill, state.prefill.recent)
+		set.slowest.decode = min(set.slowest.decode, state.decode.recent)
 	}
-	reach.mean /= float64(max(reach.usable, 1))
+	set.meanPrefill /= float64(max(set.usableCount, 1))
 }
 
-// Request is what the estimates need of a request.
+// Request describes a request for the estimates: expected lengths in tokens, tier and
+// deadline.
 type Request struct {
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// AnswerP90 is what the answer may well get to; Expect fills it in.
+	// AnswerP90 is the 90th percentile of the answer's length; FillAnswerP90 sets it.
 	AnswerP90  yuccaid.Tokens
 	Prefixes   []uint64
 	Rank       int
 	LongPrompt bool
-	// LastAttempt says that this is the last moment: room kept for others doesn't count.
+	// LastAttempt means that the request is rejected if it isn't placed now; capacity
+	// reserved for other requests is then ignored.
 	LastAttempt bool
 	Deadline    time.Time
 }
 
-// FastestTime returns the shortest time in which an idle set could serve the request,
-// with the best rates and the deepest cached prefix, though no single target may
-// have all of them: a request is refused as hopeless only when it is.
-func (fleet *Placer) FastestTime(reach *TargetSet, shape *Request) time.Duration {
-	if reach.usable == 0 || fleet.plain {
+// FastestTime returns a lower bound on the time in which the set could serve the
+// request. It combines the best rates with the longest cached prefix, though no single
+// target may have all of them, so that a request is rejected only if it truly cannot
+// meet its deadline.
+func (placer *Placer) FastestTime(set *TargetSet, req *Request) time.Duration {
+	if set.usableCount == 0 || placer.plainService {
 		return 0
 	}
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	prefill := float64(shape.Prompt-cached) / reach.prefill
-	return seconds(prefill + float64(shape.Answer)/reach.decode)
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	prefill := float64(req.Prompt-cached) / set.bestPrefill
+	return seconds(prefill + float64(req.Answer)/set.bestDecode)
 }
 
-// SlowestTime returns how long the slowest target in ordinary use would take, idle and
-// without a cached prefix, for a long answer.
-func (fleet *Placer) SlowestTime(reach *TargetSet, shape *Request) time.Duration {
-	if reach.usable == 0 || fleet.plain {
+// SlowestTime returns how long the slowest target in ordinary use would take for a long
+// answer, idle and without a cached prefix.
+func (placer *Placer) SlowestTime(set *TargetSet, req *Request) time.Duration {
+	if set.usableCount == 0 || placer.plainService {
 		return 0
 	}
-	prefill := float64(shape.Prompt) / reach.slowest.prefill
-	return seconds(prefill + float64(max(shape.AnswerP90, shape.Answer))/reach.slowest.decode)
+	prefill := float64(req.Prompt) / set.slowest.prefill
+	return seconds(prefill + float64(max(req.AnswerP90, req.Answer))/set.slowest.decode)
 }
 
-// EstimateWork returns the time that a request takes of one target of the set: its prefill,
-// and of its decoding the part of one slot, since answers are decoded side by side.
-func (fleet *Placer) EstimateWork(reach *TargetSet, shape *Request) (work time.Duration, long bool) {
-	if reach.usable == 0 {
+// EstimateWork returns the time that the request takes of one target of the set, and
+// whether its prompt counts as long. The time is its prefill plus the share of one slot
+// in its decoding, since answers are decoded side by side.
+func (placer *Placer) EstimateWork(set *TargetSet, req *Request) (work time.Duration, longPrompt bool) {
+	if set.usableCount == 0 {
 		return 0, false
 	}
-	perTarget := float64(max(reach.slots, 1)) / float64(reach.usable)
-	if fleet.plain {
-		return seconds(1 / reach.call / perTarget), false
+	perTarget := float64(max(set.slots, 1)) / float64(set.usableCount)
+	if placer.plainService {
+		return seconds(1 / set.bestCall / perTarget), false
 	}
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	prefill := float64(shape.Prompt-cached) / reach.mean
-	decode := float64(shape.Answer) / reach.decode / perTarget
-	return seconds(prefill + decode), seconds(prefill) >= longPrefill
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	prefill := float64(req.Prompt-cached) / set.meanPrefill
+	decode := float64(req.Answer) / set.bestDecode / perTarget
+	return seconds(prefill + decode), seconds(prefill) >= longPrefillTime
 }
--- a/core/yuccaplace/run.go
+++ b/core/yuccaplace/run.go
@@ -6,7 +6,9 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Run is one granted request on its target. High is how long its answer may well get.
+// Run is one granted request on its target. Answer is the expected length of its
+// answer, AnswerP90 the 90th percentile, and Answered the number of tokens that have
+// come so far.
 type Run struct {
 	ID           yuccaid.RequestID
 	Operation    yuccaid.Operation
@@ -22,17 +24,17 @@
 	StartedAt    time.Time
 	FirstTokenAt time.Time
 
-	node    *TargetState
-	atBegin reading
-	atFirst reading
+	state             *TargetState
+	meterAtStart      meterReading
+	meterAtFirstToken meterReading
 }
 
-// Target returns where the run is.
+// Target returns the name of the target that the run is on.
 func (run *Run) Target() yuccaid.Target {
-	return run.node.Target.Name
+	return run.state.Target.Name
 }
 
-// Prefilling reports whether the target still works on the prompt or hasn't begun.
+// Prefilling reports whether the first token of the answer hasn't come yet.
 func (run *Run) Prefilling() bool {
 	return run.FirstTokenAt.IsZero()
 }
@@ -41,17 +43,18 @@
 	return max(run.Prompt-run.Cached, 1)
 }
 
-// left is how many tokens of the answer may still have to come, at least one.
-func (run *Run) left(now time.Time) float64 {
+// tokensLeft returns how many tokens of the answer may still have to come, at least
+// one.
+func (run *Run) tokensLeft(now time.Time) float64 {
 	done := float64(run.Answered)
 	if !run.Prefilling() {
-		done = max(done, float64(run.Answer)*min(run.pace(now), 1))
+		done = max(done, float64(run.Answer)*min(run.decodeProgress(now), 1))
 	}
 	return max(float64(run.AnswerP90)-done, 1)
 }
 
-// pace is the part of the expected decoding time that has passed.
-func (run *Run) pace(now time.Time) float64 {
-	expected := run.node.decodeTime(float64(run.Answer), float64(len(run.node.runs)-1))
+// decodeProgress returns the fraction of the expected decoding time that has passed.
+func (run *Run) decodeProgress(now time.Time) float64 {
+	expected := run.state.decodeTime(float64(run.Answer), float64(len(run.state.runs)-1))
 	return float64(now.Sub(run.FirstTokenAt)) / float64(max(expected, time.Millisecond))
 }
--- a/core/yuccaplace/speed.go
+++ b/core/yuccaplace/speed.go
@@ -1,63 +1,66 @@
 package yuccaplace
 
-// speed is a learned rate: what the target does now, and what is usual for it.
+// speed is a learned rate of a target.
 //
-// Load reports and the configuration don't know that a target has become slow; what
-// the owners see does. Comparing a target with its own usual rate rather than with
-// the others keeps an old generation of hardware from passing for a straggler.
+// recent is the current rate and usual the long-term one. Neither load reports nor the
+// configuration show that a target has become slow; the owners' measurements do. A
+// target is compared with its own usual rate rather than with other targets, so that an
+// old generation of hardware isn't taken for a straggler.
 //
-// Best is what the target can do when little else runs there. The others fall with the
-// load, and a request that would make it on an idle target must not be refused for
-// what a full one does.
+// best is the rate that the target reaches when little else runs there. The other two
+// fall with the load, and a request that would meet its deadline on an idle target must
+// not be rejected because of the rate of a full one.
 type speed struct {
 	recent float64
 	usual  float64
 	best   float64
-	// seen counts observations up to firstRates.
-	seen int
+	// samples counts observations up to initialSamples.
+	samples int
 }
 
 func newSpeed(guess float64) speed {
 	return speed{recent: guess, usual: guess, best: guess}
 }
 
-// observe takes a finished run's rate in.
+// observe adds the rate of a finished run.
 //
-// The configured rate is a guess about long prompts on an idle target. Kept as what is
-// usual, it would make stragglers of all targets as soon as short requests, with their
-// fixed costs, look slower, and requests would wait before idle engines. So the first
-// observations replace it.
+// The configured rate is a guess for long prompts on an idle target. If it were kept as
+// the usual rate, all targets would look like stragglers as soon as short requests
+// came, whose fixed costs make them slower, and requests would wait before idle
+// engines. The first observations therefore replace it.
 func (sp *speed) observe(rate, weight float64) {
-	if sp.seen < firstRates {
-		sp.seen++
-		part := 1 / float64(sp.seen+1)
-		sp.usual += part * (rate - sp.usual)
-		sp.recent += max(part, weight) * (rate - sp.recent)
+	if sp.samples < initialSamples {
+		sp.samples++
+		meanWeight := 1 / float64(sp.samples+1)
+		sp.usual += meanWeight * (rate - sp.usual)
+		sp.recent += max(meanWeight, weight) * (rate - sp.recent)
 		sp.best = max(rate, sp.best+bestWeight*(rate-sp.best))
 		return
 	}
 	sp.recent += weight * (rate - sp.recent)
-	sp.usual += sp.usualPart(rate) * (rate - sp.usual)
+	sp.usual += sp.weightForUsual(rate) * (rate - sp.usual)
 	sp.best = max(rate, sp.best+bestWeight*(rate-sp.best))
 }
 
-// usualPart keeps what a straggler shows from becoming usual for it.
-func (sp *speed) usualPart(rate float64) float64 {
+// weightForUsual returns the weight of an observation in the usual rate. It is small
+// for a straggler's rates, so that they don't become the usual ones.
+func (sp *speed) weightForUsual(rate float64) float64 {
 	if rate*slowRatio < sp.usual {
-		return usualWeight / oddPart
+		return usualWeight / stragglerDivisor
 	}
 	return usualWeight
 }
 
-// atMost notes that the rate is below a bound, which an unfinished run shows.
-func (sp *speed) atMost(rate float64) {
+// capRecent lowers the recent rate to an upper bound that an unfinished run shows.
+func (sp *speed) capRecent(rate float64) {
 	sp.recent = min(sp.recent, rate)
 }
 
-// forget lets the present rate return to the usual one while nothing is seen. A
-// target that was slow once gets no work, so nothing would ever show that it is well.
-func (sp *speed) forget(part float64) {
-	sp.recent += part * (sp.usual - sp.recent)
+// returnToUsual moves the recent rate towards the usual one by a fraction while nothing
+// is observed. A target that was slow once gets no work, so otherwise nothing would
+// ever show that it has recovered.
+func (sp *speed) returnToUsual(fraction float64) {
+	sp.recent += fraction * (sp.usual - sp.recent)
 }
 
 func (sp *speed) slow() bool {
--- a/core/yuccaplace/status.go
+++ b/core/yuccaplace/status.go
@@ -6,36 +6,38 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Health is a target's standing.
+// Health is a target's health.
 type Health string
 
 // The states of a target's health.
 const (
-	// Healthy says that the target takes work by its cost.
+	// Healthy means that the target gets ordinary requests according to its cost.
 	Healthy Health = "healthy"
-	// Probing says that the target is slow or stalled and gets single requests only.
+	// Probing means that the target is slow or stalled and gets single requests as
+	// probes.
 	Probing Health = "probing"
 )
 
-// Health returns the target's standing.
-func (node *TargetState) Health() Health {
-	if node.probing {
+// Health returns the target's health.
+func (state *TargetState) Health() Health {
+	if state.probing {
 		return Probing
 	}
 	return Healthy
 }
 
-// Backlog returns how long the prompts already there will keep the target.
-func (node *TargetState) Backlog(now time.Time) time.Duration {
-	return node.prefillWait(now)
+// Backlog returns the estimated time until the target has processed the prompts that it
+// already holds.
+func (state *TargetState) Backlog(now time.Time) time.Duration {
+	return state.prefillWait(now)
 }
 
 // PrefillRate returns the learned prefill rate.
-func (node *TargetState) PrefillRate() yuccaid.TokenRate {
-	return yuccaid.TokenRate(node.prefill.recent)
+func (state *TargetState) PrefillRate() yuccaid.TokenRate {
+	return yuccaid.TokenRate(state.prefill.recent)
 }
 
 // DecodeRate returns the learned decode rate.
-func (node *TargetState) DecodeRate() yuccaid.TokenRate {
-	return yuccaid.TokenRate(node.decode.recent)
+func (state *TargetState) DecodeRate() yuccaid.TokenRate {
+	return yuccaid.TokenRate(state.decode.recent)
 }
--- a/core/yuccaplace/target.go
+++ b/core/yuccaplace/target.go
@@ -2,10 +2,10 @@
 
 import "yuccacleat/core/yuccaid"
 
-// Target is what the configuration says of one target of a pool.
+// Target is the configuration of one target of a pool.
 //
-// Prefill and Decode are first guesses that observation replaces; Decode is the rate
-// of one answer, not of the whole batch. A plain service has slots only.
+// Prefill and Decode are initial estimates that observations replace; Decode is the
+// rate of one answer, not of the whole batch. A plain service has only slots.
 type Target struct {
 	Name    yuccaid.Target
 	Slots   int
@@ -15,7 +15,7 @@
 	Leaving bool
 }
 
-// Policy weighs goodput against wasted prefill; zero values mean one each.
+// Policy weighs goodput against wasted prefill; a zero weight means 1.
 type Policy struct {
 	GoodputWeight float64
 	WasteWeight   float64
