--- a/core/yuccaonce/expiry.go
+++ b/core/yuccaonce/expiry.go
@@ -18,7 +18,8 @@
 }
 
 // accountUsage counts the ids that the owner stores for one account. first and last are
-// the ends of the account's list of records, which is linked by record.next.
+// the counters of the account's oldest and newest record; record.next links the records
+// between them.
 type accountUsage struct {
 	records     int
 	unsubmitted int
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -16,10 +16,10 @@
 	clock    clock
 
 	records    recordStore
-	overdue    map[uint64]*record
-	lateCloses []lateClose
+	overdue    map[uint64]*record // open past their lifetime or closed late, by counter
+	lateCloses []lateClose        // in order of closing
 	accounts   map[yuccaid.Account]*accountUsage
-	stages     [closed + 1]int
+	stages     [closed + 1]int // number of records by stage
 }
 
 // New returns an owner without requests.
--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -10,10 +10,10 @@
 type stage uint8
 
 const (
-	opened stage = iota
-	waiting
-	dispatched
-	closed
+	opened     stage = iota // issued, not submitted
+	waiting                 // submitted, not dispatched
+	dispatched              // sent to a target, or about to be
+	closed                  // outcome recorded
 )
 
 // fingerprint is a digest of a submission; it takes less memory than the submission.
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -29,11 +29,11 @@
 
 // The reasons for sending no order.
 const (
-	Settled          HoldReason = "settled"
-	ConfigBehind     HoldReason = "behind"
-	WaitForOldOrders HoldReason = "waitingOutOldOrders"
-	OrderPending     HoldReason = "orderPending"
-	LoadPacing       HoldReason = "weightStorePacing"
+	Settled          HoldReason = "settled"             // the target matches its wish
+	ConfigBehind     HoldReason = "behind"              // the target has seen a newer configuration than this leader
+	WaitForOldOrders HoldReason = "waitingOutOldOrders" // an earlier leader's order may still be obeyed
+	OrderPending     HoldReason = "orderPending"        // the same order was sent and may still take effect
+	LoadPacing       HoldReason = "weightStorePacing"   // this leader's share of the weight store's rate is used up
 )
 
 // Planner decides the orders that the leader of one pool sends.
--- a/core/yuccaplace/cache.go
+++ b/core/yuccaplace/cache.go
@@ -18,12 +18,12 @@
 // The engines publish their cache events late and with gaps. The model is therefore
 // built from the prompts that were sent to the target, and the events only correct it.
 type cacheModel struct {
-	limit  int
-	index  map[uint64]int32
+	limit  int              // in blocks
+	index  map[uint64]int32 // position in blocks by hash
 	blocks []block
-	free   []int32
-	newest int32
-	oldest int32
+	free   []int32 // unused positions in blocks
+	newest int32   // position of the most recently used block, or noBlock
+	oldest int32   // position of the least recently used block, or noBlock
 	// hits and stored are moving averages over prompts: the blocks of a prompt that
 	// were found in the cache, and the blocks that were added.
 	hits   float64
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -30,12 +30,12 @@
 	states         []*TargetState
 	byName         map[yuccaid.Target]*TargetState
 	prefixes       prefixes
-	generation     uint64
+	generation     uint64 // increased for each markHeld; marks of earlier ones are void
 	interference   *interference
 	answerLengths  map[yuccaid.Operation]*answerLength
-	typicalRequest [meterRanks]typicalRequest
-	shortWork      float64
-	allWork        float64
+	typicalRequest [meterRanks]typicalRequest // by rank
+	shortWork      float64                    // average work of an arrival in seconds, long prompts counted as 0
+	allWork        float64                    // average work of an arrival in seconds
 }
 
 // New returns a placer without targets.
@@ -104,9 +104,9 @@
 	return state, found
 }
 
-// SetLeaving applies a target's report, made the given age ago, on whether it is
-// leaving, that is, takes no new work. A report older than the last one is ignored, so
-// an old one can't revert the decision to leave.
+// SetLeaving applies a target's report, made the given age ago, on whether the target
+// is leaving, that is, takes no new work. A report older than the last one is ignored,
+// so an old one can't make a leaving target accept work again.
 func (placer *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
 	state, found := placer.byName[name]
 	reportedAt := now.Add(-age)
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -14,31 +14,31 @@
 
 	interference      *interference
 	runs              []*Run
-	prefilling        []*Run
-	queuedPrefill     yuccaid.Tokens
-	longPrompts       int
-	headStartedAt     time.Time
+	prefilling        []*Run         // runs without a first token, in order of arrival
+	queuedPrefill     yuccaid.Tokens // uncached prompt tokens of the runs in prefilling
+	longPrompts       int            // number of long prompts in prefilling
+	headStartedAt     time.Time      // when prefilling[0] became the first one
 	prefill           speed
 	decode            speed
 	call              speed
 	cache             cacheModel
-	cacheTrust        float64
+	cacheTrust        float64 // expected share of the modelled hits that are real, from 0 to 1
 	leaving           bool
-	leavingReportedAt time.Time
+	leavingReportedAt time.Time // time of the report that set leaving
 	probing           bool
 	// failing means that the target showed no progress or could not be reached, rather
 	// than being merely slow.
 	failing       bool
-	probeAt       time.Time
+	probeAt       time.Time // earliest time of the next probe
 	probeInterval time.Duration
-	observedAt    time.Time
-	foreignRuns   int
+	observedAt    time.Time // time of the last observation, or of the last step of fadeRates
+	foreignRuns   int       // runs of other leaders, until foreignUntil
 	foreignUntil  time.Time
 	runPeak       runPeak
 	meter         meter
 
-	generation uint64
-	heldPrefix yuccaid.Tokens
+	generation uint64         // Placer.generation in which heldPrefix was set
+	heldPrefix yuccaid.Tokens // how much of the prompt the cache model holds
 }
 
 func newTargetState(target Target, model *interference) *TargetState {
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -12,10 +12,10 @@
 // slowest rates of its targets.
 type TargetSet struct {
 	states      []*TargetState
-	bestPrefill float64
-	bestDecode  float64
-	bestCall    float64
-	meanPrefill float64
+	bestPrefill float64 // tokens per second
+	bestDecode  float64 // tokens per second
+	bestCall    float64 // calls per second, of plain services
+	meanPrefill float64 // tokens per second
 	slowest     rates
 	slots       int
 	usableCount int
