--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -263,7 +263,7 @@
 
 // finishCost returns the cost of finishing a request at the given time. The time is
 // weighted by the share of the remaining time that a long answer would take, so a
-// letter with minutes left doesn't compete with a note that has seconds for the fastest
+// request with minutes left doesn't compete with one that has seconds for the fastest
 // target. Time beyond the deadline weighs much more.
 func finishCost(finish, finishP90, slack time.Duration) float64 {
 	used := float64(finishP90) / float64(max(slack, time.Millisecond))
--- a/core/yuccaplace/data.go
+++ b/core/yuccaplace/data.go
@@ -111,7 +111,7 @@
 	// defaultExtraSlots is how many requests beyond its slots a target may hold.
 	defaultExtraSlots = 0
 	// longPrefillTime is the prefill time from which a prompt counts as long, because a
-	// short lookup behind it would wait far longer than it takes itself.
+	// short request behind it would wait far longer than it takes itself.
 	longPrefillTime = time.Second
 	// maxReservedShare is the largest share of the targets that is kept free of long
 	// prompts.
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -284,10 +284,10 @@
 
 // reserve returns how many of n targets are kept free of long prompts.
 //
-// A short lookup that arrives while every target works on a rulebook waits for seconds,
-// longer than its deadline. The reserve follows the share of short work in the demand,
-// so that it doesn't idle when there is little of it, and is at most half of the
-// targets, so that long prompts aren't starved.
+// A short request that arrives while every target works on a long prompt waits for
+// seconds, longer than its deadline. The reserve follows the share of short work in the
+// demand, so that it doesn't idle when there is little of it, and is at most half of
+// the targets, so that long prompts aren't starved.
 func (placer *Placer) reserve(n int) int {
 	if n < 2 || placer.shortWork <= 0 {
 		return 0
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -64,9 +64,9 @@
 }
 
 var _ = Describe("a placer", func() {
-	// Guards against sending a rulebook that one target holds to another target: it
-	// would be computed again while the caller waits, and evict another caller's
-	// rulebook there.
+	// Guards against sending a prompt to another target than the one that holds it: it
+	// would be computed again while the caller waits, and evict another caller's prompt
+	// there.
 	It("sends a prompt to the target that holds it, until computing it again is cheaper", func() {
 		placer, set := twoTargets(1000, 1000)
 		runOnce(placer, "two", prefixes(1, 10))
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -29,13 +29,13 @@
 // blocksHigherTier reports whether the request would leave a target unable to serve the
 // next request of a higher tier.
 //
-// Answers on one engine slow each other. A target full of letters may have a free slot
-// for a note and yet be too slow for the note's deadline. Cancelling letters for it
-// wastes their work, and cancelling a dozen of them for one note wastes most of the
-// pool's work. A request is therefore kept off a target that could serve a typical
-// request of a higher tier beside the runs of that tier and those above it, but could
-// not with this request added. This holds only while requests of the higher tier keep
-// arriving.
+// Answers on one engine slow each other. A target full of long answers of a low tier
+// may have a free slot for a short urgent request and yet be too slow for its deadline.
+// Cancelling those runs wastes their work, and cancelling a dozen of them for one
+// request wastes most of the pool's work. A request is therefore kept off a target that
+// could serve a typical request of a higher tier beside the runs of that tier and those
+// above it, but could not with this request added. This holds only while requests of
+// the higher tier keep arriving.
 func (placer *Placer) blocksHigherTier(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
 	load := state.targetLoad(now)
 	ownPrefill := state.prefillTimeBeside(req.Prompt-choice.Cached, load.decoding)
