--- a/core/yuccaplace/cache.go
+++ b/core/yuccaplace/cache.go
@@ -5,7 +5,9 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// block is one prefix block in a cacheModel, linked to its neighbours by last use.
+// block is one prefix block, of yuccaqueue.BlockTokens prompt tokens, in a cacheModel.
+// newer and older are the positions of its neighbours in the order of last use, or
+// noBlock.
 type block struct {
 	hash         uint64
 	newer, older int32
@@ -19,33 +21,35 @@
 // built from the prompts that were sent to the target, and the events only correct it.
 type cacheModel struct {
 	limit  int              // in blocks
-	index  map[uint64]int32 // position in blocks by hash
+	index  map[uint64]int32 // position in the slice blocks, by hash
 	blocks []block
-	free   []int32 // unused positions in blocks
+	free   []int32 // unused positions in the slice blocks
 	newest int32   // position of the most recently used block, or noBlock
 	oldest int32   // position of the least recently used block, or noBlock
-	// hits and stored are moving averages over prompts: the blocks of a prompt that
-	// were found in the cache, and the blocks that were added.
+	// hits and stored are moving averages over prompts: how many blocks of a prompt
+	// were found in the model, and how many were added to it.
 	hits   float64
 	stored float64
 }
 
-// recordPrompt adds one prompt's found and added blocks to the averages.
-func (model *cacheModel) recordPrompt(hits, stored int) {
-	model.hits += cacheValueWeight * (float64(hits) - model.hits)
-	model.stored += cacheValueWeight * (float64(stored) - model.stored)
+// updateAverages adds one prompt's numbers of found and added blocks to the averages.
+func (model *cacheModel) updateAverages(hits, stored int) {
+	model.hits += evictionCostWeight * (float64(hits) - model.hits)
+	model.stored += evictionCostWeight * (float64(stored) - model.stored)
 }
 
-// evictionCost returns how many blocks were recently found for each block that was
-// added, up to maxCacheValue. It estimates what evicting a block will cost later; it is
-// 0 while the cache isn't full, because nothing is evicted then.
+// evictionCost estimates how many blocks will have to be computed again later for each
+// block that is evicted now: recently found blocks divided by recently added ones, up
+// to maxEvictionCost. It is 0 while the cache isn't full, because nothing is evicted
+// then.
 func (model *cacheModel) evictionCost() float64 {
 	if len(model.index) < model.limit || model.stored <= 0 {
 		return 0
 	}
-	return min(model.hits/model.stored, maxCacheValue)
+	return min(model.hits/model.stored, maxEvictionCost)
 }
 
+// noBlock stands for the position of a block that doesn't exist.
 const noBlock = -1
 
 func newCacheModel(cache yuccaid.Tokens) cacheModel {
@@ -80,6 +84,7 @@
 	return evicted, didEvict, true
 }
 
+// drop removes a block and reports whether the model held it.
 func (model *cacheModel) drop(hash uint64) bool {
 	at, found := model.index[hash]
 	if !found {
@@ -91,6 +96,7 @@
 	return true
 }
 
+// allocate returns an unused position in the slice blocks.
 func (model *cacheModel) allocate() int32 {
 	if last := len(model.free) - 1; last >= 0 {
 		at := model.free[last]
@@ -101,6 +107,7 @@
 	return int32(len(model.blocks) - 1)
 }
 
+// link makes the block at the position the most recently used one.
 func (model *cacheModel) link(at int32) {
 	model.blocks[at].newer, model.blocks[at].older = noBlock, model.newest
 	if model.newest != noBlock {
@@ -111,6 +118,7 @@
 	model.newest = at
 }
 
+// unlink takes the block at the position out of the order of last use.
 func (model *cacheModel) unlink(at int32) {
 	removed := model.blocks[at]
 	if removed.newer != noBlock {
--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -14,13 +14,14 @@
 const (
 	// Found means that the choice holds a target.
 	Found Verdict = iota
-	// NoFreeSlot means that no target of the set can accept the request now.
+	// NoFreeSlot means that no target of the set can accept another request now.
 	NoFreeSlot
 	// Unsuitable means that targets have free slots, but none of them can meet the
 	// request's deadline without harm to other requests. Another request may still use
 	// those slots.
 	Unsuitable
-	// WaitForBetter means that a target without a free slot is worth waiting for.
+	// WaitForBetter means that a target with a free slot was found, but waiting for
+	// another one that holds more of the prompt costs less.
 	WaitForBetter
 )
 
@@ -32,8 +33,8 @@
 	Cached      yuccaid.Tokens
 	Wait        time.Duration
 	Finish      time.Duration
-	finishP90   time.Duration
-	cost        float64
+	finishP90   time.Duration // Finish for an answer of the 90th percentile's length
+	cost        float64       // in weighted seconds; see Choose
 }
 
 // Choose returns the cheapest target of the set that has a free slot and meets the
@@ -79,10 +80,10 @@
 	return best, verdict
 }
 
-// worthWaiting reports whether a target without a free slot that holds more of the
-// prompt than the best target with one costs less, even including the wait. It compares
-// targets only if the longer cached prefix saves more prefill time than maxPrefillWait,
-// so it never makes short requests wait.
+// worthWaiting reports whether some target without a free slot costs less than the best
+// target with a free slot, even including the wait, because it holds more of the
+// prompt. It compares targets only if the longer cached prefix saves more prefill time
+// than maxPrefillWait, so it never makes short requests wait.
 func (placer *Placer) worthWaiting(now time.Time, set *TargetSet, req *Request, longestCached yuccaid.Tokens, best *Choice) bool {
 	if placer.plainService || req.LastAttempt || best.TargetState.prefillTime(longestCached-best.Cached) <= placer.maxPrefillWait {
 		return false
@@ -99,8 +100,8 @@
 }
 
 // harmsOthers reports whether the request would harm requests that take precedence over
-// it on the target. On its last attempt a request is rejected only if it would make a
-// run late.
+// it on the target. On its last attempt a request is kept off the target only if it
+// would make a run late.
 func (placer *Placer) harmsOthers(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
 	if placer.plainService {
 		return false
@@ -125,7 +126,8 @@
 	return choice, slack > time.Duration(queueSlack*float64(choice.Finish))
 }
 
-// slotWait returns the estimated time until the first of the target's runs finishes.
+// slotWait returns the estimated time until the first of the target's decoding runs
+// finishes or, if none is decoding, until its queued prompts are processed.
 func (state *TargetState) slotWait(now time.Time) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, run := range state.runs {
@@ -154,32 +156,34 @@
 }
 
 // longPromptsConfined reports whether a long prompt may only join targets that already
-// work on one, because the others are kept free for short requests. It counts over all
-// targets of the placer: counted over each target set, a long prompt of a lower tier
-// could be placed in its set while one of a higher tier is rejected in another.
+// work on one, because the remaining targets are kept free for short requests. It
+// counts over all targets of the placer: counted over each target set, a long prompt of
+// a lower tier could be placed in its set while one of a higher tier is rejected in
+// another.
 func (placer *Placer) longPromptsConfined(req *Request) bool {
 	if !req.LongPrompt || req.LastAttempt {
 		return false
 	}
-	occupied, usable := 0, 0
+	withLongPrompt, usable := 0, 0
 	for _, state := range placer.states {
 		if state.Leaving() || state.probing {
 			continue
 		}
 		usable++
 		if state.longPrompts > 0 {
-			occupied++
+			withLongPrompt++
 		}
 	}
-	return occupied >= usable-placer.reserve(usable)
+	return withLongPrompt >= usable-placer.reserve(usable)
 }
 
 // canAccept reports whether a target may get another request now.
 //
-// Engines know no tiers and serve requests in order of arrival. An urgent request can't
-// overtake what waits inside an engine, so a target gets no request beyond its slots
-// and the extra ones, and none while its queued prompts take longer than
-// maxPrefillWait.
+// Engines know no tiers and serve requests in order of arrival, so an urgent request
+// can't overtake what waits inside an engine. A target therefore gets no more requests
+// than its slots and extraSlots. It also gets none while its queued prompts take longer
+// than maxPrefillWait, except on a request's last attempt and in plain services, which
+// have no prompts.
 func (placer *Placer) canAccept(now time.Time, state *TargetState, req *Request) bool {
 	if state.Leaving() || state.occupied(now) >= state.Target.Slots+placer.extraSlots {
 		return false
@@ -199,10 +203,10 @@
 }
 
 // mayProbe reports whether the request may go to a target under probing, to find out
-// whether the target has recovered. At the target's usual speed it must use at most
-// half of the request's remaining time. A request of the top tier goes only if no
-// request of a lower tier has gone for a further probe interval, because a probe may
-// miss its deadline.
+// whether the target has recovered. At the target's usual rates the request must need
+// less than half of its remaining time. A probe may miss its deadline, so a request of
+// the top tier probes only if no request of a lower tier has done so for
+// topTierProbeDelay further probe intervals.
 func (placer *Placer) mayProbe(now time.Time, state *TargetState, req *Request) bool {
 	notBefore := state.probeAt
 	if req.Rank == 0 {
@@ -214,6 +218,8 @@
 	return req.Deadline.Sub(now) > 2*placer.usualTime(state, req)
 }
 
+// usualTime returns how long the request would take at the target's usual rates, idle
+// and without a cached prefix.
 func (placer *Placer) usualTime(state *TargetState, req *Request) time.Duration {
 	if placer.plainService {
 		return seconds(1 / state.call.usual)
@@ -236,10 +242,13 @@
 		prefillWait: state.prefillWait(now),
 		running:     float64(len(state.runs)),
 		decoding:    float64(state.decoding()),
-		promptShare: state.meter.promptShareUpTo(meterRanks),
+		promptShare: state.meter.promptShareUpTo(trackedRanks),
 	}
 }
 
+// estimate returns the estimates and the cost of the request on the target under the
+// given load. longestCached is the longest prefix of the prompt that any target holds;
+// the current generation of marks tells how much of it this target holds.
 func (placer *Placer) estimate(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens, load targetLoad) Choice {
 	if placer.plainService {
 		finish := seconds(1 / state.call.recent)
@@ -249,10 +258,12 @@
 	if state.generation == placer.generation {
 		cached = yuccaid.Tokens(float64(min(state.heldPrefix, req.Prompt)) * state.cacheTrust)
 	}
-	start := load.prefillWait + state.prefillTimeBeside(req.Prompt-cached, load.decoding)
+	firstToken := load.prefillWait + state.prefillTimeBeside(req.Prompt-cached, load.decoding)
 	choice := Choice{TargetState: state, Cached: cached, Wait: load.prefillWait}
-	choice.Finish = start + state.decodeTimeBeside(float64(req.Answer)*answerMargin, load.running, load.promptShare)
-	finishP90 := start + state.decodeTimeBeside(float64(max(req.AnswerP90, req.Answer)), load.running, load.promptShare)
+	choice.Finish = firstToken + state.decodeTimeBeside(float64(req.Answer)*answerMargin, load.running, load.promptShare)
+	finishP90 := firstToken + state.decodeTimeBeside(float64(max(req.AnswerP90, req.Answer)), load.running, load.promptShare)
+	// recomputed is in seconds of prefill: what another target's cache would have saved
+	// now, and what the blocks that are evicted for the prompt will cost later.
 	recomputed := state.prefillTime(longestCached - cached).Seconds()
 	recomputed += state.prefillTime(req.Prompt-cached).Seconds() * state.cache.evictionCost()
 	choice.finishP90 = finishP90
@@ -261,18 +272,20 @@
 	return choice
 }
 
-// finishCost returns the cost of finishing a request at the given time. The time is
-// weighted by the share of the remaining time that a long answer would take, so a
-// request with minutes left doesn't compete with one that has seconds for the fastest
-// target. Time beyond the deadline weighs much more.
+// finishCost returns the cost, in seconds, of finishing a request after the time
+// finish, or finishP90 for a long answer; slack is the time until its deadline. The
+// cost is weighted by the share of the slack that a long answer would take, so a
+// request with minutes left doesn't compete for the fastest target with a request that
+// has seconds. Time beyond the deadline weighs overrunWeight times as much.
 func finishCost(finish, finishP90, slack time.Duration) float64 {
 	used := float64(finishP90) / float64(max(slack, time.Millisecond))
 	return finish.Seconds()*min(used, 1) + overrunWeight*max(finishP90-slack, 0).Seconds()
 }
 
-// makesRunsLate reports whether the request would make a run of its own or a higher
-// tier miss its deadline that would meet it otherwise. The request's prompt takes time
-// from the answers that the target decodes, and one more answer slows all of them.
+// makesRunsLate reports whether the request would make a run late that would meet its
+// deadline without the request. It considers the decoding runs of the request's own
+// tier and of higher tiers. The request's prompt takes time from the answers that the
+// target decodes, and one more answer slows all of them.
 func (state *TargetState) makesRunsLate(now time.Time, req *Request, choice *Choice) bool {
 	promptDelay := seconds(state.interference.promptFactor * float64(req.Prompt-choice.Cached) / state.prefill.recent)
 	others := float64(len(state.runs) - 1)
--- a/core/yuccaplace/data.go
+++ b/core/yuccaplace/data.go
@@ -42,11 +42,11 @@
 	stallSlack  = time.Second
 	// minProbeInterval and maxProbeInterval bound the interval between probes, which
 	// doubles with each failed probe: a target that is down costs one request a minute,
-	// and a short stall is over after five seconds.
+	// and a target that stalled briefly is probed again after five seconds.
 	minProbeInterval = 5 * time.Second
 	maxProbeInterval = time.Minute
-	// topTierProbeDelay is for how many further probe intervals a request of the top
-	// tier leaves a probe to lower tiers.
+	// topTierProbeDelay is how many probe intervals later than requests of lower tiers
+	// a request of the top tier may be used as a probe.
 	topTierProbeDelay = 1
 	// fadeInterval is the interval at which recent rates move back towards the usual
 	// ones.
@@ -56,45 +56,49 @@
 	// prompts and answers share the time equally.
 	initialCrowding     = 1.0
 	initialPromptFactor = 1.0
-	// interferenceStep is how far one answer moves the interference model: about a
-	// hundred answers under varying load replace it. maxCrowding bounds its crowding;
-	// maxPromptLoss bounds the share of the decoding time that prompts can take.
+	// interferenceStep is the share of one answer's error by which the interference
+	// model is corrected: about a hundred answers under varying load replace its
+	// initial values. maxCrowding bounds its crowding; maxPromptLoss bounds the share
+	// of the decoding time that prompts can take.
 	interferenceStep = 0.05
 	maxCrowding      = 4.0
 	maxPromptLoss    = 0.95
 	// meterSpan is the time constant of the moving average of the time that a target
 	// spends on prompts.
 	meterSpan = 20 * time.Second
-	// meterRanks is how many tiers the meter counts separately.
-	meterRanks = 4
-	// answerMeanWeight is the weight of one answer in the mean answer length of its
-	// operation. p90Step is the step size of the 90th percentile, and p90Quantile the
-	// share of answers that stay below it.
+	// trackedRanks is for how many tiers, from the top one down, the meter and the
+	// typical requests are kept separately.
+	trackedRanks = 4
+	// answerMeanWeight is the weight of one answer in the mean answerRatio of its
+	// operation. p90Step is the step, as a ratio of lengths, by which the 90th
+	// percentile moves, and p90Quantile the share of answers that stay below it.
 	answerMeanWeight = 0.02
 	p90Step          = 0.05
 	p90Quantile      = 0.9
 	// initialP90 is the 90th percentile before any answer was observed, as a multiple
 	// of the estimated length.
 	initialP90 = 1.3
-	// maxAnswerRatio bounds the effect of one outlier on the mean.
+	// maxAnswerRatio bounds the ratio of actual to estimated length that is counted for
+	// one answer, and so the effect of one outlier on the mean.
 	maxAnswerRatio = 5
-	// overrunWeight is the cost of a second beyond the deadline, in seconds of a later
-	// answer.
+	// overrunWeight is the cost of a second beyond the deadline, relative to a second
+	// of waiting for the answer.
 	overrunWeight = 4.0
 	// recomputeWeight is the cost of a second of prefill that another target's cache
-	// would have saved, in seconds of a later answer.
+	// would have saved, relative to a second of waiting for the answer.
 	recomputeWeight = 10.0
 	// queueSlack is the slack that a request must have in order to wait for a target
 	// that holds its prefix, as a fraction of its estimated time there.
 	queueSlack = 0.3
-	// cacheValueWeight is the weight of one prompt in the averages from which
-	// evictionCost is computed, and maxCacheValue the largest value that evictionCost
-	// returns for a block.
-	cacheValueWeight = 0.03
-	maxCacheValue    = 2.0
+	// evictionCostWeight is the weight of one prompt in the averages from which
+	// evictionCost is computed. maxEvictionCost is the largest value that evictionCost
+	// returns, in blocks computed again later for each evicted block.
+	evictionCostWeight = 0.03
+	maxEvictionCost    = 2.0
 	// answerMargin multiplies the expected length of an answer when the request's
-	// finishing time is estimated. A request that finishes late wastes its whole
-	// prefill and answer.
+	// finishing time is estimated; 1 adds no margin. A larger value makes fewer
+	// requests finish late, and a request that does wastes its whole prefill and
+	// answer.
 	answerMargin = 1.0
 	// typicalWeight is the weight of one arrival in the typical request of its tier,
 	// and typicalSpan how long after the last arrival of a tier targets are kept open
@@ -102,16 +106,16 @@
 	typicalWeight = 0.05
 	typicalSpan   = 30 * time.Second
 	// minPrefillSample is the fewest uncached prompt tokens from which a prefill rate
-	// is measured; below it fixed costs dominate.
+	// is measured; for shorter prompts fixed costs dominate.
 	minPrefillSample = 64
-	// defaultMaxPrefillWait is how much prefill time may be queued in a target that
-	// gets another request. It is short because tiers have no effect on work that is
-	// already inside an engine.
+	// defaultMaxPrefillWait is the longest prefill time that may be queued in a target
+	// before it gets no further requests. It is short because tiers have no effect on
+	// work that is already inside an engine.
 	defaultMaxPrefillWait = 250 * time.Millisecond
 	// defaultExtraSlots is how many requests beyond its slots a target may hold.
 	defaultExtraSlots = 0
 	// longPrefillTime is the prefill time from which a prompt counts as long, because a
-	// short request behind it would wait far longer than it takes itself.
+	// short request behind that prompt would wait far longer than its own work takes.
 	longPrefillTime = time.Second
 	// maxReservedShare is the largest share of the targets that is kept free of long
 	// prompts.
@@ -120,10 +124,10 @@
 	// all work.
 	arrivalWeight = 0.01
 	// loadReportLifetime is how long a load report that shows requests of other leaders
-	// is used: two periods of the reports at present.
+	// is used: twice the interval at which targets send load reports.
 	loadReportLifetime = 5 * time.Second
-	// lostEventsTrust is the factor by which the trust in a cache model falls when
-	// cache events were lost.
+	// lostEventsTrust is the factor by which the trust in a cache model is multiplied
+	// when cache events were lost.
 	lostEventsTrust = 0.7
 	// hitTrustWeight is the weight of one observed cache hit in the trust in a cache
 	// model.
--- a/core/yuccaplace/failed.go
+++ b/core/yuccaplace/failed.go
@@ -6,11 +6,11 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// RecordFailure records that a target could not be reached, refused a request, or broke
-// off an answer.
+// RecordFailure records that a target could not be reached, refused a request, or ended
+// an answer before it was complete.
 //
 // A target that is down fails each request at once and so always looks idle. Without
-// backoff it would attract every request of the pool and fail it, while other targets
+// backoff it would attract and fail every request of the pool, although other targets
 // work. After one failure the target therefore gets only probes, at an interval that
 // grows while they fail.
 func (placer *Placer) RecordFailure(now time.Time, name yuccaid.Target) {
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -10,8 +10,8 @@
 // Option changes a setting of a Placer.
 type Option func(*Placer)
 
-// WithMaxPrefillWait sets how much prefill time may be queued in a target that gets
-// another request.
+// WithMaxPrefillWait sets the longest prefill time that may be queued in a target
+// before it gets no further requests.
 func WithMaxPrefillWait(maxPrefillWait time.Duration) Option {
 	return func(placer *Placer) { placer.maxPrefillWait = maxPrefillWait }
 }
@@ -29,13 +29,13 @@
 	extraSlots     int
 	states         []*TargetState
 	byName         map[yuccaid.Target]*TargetState
-	prefixes       prefixes
-	generation     uint64 // increased for each markHeld; marks of earlier ones are void
+	prefixes       prefixIndex
+	generation     uint64 // increased before each markHeld; marks of earlier generations are void
 	interference   *interference
-	answerLengths  map[yuccaid.Operation]*answerLength
-	typicalRequest [meterRanks]typicalRequest // by rank
-	shortWork      float64                    // average work of an arrival in seconds, long prompts counted as 0
-	allWork        float64                    // average work of an arrival in seconds
+	answerRatios   map[yuccaid.Operation]*answerRatio
+	typicalRequest [trackedRanks]typicalRequest // by rank
+	shortWork      float64                      // average work of an arrival in seconds, long prompts counted as 0
+	allWork        float64                      // average work of an arrival in seconds
 }
 
 // New returns a placer without targets.
@@ -46,8 +46,8 @@
 		extraSlots:     defaultExtraSlots,
 		byName:         map[yuccaid.Target]*TargetState{},
 		interference:   &interference{crowding: initialCrowding, promptFactor: initialPromptFactor},
-		answerLengths:  map[yuccaid.Operation]*answerLength{},
-		prefixes:       prefixes{holders: map[uint64][]*TargetState{}},
+		answerRatios:   map[yuccaid.Operation]*answerRatio{},
+		prefixes:       prefixIndex{holders: map[uint64][]*TargetState{}},
 	}
 	for _, option := range options {
 		option(placer)
@@ -137,11 +137,12 @@
 	run.state.releaseRun(now, run)
 }
 
-// RunMeasurement is what an owner measured on a finished run.
+// RunMeasurement is what the daemon that owns a request measured on its finished run:
+// numbers of tokens, and the durations of prefill and decoding.
 type RunMeasurement struct {
 	Prompt, Cached, Answer yuccaid.Tokens
 	Prefill, Decode        time.Duration
-	// Complete means that the answer came to its end.
+	// Complete means that the whole answer was received.
 	Complete bool
 }
 
@@ -166,10 +167,11 @@
 		state.prefill.observe(rate/state.prefillShare(others), weight)
 	}
 	if run.Answer > 0 && measured.Complete {
-		placer.answerLength(run.Operation).observe(float64(measured.Answer) / float64(run.Answer))
+		placer.answerRatio(run.Operation).observe(float64(measured.Answer) / float64(run.Answer))
 	}
 	if measured.Answer > 1 && measured.Decode > 0 {
 		others, promptShare := state.meter.since(run.meterAtFirstToken)
+		// The meter counted this run's own answer too.
 		others = max(others-1, 0)
 		rate := float64(measured.Answer) / measured.Decode.Seconds()
 		if !state.probing {
@@ -196,8 +198,8 @@
 	}
 }
 
-// Tick starts probing targets that show no progress, and moves the rates of the others
-// back towards their usual ones.
+// Tick starts probing targets that show no progress, and moves the recent rates of all
+// other targets back towards their usual ones.
 func (placer *Placer) Tick(now time.Time) {
 	for _, state := range placer.states {
 		ratio := state.stallRatio(now, placer.plainService)
@@ -217,8 +219,8 @@
 }
 
 // fadeRates moves the recent rates of a target in ordinary use back towards the usual
-// ones while nothing is observed. A target under probing keeps its rates until a probe
-// shows that it has recovered.
+// ones while nothing is observed. A target under probing keeps its recent rates until a
+// probe shows that it has recovered.
 func (state *TargetState) fadeRates(now time.Time) {
 	idle := now.Sub(state.observedAt)
 	if state.probing || idle < fadeInterval {
@@ -231,16 +233,17 @@
 	state.call.returnToUsual(fraction)
 }
 
-// LoadReport is a target's own report of its load.
+// LoadReport is a target's own report of its load: how long ago it was made, and how
+// many requests waited in the target's queue and were running then.
 type LoadReport struct {
 	Age     time.Duration
 	Waiting int
 	Running int
 }
 
-// ApplyLoadReport applies a load report. Requests beyond the peak number of granted
-// runs around the report's time belong to other leaders and occupy slots until the
-// report expires.
+// ApplyLoadReport applies a load report. Reported requests in excess of runPeak, the
+// largest number of this leader's runs around the report's time, belong to other
+// leaders and occupy slots until the report expires.
 func (placer *Placer) ApplyLoadReport(now time.Time, name yuccaid.Target, report LoadReport) {
 	state, found := placer.byName[name]
 	if !found || report.Age >= loadReportLifetime {
@@ -270,7 +273,8 @@
 }
 
 // RecordArrival updates the averages from which the capacity reserved for short
-// requests and for higher tiers is computed.
+// requests and for higher tiers is computed. longPrompt and work are the results of
+// EstimateWork.
 func (placer *Placer) RecordArrival(now time.Time, req *Request, longPrompt bool, work time.Duration) {
 	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
 	placer.updateTypical(now, req, float64(req.Prompt-cached))
@@ -285,13 +289,14 @@
 // reserve returns how many of n targets are kept free of long prompts.
 //
 // A short request that arrives while every target works on a long prompt waits for
-// seconds, longer than its deadline. The reserve follows the share of short work in the
-// demand, so that it doesn't idle when there is little of it, and is at most half of
-// the targets, so that long prompts aren't starved.
+// seconds, longer than its deadline allows. The reserve follows the share of short work
+// in the demand, so that targets don't idle when there is little short work. It is at
+// most maxReservedShare of the targets, half of them, so that long prompts aren't
+// starved.
 func (placer *Placer) reserve(n int) int {
 	if n < 2 || placer.shortWork <= 0 {
 		return 0
 	}
-	wanted := int(math.Ceil(placer.shortWork / placer.allWork * float64(n)))
-	return min(wanted, int(maxReservedShare*float64(n)))
+	proportional := int(math.Ceil(placer.shortWork / placer.allWork * float64(n)))
+	return min(proportional, int(maxReservedShare*float64(n)))
 }
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -47,7 +47,8 @@
 	return list
 }
 
-// runOnce starts a prompt on a target and finishes it at once.
+// runOnce starts a run on a target and finishes it at once, so the target's cache model
+// holds the prompt's blocks.
 func runOnce(placer *yuccaplace.Placer, name yuccaid.Target, hashes []uint64) {
 	state, _ := placer.TargetState(name)
 	run := &yuccaplace.Run{Prompt: 100}
@@ -64,9 +65,9 @@
 }
 
 var _ = Describe("a placer", func() {
-	// Guards against sending a prompt to another target than the one that holds it: it
-	// would be computed again while the caller waits, and evict another caller's prompt
-	// there.
+	// Guards against sending a prompt to another target than the one that holds it: the
+	// prompt would be computed again while the caller waits, and evict another caller's
+	// prompt from that target's cache.
 	It("sends a prompt to the target that holds it, until computing it again is cheaper", func() {
 		placer, set := twoTargets(1000, 1000)
 		runOnce(placer, "two", prefixes(1, 10))
@@ -79,8 +80,10 @@
 		Expect(chosen(placer, set, request(2600, prefixes(1, 10)...))).To(BeEquivalentTo("one"))
 	})
 
-	// Guards against a cache model that lists more than the engine holds: prompts would
-	// wait for blocks that were evicted long ago.
+	// Guards against a cache model that lists more blocks than the engine holds,
+	// because it ignores the cache's size or eviction events: prompts would wait for a
+	// target whose cache evicted their blocks long ago. The cache holds 20,000 tokens,
+	// 78 blocks.
 	It("drops blocks that a cache of that size can't hold and blocks that events report as evicted", func() {
 		placer, set := twoTargets(1000, 1000)
 		runOnce(placer, "two", prefixes(1, 10))
@@ -93,6 +96,8 @@
 		Expect(chosen(placer, set, request(2600, prefixes(1, 10)...))).To(BeEquivalentTo("two"))
 	})
 
+	// Guards against full trust in a cache model after lost events: prompts would wait
+	// for blocks that may have been evicted.
 	It("trusts a cache model less after lost cache events", func() {
 		placer, set := twoTargets(1000, 1000)
 		runOnce(placer, "two", prefixes(1, 10))
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -11,9 +11,10 @@
 	lastSeen  time.Time
 }
 
-// updateTypical adds an arrival to the typical request of its tier.
+// updateTypical adds an arrival to the typical request of its tier. Tiers below the
+// first trackedRanks ones need none, because blocksHigherTier doesn't protect them.
 func (placer *Placer) updateTypical(now time.Time, req *Request, uncached float64) {
-	if req.Rank < 0 || req.Rank >= meterRanks {
+	if req.Rank < 0 || req.Rank >= trackedRanks {
 		return
 	}
 	typical := &placer.typicalRequest[req.Rank]
@@ -32,14 +33,14 @@
 // Answers on one engine slow each other. A target full of long answers of a low tier
 // may have a free slot for a short urgent request and yet be too slow for its deadline.
 // Cancelling those runs wastes their work, and cancelling a dozen of them for one
-// request wastes most of the pool's work. A request is therefore kept off a target that
-// could serve a typical request of a higher tier beside the runs of that tier and those
-// above it, but could not with this request added. This holds only while requests of
-// the higher tier keep arriving.
+// request wastes most of the pool's work. The request is therefore kept off a target if
+// the target could serve a typical request of a higher tier in time beside its runs of
+// that tier and of the tiers above it, but could not beside all its runs with this
+// request added. Tiers without an arrival within typicalSpan aren't considered.
 func (placer *Placer) blocksHigherTier(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
 	load := state.targetLoad(now)
 	ownPrefill := state.prefillTimeBeside(req.Prompt-choice.Cached, load.decoding)
-	for rank := range min(req.Rank, meterRanks) {
+	for rank := range min(req.Rank, trackedRanks) {
 		typical := &placer.typicalRequest[rank]
 		if typical.lastSeen.IsZero() || now.Sub(typical.lastSeen) > typicalSpan {
 			continue
@@ -56,10 +57,12 @@
 	return false
 }
 
+// canServe reports whether the target could serve the typical request within its
+// deadline under the given load.
 func (state *TargetState) canServe(typical *typicalRequest, load targetLoad) bool {
-	needed := load.prefillWait + seconds(typical.prompt/(state.prefill.recent*state.prefillShare(load.decoding)))
-	needed += state.decodeTimeBeside(typical.answerP90, load.running, load.promptShare)
-	return needed.Seconds() <= typical.slack
+	duration := load.prefillWait + seconds(typical.prompt/(state.prefill.recent*state.prefillShare(load.decoding)))
+	duration += state.decodeTimeBeside(typical.answerP90, load.running, load.promptShare)
+	return duration.Seconds() <= typical.slack
 }
 
 // loadUpToRank returns the load that runs of the rank and of higher tiers put on the
--- a/core/yuccaplace/length.go
+++ b/core/yuccaplace/length.go
@@ -2,28 +2,28 @@
 
 import "yuccacleat/core/yuccaid"
 
-// answerLength is the ratio of actual to estimated answer lengths of one operation: its
-// mean and its 90th percentile.
+// answerRatio describes the ratio of actual to estimated answer lengths of one
+// operation by its mean and its 90th percentile.
 //
-// The length of an answer is unknown in advance. Placing requests by the mean makes a
-// quarter of those late that barely fit, so they are placed by the length that nine of
-// ten answers stay below.
-type answerLength struct {
+// The length of an answer is unknown in advance. If requests were placed by the mean, a
+// quarter of those that only just fit would be late. They are therefore placed by the
+// 90th percentile, the length that nine of ten answers stay below.
+type answerRatio struct {
 	mean, p90 float64
 }
 
-func (placer *Placer) answerLength(op yuccaid.Operation) *answerLength {
-	stats, found := placer.answerLengths[op]
+func (placer *Placer) answerRatio(op yuccaid.Operation) *answerRatio {
+	stats, found := placer.answerRatios[op]
 	if !found {
-		stats = &answerLength{mean: 1, p90: initialP90}
-		placer.answerLengths[op] = stats
+		stats = &answerRatio{mean: 1, p90: initialP90}
+		placer.answerRatios[op] = stats
 	}
 	return stats
 }
 
-// observe adds one answer's ratio. The percentile moves by steps that balance when one
-// answer in ten is longer.
-func (stats *answerLength) observe(ratio float64) {
+// observe adds one answer's ratio. The percentile moves up by a large step or down by a
+// small one; the steps balance when one answer in ten is longer.
+func (stats *answerRatio) observe(ratio float64) {
 	ratio = min(ratio, maxAnswerRatio)
 	stats.mean += answerMeanWeight * (ratio - stats.mean)
 	if ratio > stats.p90 {
@@ -34,8 +34,9 @@
 	stats.p90 = max(stats.p90, stats.mean)
 }
 
-// FillAnswerP90 sets the request's AnswerP90 from the answers of the operation so far.
+// FillAnswerP90 sets the request's AnswerP90 from its Answer and from the ratios of the
+// operation's answers observed so far.
 func (placer *Placer) FillAnswerP90(op yuccaid.Operation, req *Request) {
-	stats := placer.answerLength(op)
+	stats := placer.answerRatio(op)
 	req.AnswerP90 = yuccaid.Tokens(float64(req.Answer) * stats.p90)
 }
--- a/core/yuccaplace/meter.go
+++ b/core/yuccaplace/meter.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// meterReading is the state of a target's meter at one time: the total decoding time of
-// all answers in seconds, and the time in seconds during which a prompt was on the
-// target.
+// meterReading is the state of a target's meter at one time: the sum of the decoding
+// times of all answers, in seconds, and the time in seconds during which the target
+// held at least one prompt whose prefill wasn't complete.
 type meterReading struct {
 	at            time.Time
 	answerSeconds float64
 	promptSeconds float64
 }
 
-// since returns the mean number of answers and the share of the time with a prompt
-// between two readings.
+// since returns, for the time between an earlier reading and this one, the mean number
+// of answers that were decoded and the share of the time during which a prompt was
+// present.
 func (rd meterReading) since(before meterReading) (answers, promptShare float64) {
 	span := rd.at.Sub(before.at).Seconds()
 	if span <= 0 {
@@ -30,12 +31,12 @@
 	meterReading
 	// recentShare is the share of recent time during which the target worked on a
 	// prompt of each rank; the last entry counts all further ranks.
-	recentShare [meterRanks]float64
+	recentShare [trackedRanks]float64
 }
 
-// promptShareUpTo returns the share of the time that prompts of the rank and of higher
-// tiers take. Prompts of lower tiers don't count, because they are kept off a target
-// where they would make an answer of a higher tier late.
+// promptShareUpTo returns the share of recent time that prompts of the rank and of
+// higher tiers took. Prompts of lower tiers don't count, because they are kept off a
+// target where they would make an answer of a higher tier late.
 func (mt *meter) promptShareUpTo(rank int) float64 {
 	sum := 0.0
 	for _, share := range mt.recentShare[:meterIndex(rank)+1] {
@@ -44,10 +45,13 @@
 	return sum
 }
 
+// meterIndex returns the entry of recentShare that counts the rank.
 func meterIndex(rank int) int {
-	return min(max(rank, 0), meterRanks-1)
+	return min(max(rank, 0), trackedRanks-1)
 }
 
+// advance brings the meter up to the given time. It must be called before the target's
+// runs change.
 func (mt *meter) advance(now time.Time, state *TargetState) {
 	elapsed := now.Sub(mt.at).Seconds()
 	if mt.at.IsZero() || elapsed < 0 {
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -18,16 +18,16 @@
 	queuedPrefill     yuccaid.Tokens // uncached prompt tokens of the runs in prefilling
 	longPrompts       int            // number of long prompts in prefilling
 	headStartedAt     time.Time      // when prefilling[0] became the first one
-	prefill           speed
-	decode            speed
-	call              speed
+	prefill           rateEstimate   // prompt tokens per second
+	decode            rateEstimate   // tokens of one answer per second
+	call              rateEstimate   // calls per second, of a plain service
 	cache             cacheModel
 	cacheTrust        float64 // expected share of the modelled hits that are real, from 0 to 1
 	leaving           bool
 	leavingReportedAt time.Time // time of the report that set leaving
 	probing           bool
-	// failing means that the target showed no progress or could not be reached, rather
-	// than being merely slow.
+	// failing means that the target showed no progress or failed a request, rather than
+	// being merely slow.
 	failing       bool
 	probeAt       time.Time // earliest time of the next probe
 	probeInterval time.Duration
@@ -38,7 +38,7 @@
 	meter         meter
 
 	generation uint64         // Placer.generation in which heldPrefix was set
-	heldPrefix yuccaid.Tokens // how much of the prompt the cache model holds
+	heldPrefix yuccaid.Tokens // how much of that choice's prompt the cache model holds
 }
 
 func newTargetState(target Target, model *interference) *TargetState {
@@ -48,9 +48,9 @@
 }
 
 func (state *TargetState) resetRates(target Target) {
-	state.prefill = newSpeed(positiveOr(float64(target.Prefill), defaultPrefillRate))
-	state.decode = newSpeed(positiveOr(float64(target.Decode), defaultDecodeRate))
-	state.call = newSpeed(1 / defaultCallTime.Seconds())
+	state.prefill = newRateEstimate(positiveOr(float64(target.Prefill), defaultPrefillRate))
+	state.decode = newRateEstimate(positiveOr(float64(target.Decode), defaultDecodeRate))
+	state.call = newRateEstimate(1 / defaultCallTime.Seconds())
 }
 
 func positiveOr(value, fallback float64) float64 {
@@ -80,8 +80,8 @@
 	return len(state.runs)
 }
 
-// prefillWait returns the estimated time until the target has processed the prompts
-// that it already holds.
+// prefillWait returns the estimated time until the target has processed the prompts of
+// the runs that it has already.
 func (state *TargetState) prefillWait(now time.Time) time.Duration {
 	if len(state.prefilling) == 0 {
 		return 0
@@ -95,20 +95,22 @@
 // are decoded now.
 //
 // It models engines that batch continuously. Such an engine divides its time between
-// one prompt and all answers: while n of its S slots decode, a prompt gets S/(S+n) of
-// the time.
+// one prompt and all answers: while n of its S slots decode, a prompt gets S/(S+f*n) of
+// the time, where f is the promptFactor of the interference model.
 func (state *TargetState) prefillTime(tokens yuccaid.Tokens) time.Duration {
 	return state.prefillTimeBeside(tokens, float64(state.decoding()))
 }
 
+// prefillTimeBeside is prefillTime beside the given number of answers.
 func (state *TargetState) prefillTimeBeside(tokens yuccaid.Tokens, answers float64) time.Duration {
 	return seconds(float64(tokens) / (state.prefill.recent * state.prefillShare(answers)))
 }
 
-// decodeTime returns the estimated decoding time of an answer beside the given number
-// of other answers, if prompts keep the target as busy as recently.
+// decodeTime returns the estimated decoding time of the given number of answer tokens
+// beside the given number of other answers, if prompts keep the target as busy as
+// recently.
 func (state *TargetState) decodeTime(tokens, others float64) time.Duration {
-	return state.decodeTimeBeside(tokens, others, state.meter.promptShareUpTo(meterRanks))
+	return state.decodeTimeBeside(tokens, others, state.meter.promptShareUpTo(trackedRanks))
 }
 
 // decodeTimeBeside is decodeTime with a given share of the time taken by prompts.
@@ -117,6 +119,7 @@
 	return seconds(tokens / rate)
 }
 
+// decoding returns the number of runs whose answers are decoded now.
 func (state *TargetState) decoding() int {
 	return len(state.runs) - len(state.prefilling)
 }
@@ -149,6 +152,7 @@
 	return 1 + state.interference.crowding*n/state.slots()
 }
 
+// seconds converts a number of seconds.
 func seconds(sec float64) time.Duration {
 	return time.Duration(sec * float64(time.Second))
 }
@@ -170,7 +174,7 @@
 	state.runPeak.add(now, len(state.runs))
 }
 
-// endPrefill removes a run from the prompts that wait or are processed.
+// endPrefill removes a run from the runs in prefilling, if it is one of them.
 func (state *TargetState) endPrefill(now time.Time, run *Run) {
 	at := slices.Index(state.prefilling, run)
 	if at < 0 {
@@ -221,9 +225,9 @@
 	return float64(elapsed) / float64(max(expected, time.Millisecond))
 }
 
-// startProbing restricts the target to probes. The interval between them grows when a
-// probe has failed, but not when a run that was started before the first probe finishes
-// late.
+// startProbing restricts the target to probes. While it is restricted already, the
+// interval between probes doubles once the next probe was due, that is, when a probe
+// has failed, but not when a run that was started before the first probe finishes late.
 func (state *TargetState) startProbing(now time.Time) {
 	if state.probing && now.Before(state.probeAt) {
 		return
@@ -236,6 +240,8 @@
 	state.probeAt = now.Add(state.probeInterval)
 }
 
+// wastedPrefill returns how many prompt tokens the target has computed for the run;
+// that work is lost if the run is cancelled.
 func (state *TargetState) wastedPrefill(now time.Time, run *Run) yuccaid.Tokens {
 	if !run.Prefilling() {
 		return run.uncached()
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -10,7 +10,8 @@
 
 // Preemption is a set of runs on one target that would be cancelled for a request.
 //
-// Slack is the time left until no preemption in the target set could help any more.
+// Slack is the time left until cancelling runs can't help the request any more, on any
+// target of the set.
 type Preemption struct {
 	Choice        Choice
 	Runs          []*Run
@@ -60,22 +61,22 @@
 		hasSlot := state.occupied(now)-len(runs) < state.Target.Slots+placer.extraSlots
 		return choice, hasSlot && !choice.missesDeadline(now, req)
 	}
-	enough := 1
-	choice, ok := estimateWithout(victims[:enough])
-	for !ok && enough < len(victims) {
-		enough++
-		choice, ok = estimateWithout(victims[:enough])
+	count := 1
+	choice, ok := estimateWithout(victims[:count])
+	for !ok && count < len(victims) {
+		count++
+		choice, ok = estimateWithout(victims[:count])
 	}
 	if !ok {
 		return Preemption{}, false
 	}
-	victims = victims[:enough]
-	// A run that was selected first because it wastes little prefill may free nothing
-	// that the request needs.
+	victims = victims[:count]
+	// A run that was selected early because it wastes little prefill may free nothing
+	// that the request needs. Such runs are spared.
 	for at := len(victims) - 2; at >= 0; at-- {
 		fewer := slices.Concat(victims[:at], victims[at+1:])
-		if cheaper, enough := estimateWithout(fewer); enough {
-			victims, choice = fewer, cheaper
+		if fewerChoice, suffices := estimateWithout(fewer); suffices {
+			victims, choice = fewer, fewerChoice
 		}
 	}
 	plan := Preemption{Choice: choice, Runs: victims, Slack: req.Deadline.Sub(now.Add(choice.requiredTime(req)))}
--- a/core/yuccaplace/prefix.go
+++ b/core/yuccaplace/prefix.go
@@ -8,18 +8,17 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// prefixes is an index from each recorded block to the targets that hold it.
-//
-// A request thus looks up its prompt once, and not once for each target.
-type prefixes struct {
+// prefixIndex is an index from the hash of each recorded block to the targets that hold
+// the block. With it a prompt is looked up once, and not once for each target.
+type prefixIndex struct {
 	holders map[uint64][]*TargetState
 }
 
-func (pre *prefixes) add(hash uint64, state *TargetState) {
+func (pre *prefixIndex) add(hash uint64, state *TargetState) {
 	pre.holders[hash] = append(pre.holders[hash], state)
 }
 
-func (pre *prefixes) drop(hash uint64, state *TargetState) {
+func (pre *prefixIndex) drop(hash uint64, state *TargetState) {
 	list := pre.holders[hash]
 	at := slices.Index(list, state)
 	if at < 0 {
@@ -38,7 +37,7 @@
 // recordPrompt records that a prompt was sent to a target. The last block is touched
 // first, so the last block of a chain is evicted before those that it builds on, as in
 // the engines. Holding a block therefore implies holding those before it.
-func (pre *prefixes) recordPrompt(state *TargetState, hashes []uint64) {
+func (pre *prefixIndex) recordPrompt(state *TargetState, hashes []uint64) {
 	hashes = hashes[:min(len(hashes), maxPromptBlocks, state.cache.limit)]
 	stored := 0
 	for _, hash := range slices.Backward(hashes) {
@@ -46,11 +45,12 @@
 			stored++
 		}
 	}
-	state.cache.recordPrompt(len(hashes)-stored, stored)
+	state.cache.updateAverages(len(hashes)-stored, stored)
 }
 
-// touch records the use of a block and reports whether it is new on the target.
-func (pre *prefixes) touch(state *TargetState, hash uint64) bool {
+// touch records the use of a block and reports whether the target didn't hold it
+// before.
+func (pre *prefixIndex) touch(state *TargetState, hash uint64) bool {
 	evicted, didEvict, added := state.cache.touch(hash)
 	if didEvict {
 		pre.drop(evicted, state)
@@ -62,9 +62,9 @@
 }
 
 // addStored adds blocks that a target has reported. Blocks already recorded keep their
-// position in the order of use, because cache events come late and don't tell when a
+// position in the order of use, because cache events come late and don't report when a
 // block was used.
-func (pre *prefixes) addStored(state *TargetState, hashes []uint64) {
+func (pre *prefixIndex) addStored(state *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
 		if _, found := state.cache.index[hash]; !found && state.cache.limit > 0 {
 			pre.touch(state, hash)
@@ -72,7 +72,8 @@
 	}
 }
 
-func (pre *prefixes) removeEvicted(state *TargetState, hashes []uint64) {
+// removeEvicted removes blocks that a target has reported as evicted.
+func (pre *prefixIndex) removeEvicted(state *TargetState, hashes []uint64) {
 	for _, hash := range hashes {
 		if state.cache.drop(hash) {
 			pre.drop(hash, state)
@@ -80,7 +81,8 @@
 	}
 }
 
-func (pre *prefixes) clear(state *TargetState) {
+// clear removes all blocks of a target and gives it an empty cache model.
+func (pre *prefixIndex) clear(state *TargetState) {
 	for hash := range state.cache.index {
 		pre.drop(hash, state)
 	}
@@ -88,17 +90,17 @@
 }
 
 // longestHeld returns the largest number of prompt tokens that any target holds.
-func (pre *prefixes) longestHeld(hashes []uint64) yuccaid.Tokens {
+func (pre *prefixIndex) longestHeld(hashes []uint64) yuccaid.Tokens {
 	hashes = hashes[:min(len(hashes), maxPromptBlocks)]
 	heldBlocks := sort.Search(len(hashes), func(at int) bool { return len(pre.holders[hashes[at]]) == 0 })
 	return yuccaid.Tokens(heldBlocks) * yuccaqueue.BlockTokens
 }
 
-// markHeld sets on every target that holds part of the prompt how much it holds, with
-// the given generation, and returns the largest amount. Bisection finds the number of
-// leading blocks that any target holds; the walk back from there ends once every holder
-// of the first block is marked.
-func (pre *prefixes) markHeld(generation uint64, hashes []uint64) yuccaid.Tokens {
+// markHeld sets heldPrefix and the given generation on every target that holds part of
+// the prompt, and returns the largest heldPrefix. Bisection finds the number of leading
+// blocks that any target holds; the walk back from there ends once every holder of the
+// first block is marked.
+func (pre *prefixIndex) markHeld(generation uint64, hashes []uint64) yuccaid.Tokens {
 	hashes = hashes[:min(len(hashes), maxPromptBlocks)]
 	if len(hashes) == 0 || len(pre.holders[hashes[0]]) == 0 {
 		return 0
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -17,10 +17,10 @@
 	bestCall    float64 // calls per second, of plain services
 	meanPrefill float64 // tokens per second
 	slowest     rates
-	slots       int
-	usableCount int
-	// allSlow means that no target is in ordinary use, so slow ones get ordinary
-	// requests too.
+	slots       int // of the usable targets
+	usableCount int // targets that take ordinary requests
+	// allSlow means that every target of the set is leaving or under probing, so the
+	// slow targets get ordinary requests too.
 	allSlow bool
 }
 
@@ -58,7 +58,7 @@
 
 // excludes reports whether a target gets no ordinary requests now. Probes find out
 // whether a slow target has recovered while other targets do the work. If all targets
-// of a set are slow, excluding them would leave callers waiting before idle engines;
+// of a set are slow, excluding them would leave callers waiting while engines are idle;
 // then only targets that are leaving or failing are excluded.
 func (set *TargetSet) excludes(state *TargetState) bool {
 	return state.Leaving() || state.probing && (state.failing || !set.allSlow)
@@ -93,9 +93,9 @@
 	Answer yuccaid.Tokens
 	// AnswerP90 is the 90th percentile of the answer's length; FillAnswerP90 sets it.
 	AnswerP90  yuccaid.Tokens
-	Prefixes   []uint64
-	Rank       int
-	LongPrompt bool
+	Prefixes   []uint64 // hashes of the prompt's blocks, first block first
+	Rank       int      // of the tier; 0 is the top tier
+	LongPrompt bool     // as returned by EstimateWork
 	// LastAttempt means that the request is rejected if it isn't placed now; capacity
 	// reserved for other requests is then ignored.
 	LastAttempt bool
@@ -103,9 +103,9 @@
 }
 
 // FastestTime returns a lower bound on the time in which the set could serve the
-// request. It combines the best rates with the longest cached prefix, though no single
-// target may have all of them, so that a request is rejected only if it truly cannot
-// meet its deadline.
+// request. It combines the best rates with the longest cached prefix, even if no single
+// target has all of these, so that a request is rejected only if it cannot meet its
+// deadline on any target.
 func (placer *Placer) FastestTime(set *TargetSet, req *Request) time.Duration {
 	if set.usableCount == 0 || placer.plainService {
 		return 0
@@ -125,19 +125,20 @@
 	return seconds(prefill + float64(max(req.AnswerP90, req.Answer))/set.slowest.decode)
 }
 
-// EstimateWork returns the time that the request takes of one target of the set, and
-// whether its prompt counts as long. The time is its prefill plus the share of one slot
-// in its decoding, since answers are decoded side by side.
+// EstimateWork returns how much time of one target of the set the request takes up, and
+// whether its prompt counts as long. The time is its prefill time plus its decoding
+// time divided by the slots of a target, since a target decodes that many answers side
+// by side.
 func (placer *Placer) EstimateWork(set *TargetSet, req *Request) (work time.Duration, longPrompt bool) {
 	if set.usableCount == 0 {
 		return 0, false
 	}
-	perTarget := float64(max(set.slots, 1)) / float64(set.usableCount)
+	slotsPerTarget := float64(max(set.slots, 1)) / float64(set.usableCount)
 	if placer.plainService {
-		return seconds(1 / set.bestCall / perTarget), false
+		return seconds(1 / set.bestCall / slotsPerTarget), false
 	}
 	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
 	prefill := float64(req.Prompt-cached) / set.meanPrefill
-	decode := float64(req.Answer) / set.bestDecode / perTarget
+	decode := float64(req.Answer) / set.bestDecode / slotsPerTarget
 	return seconds(prefill + decode), seconds(prefill) >= longPrefillTime
 }
--- a/core/yuccaplace/status.go
+++ b/core/yuccaplace/status.go
@@ -13,8 +13,8 @@
 const (
 	// Healthy means that the target gets ordinary requests according to its cost.
 	Healthy Health = "healthy"
-	// Probing means that the target is slow or stalled and gets single requests as
-	// probes.
+	// Probing means that the target is slow, stalled or failing and gets single
+	// requests as probes.
 	Probing Health = "probing"
 )
 
@@ -26,8 +26,8 @@
 	return Healthy
 }
 
-// Backlog returns the estimated time until the target has processed the prompts that it
-// already holds.
+// Backlog returns the estimated time until the target has processed the prompts of the
+// runs that it has already.
 func (state *TargetState) Backlog(now time.Time) time.Duration {
 	return state.prefillWait(now)
 }
