--- a/core/yuccaonce/answers.go
+++ b/core/yuccaonce/answers.go
@@ -14,9 +14,9 @@
 	// defaultAnswerBytes is what a small VM can spare beside its running streams.
 	defaultAnswerBytes = yuccaid.Bytes(64 << 20)
 
-	// answerShare is the divisor of the buffer's limit that bounds a single answer, so
-	// that one answer can't evict all the others.
-	answerShare = 8
+	// maxAnswerDivisor bounds a single answer: it may take the buffer's limit divided
+	// by maxAnswerDivisor, so that one answer can't evict all other answers.
+	maxAnswerDivisor = 8
 )
 
 // AnswerBuffer keeps complete answers so that callers can fetch them again. It is
@@ -29,12 +29,12 @@
 	lifetime time.Duration
 	clock    clock
 
-	answers map[yuccaid.RequestID]*keptAnswer[A]
-	order   []*keptAnswer[A] // in order of adding
-	bytes   yuccaid.Bytes
+	answers map[yuccaid.RequestID]*storedAnswer[A]
+	order   []*storedAnswer[A] // oldest first
+	bytes   yuccaid.Bytes      // total size of the answers
 }
 
-type keptAnswer[A any] struct {
+type storedAnswer[A any] struct {
 	id     yuccaid.RequestID
 	answer A
 	size   yuccaid.Bytes
@@ -49,27 +49,27 @@
 	if lifetime == 0 {
 		lifetime = defaultAnswerLifetime
 	}
-	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestID]*keptAnswer[A])}
+	return &AnswerBuffer[A]{limit: limit, lifetime: lifetime, answers: make(map[yuccaid.RequestID]*storedAnswer[A])}
 }
 
 // Put stores a complete answer of the given size, evicting the oldest answers if
 // necessary. It reports false if the answer is too large or the id already has one.
 func (buf *AnswerBuffer[A]) Put(now time.Time, requestID yuccaid.RequestID, answer A, size yuccaid.Bytes) bool {
 	reading := buf.advance(now)
-	if buf.answers[requestID] != nil || size > buf.limit/answerShare {
+	if buf.answers[requestID] != nil || size > buf.limit/maxAnswerDivisor {
 		return false
 	}
 	for buf.bytes+size > buf.limit {
-		buf.drop()
+		buf.dropOldest()
 	}
-	entry := &keptAnswer[A]{id: requestID, answer: answer, size: size, added: reading}
+	entry := &storedAnswer[A]{id: requestID, answer: answer, size: size, added: reading}
 	buf.answers[requestID] = entry
 	buf.order = append(buf.order, entry)
 	buf.bytes += size
 	return true
 }
 
-// ForEach calls each with every stored answer, oldest first.
+// ForEach calls the function each for every stored answer, oldest first.
 func (buf *AnswerBuffer[A]) ForEach(each func(answer A)) {
 	for _, entry := range buf.order {
 		each(entry.answer)
@@ -97,16 +97,18 @@
 	return len(buf.answers), buf.bytes
 }
 
+// advance reads the clock, removes answers past their lifetime and returns the clock's
+// reading.
 func (buf *AnswerBuffer[A]) advance(now time.Time) time.Time {
 	reading := buf.clock.read(now)
 	for len(buf.order) > 0 && !reading.Before(buf.order[0].added.Add(buf.lifetime)) {
-		buf.drop()
+		buf.dropOldest()
 	}
 	return reading
 }
 
-// drop removes the oldest answer.
-func (buf *AnswerBuffer[A]) drop() {
+// dropOldest removes the oldest answer.
+func (buf *AnswerBuffer[A]) dropOldest() {
 	oldest := buf.order[0]
 	buf.order[0] = nil
 	buf.order = buf.order[1:]
--- a/core/yuccaonce/clock.go
+++ b/core/yuccaonce/clock.go
@@ -6,16 +6,17 @@
 //
 // The wall clock of a VM can be set back or jump ahead. If ids were stamped with it, a
 // newer id could expire before an older one. After a step back nothing would expire
-// until the wall clock had caught up, and the counts in the status would show ids
-// growing to their limit. The clock adds up forward steps only, so an expired id stays
-// expired and ids expire in the order of their issue. A jump ahead expires ids early.
-// That refuses requests but runs none twice, because an id that is not stored is never
-// admitted.
+// until the wall clock had caught up, and the number of stored ids would grow to its
+// limit. The clock adds up forward steps only, so an expired id stays expired and ids
+// expire in the order of their issue. A jump ahead expires ids early. That refuses
+// requests but runs none twice, because an id that is not stored is never admitted.
 type clock struct {
-	last    time.Time
-	reading time.Time
+	last    time.Time // argument of the last read
+	reading time.Time // result of the last read; never goes back
 }
 
+// read adds the step since the last read, if it is forward, and returns the new
+// reading.
 func (clk *clock) read(now time.Time) time.Time {
 	if clk.last.IsZero() {
 		clk.reading = now.Round(0)
--- a/core/yuccaonce/cost_test.go
+++ b/core/yuccaonce/cost_test.go
@@ -14,7 +14,9 @@
 	"yuccacleat/core/yuccaonce"
 )
 
-// bytesBound and allocsBound are a fifth above the measured values.
+// bytesBound bounds the heap bytes of a stored id, and allocsBound the allocations of
+// one request from open to its outcome. Both are a fifth above the values of the
+// present code.
 const (
 	bytesBound  = 270
 	allocsBound = 61
@@ -22,7 +24,7 @@
 
 var hash = strings.Repeat("0", 64)
 
-// serve takes one request from open to its outcome.
+// serve opens, submits, dispatches and finishes one request.
 func serve(own *yuccaonce.Owner, now time.Time) {
 	id, _ := own.Open(now, ticket.Account)
 	own.Submit(now, id, ticket)
@@ -30,7 +32,8 @@
 	own.Finish(now, id, yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 9, Hash: strings.Clone(hash)})
 }
 
-// heldBytes returns the heap bytes that each stored id takes.
+// heldBytes serves the given number of requests and returns the heap bytes that each
+// stored id takes.
 func heldBytes(own *yuccaonce.Owner, ids int) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -15,7 +15,8 @@
 	return fmt.Sprintf("request is owned by %s: forward it to that daemon, and report it as unknown if the daemon has ended", err.Owner)
 }
 
-// ConflictError means that the id was submitted with another request before.
+// ConflictError means that another body, pool or operation was submitted under the id
+// before.
 type ConflictError struct{ ID yuccaid.RequestID }
 
 // Error tells the caller to open a new request for each body.
@@ -35,8 +36,8 @@
 	return fmt.Sprintf("request %s is older than %s and can't run any more: open a new request", err.ID, err.Lifetime)
 }
 
-// UnknownIDError means that the account has no request with the id. It is the same
-// whether or not another account has one.
+// UnknownIDError means that the account has no request with the id. The error is the
+// same whether or not another account has a request with that id.
 type UnknownIDError struct{ ID yuccaid.RequestID }
 
 // Error tells the caller to use an id of its own account.
@@ -67,19 +68,22 @@
 	return fmt.Sprintf("request %s was dispatched to %s already: return the second grant without using it", err.ID, err.Target)
 }
 
-// StageError means that a step was called before the one that it requires.
+// StageError means that a request was dispatched before it was submitted, or finished
+// before it was dispatched. Stage is always RunWaiting, the state that callers see
+// until a request is dispatched.
 type StageError struct {
 	ID    yuccaid.RequestID
 	Stage Run
 }
 
-// Error states the order of the steps.
+// Error states the order in which a request is submitted, dispatched and finished.
 func (err *StageError) Error() string {
 	return fmt.Sprintf("request %s has not reached the required stage: submit it, then dispatch it, then finish it", err.ID)
 }
 
 // LimitError means that the owner already stores as many ids as one of its limits
-// allows. RetryAfter is the time until an id is free again.
+// allows. Limit is the limit's name and Value its number of ids. RetryAfter is the time
+// until the oldest of the limited ids expires.
 type LimitError struct {
 	Account    yuccaid.Account
 	Limit      string
--- a/core/yuccaonce/expiry.go
+++ b/core/yuccaonce/expiry.go
@@ -6,65 +6,70 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// overdueGrace is how long the outcome of a request is kept that was closed after its
-// id's lifetime. Its caller is waiting for it, so it retries a lost answer within
-// moments.
+// overdueGrace is how long the outcome of a request is kept if the request was closed
+// after its id's lifetime. The caller is still waiting for the outcome, so if the
+// answer is lost, the caller retries within seconds.
 const overdueGrace = time.Minute
 
-// lateClose is a record that was closed after its id's lifetime, and the time of that.
+// lateClose is a record that was closed after its id's lifetime, and the time when it
+// was closed.
 type lateClose struct {
 	rec *record
 	at  time.Time
 }
 
-// accountUsage counts the ids that the owner stores for one account. first and last are
+// accountIDs counts the ids that the owner stores for one account. first and last are
 // the counters of the account's oldest and newest record; record.next links the records
 // between them.
-type accountUsage struct {
+type accountIDs struct {
 	records     int
 	unsubmitted int
 	first, last uint64
 }
 
-func (usage *accountUsage) add(own *Owner, counter uint64) {
-	if usage.records == 0 {
-		usage.first = counter
+// add counts a new record and links it to the account's newest record before it.
+func (ids *accountIDs) add(own *Owner, counter uint64) {
+	if ids.records == 0 {
+		ids.first = counter
 	} else {
-		own.records.at(usage.last).next = counter
+		own.records.at(ids.last).next = counter
 	}
-	usage.last = counter
-	usage.records++
-	usage.unsubmitted++
+	ids.last = counter
+	ids.records++
+	ids.unsubmitted++
 }
 
-func (own *Owner) accountUsage(acc yuccaid.Account) *accountUsage {
-	usage := own.accounts[acc]
-	if usage == nil {
-		usage = new(accountUsage)
-		own.accounts[acc] = usage
+// accountIDs returns the counts of an account; an account without counts gets new ones.
+func (own *Owner) accountIDs(acc yuccaid.Account) *accountIDs {
+	ids := own.accounts[acc]
+	if ids == nil {
+		ids = new(accountIDs)
+		own.accounts[acc] = ids
 	}
-	return usage
+	return ids
 }
 
 // checkLimits refuses to open a request if a limit on stored ids is reached. The
-// retry-after is the time until the oldest id concerned expires.
+// retry-after is the time until the oldest id that the limit counts expires.
 func (own *Owner) checkLimits(reading time.Time, acc yuccaid.Account) error {
 	if own.records.len()+len(own.overdue) >= own.limits.Total {
 		return own.limitError(reading, acc, "total", own.limits.Total, own.records.first)
 	}
-	usage := own.accounts[acc]
-	if usage == nil {
+	ids := own.accounts[acc]
+	if ids == nil {
 		return nil
 	}
-	if usage.records >= own.limits.PerAccount {
-		return own.limitError(reading, acc, "perAccount", own.limits.PerAccount, usage.first)
+	if ids.records >= own.limits.PerAccount {
+		return own.limitError(reading, acc, "perAccount", own.limits.PerAccount, ids.first)
 	}
-	if usage.unsubmitted >= own.limits.Unsubmitted {
-		return own.limitError(reading, acc, "unsubmitted", own.limits.Unsubmitted, usage.first)
+	if ids.unsubmitted >= own.limits.Unsubmitted {
+		return own.limitError(reading, acc, "unsubmitted", own.limits.Unsubmitted, ids.first)
 	}
 	return nil
 }
 
+// limitError returns the error for a limit that is reached; oldest is the counter of
+// the oldest record that the limit counts.
 func (own *Owner) limitError(reading time.Time, acc yuccaid.Account, limit string, value int, oldest uint64) error {
 	retryAfter := own.lifetime
 	if rec := own.records.find(oldest); rec != nil {
@@ -74,7 +79,7 @@
 }
 
 // expiry returns when an id expires. It computes in milliseconds, as the id carries
-// them, so that record and id expire at once.
+// them, so that record and id expire at the same moment.
 func (own *Owner) expiry(issued int64) time.Time {
 	return time.UnixMilli(issued).Add(own.lifetime)
 }
@@ -91,7 +96,7 @@
 		own.expireOldest()
 	}
 	for len(own.lateCloses) > 0 && !reading.Before(own.lateCloses[0].at.Add(overdueGrace)) {
-		own.uncount(own.lateCloses[0].rec)
+		own.removeFromCounts(own.lateCloses[0].rec)
 		delete(own.overdue, own.lateCloses[0].rec.counter)
 		own.lateCloses = own.lateCloses[1:]
 	}
@@ -103,23 +108,25 @@
 func (own *Owner) expireOldest() {
 	counter := own.records.first
 	rec := own.records.at(counter)
-	usage := own.accounts[rec.account]
-	usage.records--
-	usage.first = rec.next
+	ids := own.accounts[rec.account]
+	ids.records--
+	ids.first = rec.next
 	if rec.stage == waiting || rec.stage == dispatched {
 		overdue := *rec
 		overdue.counter = counter
 		own.overdue[counter] = &overdue
 	} else {
-		own.uncount(rec)
+		own.removeFromCounts(rec)
 	}
-	if usage.records == 0 {
+	if ids.records == 0 {
 		delete(own.accounts, rec.account)
 	}
-	own.records.drop()
+	own.records.dropOldest()
 }
 
-func (own *Owner) uncount(rec *record) {
+// removeFromCounts subtracts a record that is no longer stored from the counts by stage
+// and by account.
+func (own *Owner) removeFromCounts(rec *record) {
 	own.stages[rec.stage]--
 	if rec.stage == opened {
 		own.accounts[rec.account].unsubmitted--
--- a/core/yuccaonce/export_test.go
+++ b/core/yuccaonce/export_test.go
@@ -4,11 +4,11 @@
 
 // Reopen resets a request to the opened stage, without its submission and outcome.
 func (own *Owner) Reopen(id yuccaid.RequestID) {
-	req, err := own.parse(id)
+	fields, err := own.parse(id)
 	if err != nil {
 		return
 	}
-	if rec := own.records.find(req.Counter); rec != nil {
+	if rec := own.records.find(fields.Counter); rec != nil {
 		own.stages[rec.stage]--
 		own.stages[opened]++
 		own.accounts[rec.account].unsubmitted++
--- a/core/yuccaonce/find.go
+++ b/core/yuccaonce/find.go
@@ -9,14 +9,14 @@
 // find returns the record of an id that this incarnation issued.
 func (own *Owner) find(now time.Time, id yuccaid.RequestID) (*record, error) {
 	own.advance(now)
-	req, err := own.parse(id)
+	fields, err := own.parse(id)
 	if err != nil {
 		return nil, err
 	}
-	if rec := own.record(req.Counter); rec != nil {
+	if rec := own.record(fields.Counter); rec != nil {
 		return rec, nil
 	}
-	return nil, own.notHeldError(req, id)
+	return nil, own.notStoredError(fields, id)
 }
 
 // findFor is find for a caller, who must not learn of other accounts' requests: an id
@@ -27,23 +27,26 @@
 		return nil, err
 	}
 	if rec.account != acc {
-		req, _ := own.parse(id)
-		return nil, own.notHeldError(req, id)
+		fields, _ := own.parse(id)
+		return nil, own.notStoredError(fields, id)
 	}
 	return rec, nil
 }
 
+// parse decodes an id and refuses ids of other incarnations.
 func (own *Owner) parse(id yuccaid.RequestID) (yuccaid.RequestIDFields, error) {
-	req, err := id.Parse(own.key)
+	fields, err := id.Parse(own.key)
 	if err != nil {
 		return yuccaid.RequestIDFields{}, err
 	}
-	if req.Owner != own.inc {
-		return yuccaid.RequestIDFields{}, &WrongOwnerError{Owner: req.Owner}
+	if fields.Owner != own.inc {
+		return yuccaid.RequestIDFields{}, &WrongOwnerError{Owner: fields.Owner}
 	}
-	return req, nil
+	return fields, nil
 }
 
+// record returns the record with the counter, which may be overdue, or nil if none is
+// stored.
 func (own *Owner) record(counter uint64) *record {
 	if rec := own.records.find(counter); rec != nil {
 		return rec
@@ -51,10 +54,11 @@
 	return own.overdue[counter]
 }
 
-// notHeldError depends only on the id and the time, so that it doesn't reveal which ids
-// are stored.
-func (own *Owner) notHeldError(req yuccaid.RequestIDFields, id yuccaid.RequestID) error {
-	if own.expired(own.clock.reading, req.Issued.UnixMilli()) {
+// notStoredError returns the error for an id without a record that the caller may see.
+// It depends only on the id and the time, so that it doesn't reveal which ids are
+// stored.
+func (own *Owner) notStoredError(fields yuccaid.RequestIDFields, id yuccaid.RequestID) error {
+	if own.expired(own.clock.reading, fields.Issued.UnixMilli()) {
 		return &ExpiredError{ID: id, Lifetime: own.lifetime}
 	}
 	return &UnknownIDError{ID: id}
--- a/core/yuccaonce/limits.go
+++ b/core/yuccaonce/limits.go
@@ -4,12 +4,13 @@
 
 const (
 	// defaultLifetime covers the longest run and a caller's retries after an
-	// interruption of some minutes. It costs memory, because each id is stored for this
-	// long.
+	// interruption of some minutes. A longer lifetime would cost more memory, because
+	// each id is stored for this long.
 	defaultLifetime = 15 * time.Minute
 
-	// defaultTotal bounds the owner's memory to about 40 MB, which a small VM can
-	// spare: at 200 bytes an id and 15 minutes it allows 220 requests a second.
+	// defaultTotal bounds the owner's memory to about 40 MB at 200 bytes an id, which a
+	// small VM can spare. With a lifetime of 15 minutes it allows 220 requests a
+	// second.
 	defaultTotal = 200_000
 
 	// defaultPerAccount keeps one account's burst from using up the ids of all
@@ -17,8 +18,8 @@
 	defaultPerAccount = defaultTotal / 4
 
 	// defaultUnsubmitted bounds ids of an account that were opened but not submitted. A
-	// caller opens an id right before submitting, so more of them mean a fault of the
-	// caller.
+	// caller opens an id right before submitting, so an account with more of them has a
+	// faulty caller.
 	defaultUnsubmitted = 2_000
 )
 
@@ -45,7 +46,8 @@
 // Option changes a setting of an Owner.
 type Option func(*Owner)
 
-// WithLifetime sets how long an id may be submitted and its outcome be queried.
+// WithLifetime sets for how long after its issue an id may be submitted and its outcome
+// queried.
 func WithLifetime(lifetime time.Duration) Option {
 	return func(own *Owner) { own.lifetime = lifetime }
 }
--- a/core/yuccaonce/outcome.go
+++ b/core/yuccaonce/outcome.go
@@ -47,9 +47,9 @@
 	return false
 }
 
-// Outcome is what a caller is told about a request. RetryAfter is the time after which
-// a retry makes sense, Pieces and Hash are the number of pieces and the hash of the
-// answer, and Partial means that the answer is incomplete.
+// Outcome is what is reported to a caller about a request. RetryAfter is the time after
+// which a retry may succeed, Pieces and Hash are the number of pieces and the hash of
+// the answer, and Partial means that the answer is incomplete.
 type Outcome struct {
 	Run        Run           `json:"run" msgpack:"run"`
 	Reason     Reason        `json:"reason,omitempty" msgpack:"reason,omitempty"`
@@ -59,15 +59,16 @@
 	Partial    bool          `json:"partial,omitempty" msgpack:"partial,omitempty"`
 }
 
-// Result is what the connection that dispatched a run reports of its end.
+// Result is what the connection that dispatched a run reports when the run has ended.
+// Its claims aren't proven yet; see provenOutcome.
 type Result Outcome
 
 // provenOutcome returns the outcome of a dispatched request that may be reported.
 //
 // A request is reported as not run only on proof. If a cancelled or lost run were
-// reported so, its caller would send it again and pay twice, and the target's own log
-// would show two runs. Pieces of an answer contradict every claim that the request did
-// not run.
+// reported as not run, its caller would send the request again and pay twice, and the
+// target's own log would show two runs. A received piece of an answer proves that the
+// request ran, whatever the result claims.
 func (res Result) provenOutcome() Outcome {
 	out := Outcome(res)
 	switch {
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -18,11 +18,12 @@
 	records    recordStore
 	overdue    map[uint64]*record // open past their lifetime or closed late, by counter
 	lateCloses []lateClose        // in order of closing
-	accounts   map[yuccaid.Account]*accountUsage
+	accounts   map[yuccaid.Account]*accountIDs
 	stages     [closed + 1]int // number of records by stage
 }
 
-// New returns an owner without requests.
+// New returns an owner without requests, for the given incarnation. The key signs the
+// ids.
 func New(inc yuccaid.Incarnation, key yuccaid.Key, options ...Option) *Owner {
 	own := &Owner{
 		inc:      inc,
@@ -30,7 +31,7 @@
 		lifetime: defaultLifetime,
 		limits:   Limits{}.withDefaults(),
 		overdue:  make(map[uint64]*record),
-		accounts: make(map[yuccaid.Account]*accountUsage),
+		accounts: make(map[yuccaid.Account]*accountIDs),
 	}
 	for _, option := range options {
 		option(own)
@@ -46,7 +47,7 @@
 	}
 	counter := own.records.add(record{account: acc, issued: reading.UnixMilli()})
 	own.stages[opened]++
-	own.accountUsage(acc).add(own, counter)
+	own.accountIDs(acc).add(own, counter)
 	return yuccaid.RequestIDFields{Owner: own.inc, Counter: counter, Issued: reading}.Sign(own.key), nil
 }
 
@@ -94,8 +95,8 @@
 // Dispatch records that the request goes to the target. It must be called before the
 // first byte is sent.
 //
-// If it were called afterwards, the request could be displaced in between, and the
-// caller would be told that the request did not run while the target runs it.
+// If it were called afterwards, the request could be closed as displaced in between,
+// and the caller would be told that the request did not run while the target runs it.
 func (own *Owner) Dispatch(now time.Time, id yuccaid.RequestID, tgt yuccaid.Target) error {
 	rec, err := own.find(now, id)
 	if err != nil {
@@ -129,7 +130,7 @@
 }
 
 // Finish records the end of a dispatched request and returns the outcome to report,
-// which may claim less than the result did.
+// which is Unknown or Ran where the result claims NotRun without proof.
 func (own *Owner) Finish(now time.Time, id yuccaid.RequestID, result Result) (Outcome, error) {
 	rec, err := own.find(now, id)
 	if err != nil {
@@ -173,7 +174,7 @@
 	Waiting    int `json:"waiting"`
 	Dispatched int `json:"dispatched"`
 	Closed     int `json:"closed"`
-	Overdue    int `json:"overdue"` // included above: past their lifetime, and not closed yet or closed late
+	Overdue    int `json:"overdue"` // also counted by stage: open past their lifetime or closed late
 }
 
 // Counts returns the numbers for status and metrics.
@@ -196,6 +197,7 @@
 	rec.stage = to
 }
 
+// closeRecord closes a record, and keeps it for overdueGrace if its id has expired.
 func (own *Owner) closeRecord(rec *record, out Outcome) {
 	own.setStage(rec, closed)
 	rec.close(out)
--- a/core/yuccaonce/owner_test.go
+++ b/core/yuccaonce/owner_test.go
@@ -31,16 +31,16 @@
 	})
 
 	submit := func(now time.Time, submission yuccaonce.Submission) (yuccaonce.SubmitAction, error) {
-		step, err := own.Submit(now, id, submission)
-		return step.Action, err
+		result, err := own.Submit(now, id, submission)
+		return result.Action, err
 	}
-	run := func() {
+	submitAndDispatch := func() {
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 		Expect(own.Dispatch(start, id, "t1")).To(Succeed())
 	}
 
 	It("admits once, joins while the request runs and returns the outcome", func() {
-		run()
+		submitAndDispatch()
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitJoin))
 		out, err := own.Finish(start, id, yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 2, Hash: "aa"})
 		Expect(err).NotTo(HaveOccurred())
@@ -51,7 +51,7 @@
 
 	DescribeTable("refuses a second submit that differs",
 		func(change func(*yuccaonce.Submission)) {
-			run()
+			submitAndDispatch()
 			other := ticket
 			change(&other)
 			_, err := submit(start, other)
@@ -62,30 +62,30 @@
 		Entry("in its operation", func(c *yuccaonce.Submission) { c.Operation = "look" }),
 	)
 
-	// Guards against revealing other accounts' requests: another account queries an id
-	// in each of its stages. If the answers differed, an outsider would learn which
-	// requests exist and when they end.
+	// Guards against revealing other accounts' requests: another account submits and
+	// queries an id in each of its stages. If the errors differed by stage, that
+	// account would learn which requests exist and when they end.
 	It("answers other accounts the same in each state of the request", func() {
 		outsider := ticket
 		outsider.Account = "outsider"
-		ask := func(now time.Time) []string {
+		outsiderErrors := func(now time.Time) []string {
 			_, first := own.Submit(now, id, outsider)
 			_, second := own.Outcome(now, id, outsider.Account)
 			return []string{first.Error(), second.Error()}
 		}
-		opened := ask(start)
-		run()
-		Expect(ask(start)).To(Equal(opened))
-		overdue := ask(start.Add(lifetime))
+		opened := outsiderErrors(start)
+		submitAndDispatch()
+		Expect(outsiderErrors(start)).To(Equal(opened))
+		overdue := outsiderErrors(start.Add(lifetime))
 		_, err := own.Finish(start.Add(lifetime), id, yuccaonce.Result{Run: yuccaonce.Ran})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(ask(start.Add(lifetime))).To(Equal(overdue))
-		Expect(ask(start.Add(time.Hour))).To(Equal(overdue))
+		Expect(outsiderErrors(start.Add(lifetime))).To(Equal(overdue))
+		Expect(outsiderErrors(start.Add(time.Hour))).To(Equal(overdue))
 	})
 
 	// Guards against running a request that was reported as not run: a caller queries
-	// the outcome of an id while its own submission is still on its way. Told that
-	// nothing ran, it files a new ticket.
+	// the outcome of an id while its own submission is still on its way. The caller is
+	// told that the request did not run and submits a new one; both would run.
 	It("closes an unsubmitted id when its outcome is asked for", func() {
 		out, err := own.Outcome(start, id, ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
@@ -94,8 +94,8 @@
 	})
 
 	// Guards against reporting a dispatched request as displaced: a grant and a
-	// displacement arrive at about the same time. If the later one weren't refused, a
-	// caller would be told that its ticket was not filed although it was.
+	// displacement arrive at about the same time. If the second of them weren't
+	// refused, a caller would be told that its request did not run although it ran.
 	It("decides grant and displacement in one step", func() {
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
 		out, done := own.CloseNotRun(start, id, yuccaonce.ReasonDisplaced, time.Second)
@@ -104,7 +104,7 @@
 		Expect(own.Dispatch(start, id, "t1")).To(BeAssignableToTypeOf(&yuccaonce.ClosedError{}))
 
 		id, _ = own.Open(start, ticket.Account)
-		run()
+		submitAndDispatch()
 		_, done = own.CloseNotRun(start, id, yuccaonce.ReasonDisplaced, 0)
 		Expect(done).To(BeFalse())
 		Expect(own.Dispatch(start, id, "t2")).To(BeAssignableToTypeOf(&yuccaonce.DispatchedError{}))
@@ -143,9 +143,9 @@
 	It("bounds the stored ids and returns when one becomes free", func() {
 		limitError := func(now time.Time, acc yuccaid.Account) *yuccaonce.LimitError {
 			_, err := own.Open(now, acc)
-			var full *yuccaonce.LimitError
-			Expect(errors.As(err, &full)).To(BeTrue())
-			return full
+			var limitErr *yuccaonce.LimitError
+			Expect(errors.As(err, &limitErr)).To(BeTrue())
+			return limitErr
 		}
 		openAndSubmit := func(now time.Time, acc yuccaid.Account) {
 			id, _ = own.Open(now, acc)
@@ -174,14 +174,14 @@
 	})
 
 	// Guards against clock jumps: the VM's clock is set back after an id has expired,
-	// or jumps ahead while a request runs. The old id must stay refused, and the
-	// running one must still report its end.
+	// or jumps ahead while a request runs. The expired id must stay refused, and the
+	// running request must still be finished with its outcome.
 	It("keeps its decisions when the clock jumps", func() {
-		run()
-		late, _ := own.Open(start.Add(time.Second), ticket.Account)
+		submitAndDispatch()
+		expiredID, _ := own.Open(start.Add(time.Second), ticket.Account)
 		Expect(own.Tick(start.Add(time.Hour))).To(Equal(1))
 		Expect(own.Counts()).To(Equal(yuccaonce.Counts{Dispatched: 1, Overdue: 1}))
-		_, err := own.Submit(start, late, ticket)
+		_, err := own.Submit(start, expiredID, ticket)
 		Expect(err).To(BeAssignableToTypeOf(&yuccaonce.ExpiredError{}))
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitJoin))
 		out, err := own.Finish(start, id, yuccaonce.Result{Run: yuccaonce.Ran})
--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -29,9 +29,10 @@
 	target        yuccaid.Target
 	outcome       Outcome
 	stage         stage
-	hasSubmission bool // submission is set
+	hasSubmission bool // whether submission is set
 }
 
+// close stores the outcome and clears the target, which isn't needed any more.
 func (rec *record) close(out Outcome) {
 	rec.outcome = out
 	rec.target = ""
@@ -50,8 +51,8 @@
 }
 
 // Submission is a request as its caller submits it. Tier and Idempotent of the first
-// submission are final, since a second one may come through a daemon with another
-// configuration.
+// submission apply, even if a second submission under the same id differs in them,
+// since it may come through a daemon with another configuration.
 type Submission struct {
 	Account    yuccaid.Account
 	Pool       yuccaid.Pool
--- a/core/yuccaonce/shelf.go
+++ b/core/yuccaonce/shelf.go
@@ -1,12 +1,12 @@
 package yuccaonce
 
-// chunkSize is a compromise: larger chunks waste memory while half filled, smaller ones
-// make more chunks.
+// chunkSize is the number of records in a chunk. Larger chunks waste more memory while
+// they are partly filled; smaller chunks need more allocations.
 const chunkSize = 256
 
 // recordStore stores records by counter. Counters are assigned in order of issue, so
-// the oldest record is always first. Expiry therefore reads only the records that
-// expire and one more, and a lookup is an array access.
+// the oldest record is always first. Expiry therefore reads only the expired records
+// and the first one that is not, and a lookup is an array access.
 type recordStore struct {
 	chunks []*[chunkSize]record
 	first  uint64 // counter of the oldest record
@@ -36,8 +36,8 @@
 	return store.at(counter)
 }
 
-// drop removes the oldest record.
-func (store *recordStore) drop() {
+// dropOldest removes the oldest record.
+func (store *recordStore) dropOldest() {
 	*store.at(store.first) = record{}
 	store.first++
 	if store.first%chunkSize == 0 {
@@ -46,6 +46,7 @@
 	}
 }
 
+// at returns the record with the counter, which must be stored.
 func (store *recordStore) at(counter uint64) *record {
 	base := store.first / chunkSize
 	return &store.chunks[counter/chunkSize-base][counter%chunkSize]
--- a/core/yuccaonce/world_check_test.go
+++ b/core/yuccaonce/world_check_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// trials is several times the number of histories after which the rarest violation
-// below is found.
+// trials is the number of histories that findViolation plays. It is several times the
+// number after which the rarest violation below is found.
 const trials = 1000
 
 // findViolation plays seeded histories until the oracle reports a violation. It returns
-// how many requests ran and how many were reported as not run, because a simulation
-// without either proves nothing.
+// how many requests ran and how many were reported as not run before that, because
+// histories in which neither happens prove nothing. Actions of the kinds in without are
+// left out.
 func findViolation(off switches, without ...string) (ran, reportedNotRun int, err error) {
 	for seed := range trials {
 		sim := newSimulation(off)
@@ -33,9 +34,9 @@
 
 // Guards against running a request twice, and against reporting a request as not run
 // that ran. Daemons are cut off, paused and restarted without their state, clocks jump,
-// and messages come late, twice or out of order. A caller whose ticket is filed twice
-// has two crews sent out; one that is told that its ticket was not filed files it
-// again.
+// and messages come late, twice or out of order. A request that runs twice files a
+// ticket twice, so two crews are sent out. A caller that is told that its request did
+// not run submits it again, with the same effect.
 func TestNoRequestRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := newSimulation(switches{}).play(history.Draw(t, "history")); err != nil {
@@ -68,8 +69,9 @@
 	Expect(reportedNotRun).To(BeNumerically(">", trials/4))
 })
 
-// The hash is safe too without faults between daemons. The violation above therefore
-// comes from cuts, pauses and restarts and not from the simulation itself.
+// Choosing the owner by a hash is safe too while no daemon is cut off, paused or
+// restarted. The violation above therefore comes from these faults and not from the
+// simulation itself.
 var _ = It("reports no violation for the hash while no daemon is cut off, paused or restarted", func() {
 	_, _, err := findViolation(switches{hashOwner: true}, "cut", "pause", "restart")
 	Expect(err).NotTo(HaveOccurred())
--- a/core/yuccaonce/world_test.go
+++ b/core/yuccaonce/world_test.go
@@ -12,11 +12,12 @@
 	"yuccacleat/core/yuccaonce"
 )
 
-const daemons = 3
+const daemonCount = 3
 
-// switches turns off one mechanism of the simulated daemons each.
+// switches turns off mechanisms of the simulated daemons, one for each field that is
+// set.
 type switches struct {
-	hashOwner       bool // the owner is chosen by a hash over the daemons believed to be live
+	hashOwner       bool // the owner is chosen by a hash over the daemons considered live
 	forgetsClosed   bool // a closed id can be submitted again
 	leavesOpen      bool // querying the outcome of an unsubmitted id leaves it open
 	recordsLate     bool // dispatch is recorded after the first byte was sent
@@ -26,7 +27,7 @@
 	runsElsewhere   bool // another daemon runs the requests of an owner that it can't reach
 }
 
-// requestStore is one daemon's store of requests.
+// requestStore holds the operations on one daemon's store of requests.
 type requestStore struct {
 	submit   func(id yuccaid.RequestID)
 	outcome  func(id yuccaid.RequestID) yuccaonce.Run
@@ -35,15 +36,18 @@
 	finish   func(id yuccaid.RequestID, result yuccaonce.Result) yuccaonce.Run
 }
 
+// daemon is one simulated daemon.
 type daemon struct {
 	requestStore
 	own    *yuccaonce.Owner
 	inc    yuccaid.Incarnation
-	view   [daemons]bool
-	skew   time.Duration
-	paused bool
+	view   [daemonCount]bool // which daemons it considers live
+	skew   time.Duration     // of its clock from the simulation's time
+	paused bool              // takes no step and receives no message
 }
 
+// message is a message between daemons; a "run" to the daemon itself stands for a
+// request on its way to a target, and a "record" for a dispatch that is recorded late.
 type message struct {
 	kind     string
 	from, to int
@@ -57,8 +61,10 @@
 	a, b, c int
 }
 
-// kinds lists actions that advance requests several times, so that many requests run
-// before a fault stops them.
+// kinds lists the kinds of actions; those that advance requests are listed several
+// times, so that many requests run before a fault stops them. An "ask" queries an
+// outcome, a "look" updates which daemons a daemon considers live, "time" lets time
+// pass for all daemons, and a "jump" sets the clock of one daemon.
 var kinds = []string{
 	"open", "submit", "submit", "ask", "deliver", "deliver", "deliver", "deliver", "grant", "grant", "grant",
 	"giveUp", "finish", "restart", "pause", "cut", "look", "time", "jump",
@@ -72,24 +78,24 @@
 	}
 }), 40, 200)
 
-// simulation is a set of daemons with the messages between them. Its oracle knows which
-// requests the targets ran.
+// simulation is a set of daemons with the messages between them. The method check is
+// its oracle: it knows which requests the targets ran.
 type simulation struct {
 	off            switches
 	now            time.Time
-	all            [daemons]*daemon
-	cuts           [daemons][daemons]bool
+	daemons        [daemonCount]*daemon
+	cuts           [daemonCount][daemonCount]bool // pairs of daemons that can't reach each other
 	ids            []yuccaid.RequestID
 	messages       []message
-	runs           map[yuccaid.RequestID]int
+	runs           map[yuccaid.RequestID]int // how many times the targets ran a request
 	reportedNotRun map[yuccaid.RequestID]bool
-	starts         byte
+	starts         byte // number of daemons started, which makes incarnations differ
 }
 
 func newSimulation(off switches) *simulation {
 	sim := &simulation{off: off, now: start, runs: map[yuccaid.RequestID]int{}, reportedNotRun: map[yuccaid.RequestID]bool{}}
-	for i := range sim.all {
-		sim.all[i] = sim.newDaemon(i)
+	for i := range sim.daemons {
+		sim.daemons[i] = sim.newDaemon(i)
 	}
 	return sim
 }
@@ -100,7 +106,7 @@
 		sim.starts++
 		nonce[1] = sim.starts
 	}
-	d := &daemon{inc: yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprint("vm-", i)), nonce), view: [daemons]bool{true, true, true}}
+	d := &daemon{inc: yuccaid.NewIncarnation(yuccaid.VM(fmt.Sprint("vm-", i)), nonce), view: [daemonCount]bool{true, true, true}}
 	d.own = yuccaonce.New(d.inc, fleetKey, yuccaonce.WithLifetime(lifetime))
 	d.requestStore = sim.ownerStore(d)
 	if sim.off.hashOwner {
@@ -109,10 +115,11 @@
 	return d
 }
 
+// ownerStore returns the store of a daemon that uses an Owner.
 func (sim *simulation) ownerStore(d *daemon) requestStore {
 	own := d.own
 	now := func() time.Time { return sim.now.Add(d.skew) }
-	ended := func(id yuccaid.RequestID) {
+	afterClose := func(id yuccaid.RequestID) {
 		if sim.off.forgetsClosed {
 			own.Reopen(id)
 		}
@@ -128,27 +135,28 @@
 		},
 		dispatch: func(id yuccaid.RequestID) bool {
 			err := own.Dispatch(now(), id, "t1")
-			var ended *yuccaonce.ClosedError
-			return err == nil || sim.off.ignoresClosed && errors.As(err, &ended)
+			var closedErr *yuccaonce.ClosedError
+			return err == nil || sim.off.ignoresClosed && errors.As(err, &closedErr)
 		},
 		giveUp: func(id yuccaid.RequestID) bool {
 			_, done := own.CloseNotRun(now(), id, yuccaonce.ReasonDisplaced, 0)
 			if done {
-				ended(id)
+				afterClose(id)
 			}
 			return done
 		},
 		finish: func(id yuccaid.RequestID, result yuccaonce.Result) yuccaonce.Run {
 			out, err := own.Finish(now(), id, result)
 			if err == nil {
-				ended(id)
+				afterClose(id)
 			}
 			return out.Run
 		},
 	}
 }
 
-// mapStore records ids as they are submitted, like a table of idempotency keys.
+// mapStore returns the store of a daemon that has no Owner, but records ids as they are
+// submitted, like a table of idempotency keys.
 func mapStore() requestStore {
 	runs := map[yuccaid.RequestID]yuccaonce.Run{}
 	move := func(id yuccaid.RequestID, from, to yuccaonce.Run) bool {
@@ -180,14 +188,14 @@
 // is none.
 func (sim *simulation) owner(i int, id yuccaid.RequestID) (int, bool) {
 	best, score := -1, uint64(0)
-	for k, other := range sim.all {
+	for k, other := range sim.daemons {
 		if !sim.off.hashOwner {
 			if req, err := id.Parse(fleetKey); err == nil && req.Owner == other.inc {
 				return k, true
 			}
 			continue
 		}
-		if h := xxhash.Sum64String(string(id) + string(other.inc.VM)); sim.all[i].view[k] && h >= score {
+		if h := xxhash.Sum64String(string(id) + string(other.inc.VM)); sim.daemons[i].view[k] && h >= score {
 			best, score = k, h
 		}
 	}
@@ -209,8 +217,9 @@
 	return nil
 }
 
+// handle lets the receiver of a message act on it.
 func (sim *simulation) handle(m message) error {
-	d := sim.all[m.to]
+	d := sim.daemons[m.to]
 	switch m.kind {
 	case "submit":
 		d.submit(m.id)
@@ -232,11 +241,13 @@
 	return nil
 }
 
+// ran records that a target ran the request.
 func (sim *simulation) ran(id yuccaid.RequestID) error {
 	sim.runs[id]++
 	return sim.check(id)
 }
 
+// reported records what a caller was told about the request.
 func (sim *simulation) reported(id yuccaid.RequestID, run yuccaonce.Run) error {
 	if run == yuccaonce.NotRun {
 		sim.reportedNotRun[id] = true
@@ -266,14 +277,15 @@
 	return nil
 }
 
+// step applies an action; a paused daemon ignores all actions but pause and restart.
 func (sim *simulation) step(act action) error {
-	i := act.a % daemons
-	d := sim.all[i]
+	i := act.a % daemonCount
+	d := sim.daemons[i]
 	if act.kind == "pause" {
 		d.paused = act.c%4 == 0
 	}
 	if act.kind == "restart" {
-		sim.all[i] = sim.newDaemon(i)
+		sim.daemons[i] = sim.newDaemon(i)
 	}
 	if d.paused {
 		return nil
@@ -283,12 +295,12 @@
 		id, _ := d.own.Open(sim.now.Add(d.skew), ticket.Account)
 		sim.ids = append(sim.ids, id)
 	case "cut":
-		k := act.b % daemons
+		k := act.b % daemonCount
 		cut := i != k && act.c%3 == 0
 		sim.cuts[i][k], sim.cuts[k][i] = cut, cut
 	case "look":
 		for k := range d.view {
-			d.view[k] = !sim.cuts[i][k] && !sim.all[k].paused
+			d.view[k] = !sim.cuts[i][k] && !sim.daemons[k].paused
 		}
 	case "time":
 		sim.now = sim.now.Add(time.Duration(act.c) * time.Second)
@@ -303,6 +315,7 @@
 	return sim.stepRequest(act, i, sim.ids[act.b%len(sim.ids)])
 }
 
+// stepRequest applies an action of the daemon at i on a request.
 func (sim *simulation) stepRequest(act action, i int, id yuccaid.RequestID) error {
 	switch act.kind {
 	case "submit", "ask":
@@ -311,7 +324,7 @@
 		to, _ := sim.owner(i, id)
 		sim.messages = append(sim.messages, message{kind: "grant", from: i, to: max(to, 0), id: id})
 	case "giveUp":
-		if sim.all[i].giveUp(id) {
+		if sim.daemons[i].giveUp(id) {
 			return sim.reported(id, yuccaonce.NotRun)
 		}
 	case "finish":
@@ -320,16 +333,16 @@
 	return nil
 }
 
-// deliver delivers any one of the messages, out of order, and a quarter of the messages
-// twice. A message to a target travels on one stream, so it may be late but is never
-// delivered twice.
+// deliver delivers any one of the messages, so that they arrive out of order. A quarter
+// of the deliveries leave the message in place, to be delivered again. A message to a
+// target travels on one stream, so it may be late but is never delivered twice.
 func (sim *simulation) deliver(act action) error {
 	if len(sim.messages) == 0 {
 		return nil
 	}
 	at := act.b % len(sim.messages)
 	m := sim.messages[at]
-	if sim.cuts[m.from][m.to] || sim.all[m.to].paused {
+	if sim.cuts[m.from][m.to] || sim.daemons[m.to].paused {
 		return nil
 	}
 	if act.c%4 != 0 || m.kind == "run" {
@@ -355,7 +368,7 @@
 	case act.c%4 == 2 && sim.runs[id] > 0:
 		result = yuccaonce.Result{Run: yuccaonce.Ran, Pieces: 1}
 	}
-	run := sim.all[i].finish(id, result)
+	run := sim.daemons[i].finish(id, result)
 	if sim.off.cancelIsNotRun && run != "" && result.Reason == yuccaonce.ReasonCancelled {
 		run = yuccaonce.NotRun
 	}
