--- a/core/yuccaorder/doc.go
+++ b/core/yuccaorder/doc.go
@@ -1,5 +1,5 @@
-// Package yuccaorder decides which orders bring targets to the state that the accepted
-// configuration wishes for them.
+// Package yuccaorder decides which orders bring targets to their wish, the state that
+// the accepted configuration gives for each of them.
 //
 // Decisions are level-triggered: each compares the wish with the state in which the
 // target was just observed. A lost, duplicated or failed order is thus repaired after
@@ -7,7 +7,7 @@
 // number of the configuration is the fencing number: all leaders derive the same order
 // from the same number, and a target that checks the number refuses an older one.
 //
-// A target that doesn't check it obeys the last order it receives. A new leader
-// therefore waits until every order of earlier leaders has expired, and repairs the
-// state that it observes then.
+// A target that doesn't check the fencing number obeys the last order it receives. A
+// new leader therefore waits until every order of earlier leaders has expired, and
+// repairs the state that it observes then.
 package yuccaorder
--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -9,8 +9,9 @@
 // Kind states what an order changes.
 type Kind string
 
-// The kinds of orders, in the sequence in which a target is brought to its wished
-// state: nothing else can be changed before the model is loaded.
+// The kinds of orders. Planner sends Load, Version, Adapter and Role in this sequence,
+// because nothing else can be changed before the model is loaded. It never sends
+// Unload.
 const (
 	Load    Kind = "load"
 	Version Kind = "version"
@@ -19,8 +20,8 @@
 	Unload  Kind = "unload"
 )
 
-// Order is one step towards the wished state. ValidFor is how long after the decision
-// the target may still obey it.
+// Order is one step towards a target's wish. Fence is the fencing number, and ValidFor
+// is how long after the decision the target may still obey the order.
 type Order struct {
 	Target   yuccaid.Target
 	Kind     Kind
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// DefaultOrderLifetime is how long after its decision an order may be obeyed. A
-	// longer one would keep new leaders waiting before targets that don't check fencing
-	// numbers; with a shorter one orders would expire on a slow connection.
+	// DefaultOrderLifetime is how long after its decision an order may be obeyed. With
+	// a longer lifetime new leaders would wait longer before they order targets that
+	// don't check fencing numbers; with a shorter one orders would expire on a slow
+	// connection.
 	DefaultOrderLifetime = 5 * time.Second
 	// DefaultLoadsPerMinute is the rate at which all leaders together may make targets
 	// read from the weight store.
 	DefaultLoadsPerMinute = 30.0
 	// loadTimeout is how long a target may take to load before the order is repeated.
-	// An order's lifetime is far shorter, because it bounds when the order is received
-	// and not when it is done.
+	// An order's lifetime is far shorter, because it bounds when the target receives
+	// the order and not when the target has carried it out.
 	loadTimeout = 2 * time.Minute
 )
 
@@ -40,7 +41,7 @@
 type Planner struct {
 	orderLifetime time.Duration
 	loadLimiter   *rate.Limiter
-	leaderSince   time.Time
+	leaderSince   time.Time // when this leader took over
 	lastOrders    map[yuccaid.Target]sentOrder
 }
 
@@ -76,11 +77,11 @@
 
 // SetLoadRate sets this leader's share of the weight store's rate.
 //
-// A release note that changes a model's version makes every leader load at once. The
-// store would then refuse or slow all of the reads, urgent ones too. Each leader
+// A release note that changes a model's version makes every leader order loads at once.
+// The store would then refuse or slow all of the reads, urgent ones too. Each leader
 // therefore uses an equal share among the leaders that it knows. In a partition each
 // side knows fewer leaders and uses more, so the total may reach the rate times the
-// number of parts until the partition ends.
+// number of sides until the partition ends.
 func (plan *Planner) SetLoadRate(now time.Time, perMinute float64, leaders int) {
 	perSecond := perMinute / time.Minute.Seconds() / float64(max(leaders, 1))
 	plan.loadLimiter.SetLimitAt(now, rate.Limit(perSecond))
@@ -94,13 +95,15 @@
 		delete(plan.lastOrders, name)
 		return Order{}, Settled
 	}
-	// The target has received an order of a leader with a newer configuration.
+	// The target has received an order of a leader with a newer configuration, so it
+	// would refuse this leader's.
 	if observed.Fence > number {
 		return Order{}, ConfigBehind
 	}
 	// An earlier leader that was frozen may still have an order on its way to a target
-	// that doesn't check fencing numbers; it would undo this leader's order. No order
-	// is obeyed after its lifetime, so wait for that time.
+	// that doesn't check fencing numbers; the earlier order would undo this leader's.
+	// No order is obeyed after its lifetime, so send none until a lifetime has passed
+	// since this leader took over.
 	if !target.ChecksFence && now.Before(plan.leaderSince.Add(plan.orderLifetime)) {
 		return Order{}, WaitForOldOrders
 	}
@@ -127,7 +130,7 @@
 }
 
 // firstDifference returns the order for the first difference between the wish and the
-// target's state. An empty field of the wish asks for nothing, so a target without a
+// target's state. An empty field of the wish matches every state, so a target without a
 // configured wish is left as it is.
 func firstDifference(wish yuccastate.Wish, observed ObservedState) (Order, bool) {
 	if wish.Model != "" && wish.Model != observed.Model {
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -15,30 +15,30 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// engine obeys orders like a target: by fencing number if it checks one, and never
-// after an order's lifetime.
+// engine obeys orders as a target does. It refuses an order after the order's lifetime
+// and, if it checks fencing numbers, an order with a lower number than it has received.
 type engine struct {
-	checks bool
-	seen   yuccaorder.ObservedState
+	checksFence bool
+	state       yuccaorder.ObservedState
 }
 
 func (eng *engine) obey(order yuccaorder.Order, age time.Duration) bool {
 	if age >= order.ValidFor {
 		return false
 	}
-	if eng.checks && order.Fence < eng.seen.Fence {
+	if eng.checksFence && order.Fence < eng.state.Fence {
 		return false
 	}
-	if eng.checks {
-		eng.seen.Fence = order.Fence
+	if eng.checksFence {
+		eng.state.Fence = order.Fence
 	}
 	switch order.Kind {
 	case yuccaorder.Load, yuccaorder.Version:
-		eng.seen.Model, eng.seen.Version = order.Model, order.Version
+		eng.state.Model, eng.state.Version = order.Model, order.Version
 	case yuccaorder.Adapter:
-		eng.seen.Adapters = append(eng.seen.Adapters, order.Adapter)
+		eng.state.Adapters = append(eng.state.Adapters, order.Adapter)
 	case yuccaorder.Role:
-		eng.seen.Role = order.Role
+		eng.state.Role = order.Role
 	}
 	return true
 }
@@ -53,12 +53,12 @@
 
 	It("bring a target to its wish one step at a time and then stop", func() {
 		plan := yuccaorder.New(start)
-		eng := &engine{checks: true}
+		eng := &engine{checksFence: true}
 		now := start
 		var kinds []yuccaorder.Kind
 		for range 100 {
 			now = now.Add(time.Second)
-			order, hold := plan.NextOrder(now, 1, "t", checking, wishFor(1), eng.seen)
+			order, hold := plan.NextOrder(now, 1, "t", checking, wishFor(1), eng.state)
 			if hold != "" {
 				continue
 			}
@@ -74,30 +74,30 @@
 	// that operators had withdrawn.
 	DescribeTable("of a leader that was frozen are not obeyed",
 		func(target yuccastate.Target) {
-			eng := &engine{checks: target.ChecksFence}
+			eng := &engine{checksFence: target.ChecksFence}
 			old := yuccaorder.New(start.Add(-time.Hour))
-			late, hold := old.NextOrder(start, 1, "t", target, wishFor(1), eng.seen)
+			late, hold := old.NextOrder(start, 1, "t", target, wishFor(1), eng.state)
 			Expect(hold).To(BeEmpty())
 
 			successor := yuccaorder.New(start)
 			now := start
-			for eng.seen.Role == "" {
+			for eng.state.Role == "" {
 				now = now.Add(time.Second)
-				order, hold := successor.NextOrder(now, 2, "t", target, wishFor(2), eng.seen)
+				order, hold := successor.NextOrder(now, 2, "t", target, wishFor(2), eng.state)
 				if hold == "" {
 					eng.obey(order, 0)
 				}
 			}
 			Expect(eng.obey(late, now.Sub(start))).To(BeFalse())
-			Expect(eng.seen.Version).To(Equal(wishFor(2).Version))
+			Expect(eng.state.Version).To(Equal(wishFor(2).Version))
 		},
 		Entry("by a target that checks the fencing number", checking),
 		Entry("by a target that doesn't, after the order's lifetime", notChecking),
 	)
 
 	// Guards against repeating loads. A load takes minutes and an order's lifetime is
-	// seconds; repeating the order each time would use up the weight store's rate that
-	// other targets wait for.
+	// seconds; repeating the order after each lifetime would use up the weight store's
+	// rate that other targets wait for.
 	It("are not repeated while a load is under way", func() {
 		plan := yuccaorder.New(start)
 		orders := 0
@@ -110,6 +110,9 @@
 		Expect(orders).To(Equal(1))
 	})
 
+	// Guards against overloading the weight store: four leaders, each with targets that
+	// all need a load, may together order no more loads than the rate and one load at
+	// once for each leader allow, and must use most of the rate.
 	It("keep to the weight store's rate when every target needs a load", func() {
 		const leaders = 4
 		loads := 0
@@ -133,44 +136,44 @@
 })
 
 // Guards against returning to an older configuration. Two leaders order the same target
-// at once, either may have an older configuration, and orders come late. A target that
-// checks fencing numbers must never accept a lower one, and once a single leader
-// remains, the target must reach the newest wish.
+// at once, either of them may have an older configuration, and orders come late or
+// twice. A target that checks fencing numbers must never accept a lower one, and once a
+// single leader remains, the target must reach the newest wish.
 func TestNewestWishWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		eng := &engine{checks: true}
+		eng := &engine{checksFence: true}
 		target := yuccastate.Target{ChecksFence: true}
 		plans := []*yuccaorder.Planner{yuccaorder.New(start), yuccaorder.New(start)}
-		var late []yuccaorder.Order
+		var sent []yuccaorder.Order
 		now := start
 		highest := yuccaid.ConfigNumber(0)
 		for range rapid.IntRange(10, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap")) * time.Millisecond)
 			number := yuccaid.ConfigNumber(rapid.IntRange(1, 5).Draw(t, "number"))
 			plan := plans[rapid.IntRange(0, 1).Draw(t, "leader")]
-			order, hold := plan.NextOrder(now, number, "t", target, wishFor(number), eng.seen)
+			order, hold := plan.NextOrder(now, number, "t", target, wishFor(number), eng.state)
 			if hold == "" {
-				late = append(late, order)
+				sent = append(sent, order)
 			}
-			if len(late) == 0 || !rapid.Bool().Draw(t, "deliver") {
+			if len(sent) == 0 || !rapid.Bool().Draw(t, "deliver") {
 				continue
 			}
-			order = late[rapid.IntRange(0, len(late)-1).Draw(t, "which")]
+			order = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "which")]
 			if eng.obey(order, 0) && order.Fence < highest {
 				t.Fatalf("fencing number fell from %d to %d", highest, order.Fence)
 			}
-			highest = max(highest, eng.seen.Fence)
+			highest = max(highest, eng.state.Fence)
 		}
-		last := yuccaorder.New(now)
+		remaining := yuccaorder.New(now)
 		for range 200 {
 			now = now.Add(time.Second)
-			order, hold := last.NextOrder(now, 6, "t", target, wishFor(6), eng.seen)
+			order, hold := remaining.NextOrder(now, 6, "t", target, wishFor(6), eng.state)
 			if hold == "" {
 				eng.obey(order, 0)
 			}
 		}
-		if eng.seen.Version != wishFor(6).Version || eng.seen.Role != "decode" {
-			t.Fatalf("final state is %+v", eng.seen)
+		if eng.state.Version != wishFor(6).Version || eng.state.Role != "decode" {
+			t.Fatalf("final state is %+v: want the wish of configuration 6", eng.state)
 		}
 	})
 }
