--- a/core/yuccapack/check.go
+++ b/core/yuccapack/check.go
@@ -11,7 +11,8 @@
 const maxDepth = 32
 
 var (
-	// ErrLength means that a value announces more bytes or items than follow it.
+	// ErrLength means that a value announces more bytes or items than follow its
+	// header, or that a value is missing.
 	ErrLength = errors.New("a length exceeds the bytes that follow: send the value again")
 	// ErrTrailing means that bytes follow the value.
 	ErrTrailing = errors.New("bytes follow the value: send one value only")
@@ -25,7 +26,7 @@
 // refuses a value that is truncated, followed by further bytes or nested too deep,
 // before a decoder allocates memory for a length that the value announces.
 func Check(body []byte) error {
-	var remaining [maxDepth]uint64
+	var remaining [maxDepth]uint64 // values still to be read, by depth
 	depth := 0
 	remaining[0] = 1
 	for {
@@ -36,7 +37,7 @@
 			depth--
 		}
 		remaining[depth]--
-		size, items, err := header(body)
+		size, items, err := readHeader(body)
 		if err != nil {
 			return err
 		}
@@ -52,6 +53,7 @@
 	}
 }
 
+// checkEnd refuses bytes after the value.
 func checkEnd(rest []byte) error {
 	if len(rest) > 0 {
 		return ErrTrailing
@@ -70,95 +72,111 @@
 
 // layouts holds the layouts of the type codes from 0xc0 to 0xdf.
 var layouts = [...]layout{
+	// 0xc0 to 0xc3: nil, an unused code, false, true
 	{},
 	{},
 	{},
-	{}, // nil, unused, false, true
+	{},
+	// 0xc4 to 0xc6: binary
 	{1, 0, 0},
 	{2, 0, 0},
-	{4, 0, 0}, // binary
+	{4, 0, 0},
+	// 0xc7 to 0xc9: extension; its type byte is the further byte
 	{1, 1, 0},
 	{2, 1, 0},
-	{4, 1, 0}, // extension
+	{4, 1, 0},
+	// 0xca and 0xcb: floats
 	{0, 4, 0},
-	{0, 8, 0}, // floats
+	{0, 8, 0},
+	// 0xcc to 0xcf: unsigned integers
 	{0, 1, 0},
 	{0, 2, 0},
 	{0, 4, 0},
-	{0, 8, 0}, // unsigned
+	{0, 8, 0},
+	// 0xd0 to 0xd3: signed integers
 	{0, 1, 0},
 	{0, 2, 0},
 	{0, 4, 0},
-	{0, 8, 0}, // signed
+	{0, 8, 0},
+	// 0xd4 to 0xd8: extensions of fixed size, with their type byte
 	{0, 2, 0},
 	{0, 3, 0},
 	{0, 5, 0},
 	{0, 9, 0},
-	{0, 17, 0}, // fixed extension
+	{0, 17, 0},
+	// 0xd9 to 0xdb: string
 	{1, 0, 0},
 	{2, 0, 0},
-	{4, 0, 0}, // string
+	{4, 0, 0},
+	// 0xdc and 0xdd: array
 	{2, 0, 1},
-	{4, 0, 1}, // array
+	{4, 0, 1},
+	// 0xde and 0xdf: map, with a key and a value for each item
 	{2, 0, 2},
-	{4, 0, 2}, // map
+	{4, 0, 2},
 }
 
+// Type codes, each the first of its range unless its name says otherwise. Codes below
+// fixMap and above lastLayoutCode are small integers. countMask and lengthMask select
+// the bits of a code that hold the number of items and the length in bytes.
 const (
-	firstLayout = 0xc0
-	unusedCode  = 0xc1
-	lastLayout  = 0xdf
-	fixMap      = 0x80
-	fixArray    = 0x90
-	fixString   = 0xa0
-	countMask   = 0x0f
-	lengthMask  = 0x1f
+	firstLayoutCode = 0xc0
+	unusedCode      = 0xc1
+	lastLayoutCode  = 0xdf
+	fixMap          = 0x80
+	fixArray        = 0x90
+	fixString       = 0xa0
+	countMask       = 0x0f
+	lengthMask      = 0x1f
 )
 
-// header returns how many bytes of body the value itself takes, and how many values are
-// nested directly inside it.
-func header(body []byte) (size int, items uint64, err error) {
+// readHeader reads the type code and length at the start of body. It returns how many
+// bytes the value takes without the values nested inside it, and how many are nested
+// directly.
+func readHeader(body []byte) (size int, items uint64, err error) {
 	if len(body) == 0 {
 		return 0, 0, ErrLength
 	}
 	code := body[0]
 	switch {
-	case code < fixMap, code > lastLayout:
+	case code < fixMap, code > lastLayoutCode:
 		return 1, 0, nil
 	case code < fixArray:
 		return 1, 2 * uint64(code&countMask), nil
 	case code < fixString:
 		return 1, uint64(code & countMask), nil
-	case code < firstLayout:
-		return bounded(body, 1+uint64(code&lengthMask), 0)
+	case code < firstLayoutCode:
+		return checkBounds(body, 1+uint64(code&lengthMask), 0)
 	case code == unusedCode:
 		return 0, 0, ErrInvalidCode
 	}
-	return layoutHeader(body, layouts[code-firstLayout])
+	return readLayoutHeader(body, layouts[code-firstLayoutCode])
 }
 
-func layoutHeader(body []byte, lay layout) (size int, items uint64, err error) {
+// readLayoutHeader is readHeader for a type code that has a layout.
+func readLayoutHeader(body []byte, lay layout) (size int, items uint64, err error) {
 	headerBytes := 1 + uint64(lay.lengthBytes)
 	if uint64(len(body)) < headerBytes {
 		return 0, 0, ErrLength
 	}
-	count := bigEndian(body[1:headerBytes])
+	count := decodeBigEndian(body[1:headerBytes])
 	if lay.perItem == 0 {
-		return bounded(body, headerBytes+lay.fixed+count, 0)
+		return checkBounds(body, headerBytes+lay.fixed+count, 0)
 	}
-	return bounded(body, headerBytes, lay.perItem*count)
+	return checkBounds(body, headerBytes, lay.perItem*count)
 }
 
-// bounded refuses a value that announces more than the body holds; each nested value
-// takes at least a byte.
-func bounded(body []byte, size, items uint64) (int, uint64, error) {
+// checkBounds returns size and items, or refuses a value that announces more than the
+// body holds; each nested value takes at least one byte.
+func checkBounds(body []byte, size, items uint64) (int, uint64, error) {
 	if size+items > uint64(len(body)) {
 		return 0, 0, ErrLength
 	}
 	return int(size), items, nil
 }
 
-func bigEndian(encoded []byte) uint64 {
+// decodeBigEndian decodes an unsigned integer of at most 8 bytes; no bytes give 0.
+func decodeBigEndian(encoded []byte) uint64 {
 	var wide [8]byte
 	copy(wide[8-len(encoded):], encoded)
 	return binary.BigEndian.Uint64(wide[:])
--- a/core/yuccapack/check_test.go
+++ b/core/yuccapack/check_test.go
@@ -9,9 +9,10 @@
 	"yuccacleat/core/yuccapack"
 )
 
-// Guards against values that announce more than they hold, such as damaged ones: a
-// decoder would allocate memory for the announced length, and a few bytes could end the
-// process.
+// Guards against values that announce more bytes or items than they hold, because they
+// are damaged or hostile: a decoder would allocate memory for the announced length, and
+// a value of a few bytes could end the process. Check must refuse them, and the decoder
+// must survive every value that Check accepts.
 func FuzzCheck(f *testing.F) {
 	for _, value := range []any{1, "text", []int{1, 2}, map[string]int{"a": 1}, nil, 2.5, []byte("x")} {
 		raw, err := msgpack.Marshal(value)
@@ -19,13 +20,13 @@
 			f.Fatal(err)
 		}
 		if err := yuccapack.Check(raw); err != nil {
-			f.Fatalf("%v: %v", value, err)
+			f.Fatalf("Check refused the encoding of %v: %v", value, err)
 		}
 		f.Add(raw)
 	}
 	for _, hostile := range [][]byte{{0xdd, 0xff, 0xff, 0xff, 0xff}, {0xdf, 0xff, 0xff, 0xff, 0xff}, {0xc6, 0xff, 0xff, 0xff, 0xff}, {}} {
 		if !errors.Is(yuccapack.Check(hostile), yuccapack.ErrLength) {
-			f.Fatalf("% x was not refused", hostile)
+			f.Fatalf("Check did not refuse % x with ErrLength", hostile)
 		}
 		f.Add(hostile)
 	}
