--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -156,6 +156,7 @@
 		weight = probeWeight
 	}
 	if placer.plainService {
+		// A call counts as at least 1 ms long, which bounds the rate.
 		state.call.observe(1/max(now.Sub(run.StartedAt).Seconds(), 0.001), weight)
 		state.updateHealth(now)
 		return
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -49,6 +49,7 @@
 		loadAfter.prefillWait += ownPrefill
 		loadAfter.running++
 		loadAfter.decoding++
+		// The request's prompt adds its part to the average over meterSpan.
 		loadAfter.promptShare += ownPrefill.Seconds() / meterSpan.Seconds()
 		if !state.canServe(typical, loadAfter) && state.canServe(typical, state.loadUpToRank(now, rank)) {
 			return true
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -152,7 +152,7 @@
 	return 1 + state.interference.crowding*n/state.slots()
 }
 
-// seconds converts a number of seconds.
+// seconds converts a number of seconds to a Duration.
 func seconds(sec float64) time.Duration {
 	return time.Duration(sec * float64(time.Second))
 }
