--- a/cmd/yuccacleat/command_test.go
+++ b/cmd/yuccacleat/command_test.go
@@ -34,12 +34,12 @@
 
 	BeforeEach(func() {
 		dir = GinkgoT().TempDir()
-		first := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), By: "ada"}
+		first := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), Author: "ada"}
 		first.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{"odessa-1": {Region: "permian"}}
 		first.Added.Tiers = map[yuccaid.Tier]yuccastate.Tier{"urgent": {Rank: 0}}
 		state, err := yuccastate.Empty().Apply(first)
 		Expect(err).NotTo(HaveOccurred())
-		second := yuccastate.Note{Number: 2, Base: state.Digest(), By: "bo"}
+		second := yuccastate.Note{Number: 2, Base: state.Digest(), Author: "bo"}
 		second.Added.Tiers = map[yuccaid.Tier]yuccastate.Tier{"bulk": {Rank: 1}}
 		racing := second
 		racing.Base = yuccastate.Empty().Digest()
--- a/cmd/yuccacleat/config_test.go
+++ b/cmd/yuccacleat/config_test.go
@@ -14,7 +14,7 @@
 
 // reweigh is a note that changes something and disturbs nothing.
 func (fl *fleet) reweigh(weight int) yuccastate.Note {
-	note := yuccastate.Note{By: "test operator"}
+	note := yuccastate.Note{Author: "test operator"}
 	account := fl.state.Accounts["stranger"]
 	account.Weight = weight
 	note.Changed.Accounts = map[yuccaid.Account]yuccastate.Account{"stranger": account}
--- a/cmd/yuccacleat/fleet_test.go
+++ b/cmd/yuccacleat/fleet_test.go
@@ -177,7 +177,7 @@
 }
 
 func (fl *fleet) firstNote() yuccastate.Note {
-	note := yuccastate.Note{By: "test operator"}
+	note := yuccastate.Note{Author: "test operator"}
 	note.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{"odessa-1": {Region: "permian"}}
 	note.Added.Tiers = map[yuccaid.Tier]yuccastate.Tier{"urgent": {Rank: 0}, "normal": {Rank: 1}, "bulk": {Rank: 2}}
 	note.Added.Pools = map[yuccaid.Pool]yuccastate.Pool{
--- a/cmd/yuccacleat/leaving_test.go
+++ b/cmd/yuccacleat/leaving_test.go
@@ -51,7 +51,7 @@
 		Entry("by its own answer", func(fl *fleet, index int) { faults(fl.engines[index], yuccastand.Faults{Leaving: true}) }),
 		Entry("by a note", func(fl *fleet, index int) {
 			target := yuccaid.Target(fmt.Sprintf("engine-%d", index+1))
-			fl.publish(yuccastate.Note{By: "test operator", Withdrawn: yuccastate.Names{Targets: []yuccaid.Target{target}}})
+			fl.publish(yuccastate.Note{Author: "test operator", Withdrawn: yuccastate.Names{Targets: []yuccaid.Target{target}}})
 		}),
 	)
 }
--- a/cmd/yuccacleat/loss_test.go
+++ b/cmd/yuccacleat/loss_test.go
@@ -130,7 +130,7 @@
 		}
 		Eventually(leader.grants).WithTimeout(patience).Should(Equal(granted + 1))
 		Eventually(func(g Gomega) int { return len(leader.status(g).Peers) }).WithTimeout(patience).Should(Equal(len(fl.daemons) - 1))
-		fl.publish(yuccastate.Note{By: "test operator", Withdrawn: yuccastate.Names{Targets: []yuccaid.Target{"narrow-1"}}})
+		fl.publish(yuccastate.Note{Author: "test operator", Withdrawn: yuccastate.Names{Targets: []yuccaid.Target{"narrow-1"}}})
 		Eventually(func(g Gomega) yuccaid.ConfigNumber { return leader.status(g).Number }).WithTimeout(patience).Should(Equal(fl.state.Number))
 		owner.signal(syscall.SIGCONT)
 		fl.settle()
@@ -191,7 +191,7 @@
 
 // narrowNote adds a pool with a single engine that runs one request at a time.
 func (fl *fleet) narrowNote(address string) yuccastate.Note {
-	note := yuccastate.Note{By: "test operator"}
+	note := yuccastate.Note{Author: "test operator"}
 	note.Added.Pools = map[yuccaid.Pool]yuccastate.Pool{"narrow": fl.state.Pools["draft"]}
 	note.Added.Targets = map[yuccaid.Target]yuccastate.Target{
 		"narrow-1": {Pool: "narrow", Centre: "odessa-1", VM: "vm-narrow", Address: address, Slots: 1, Prefill: 2000, Decode: 100},
--- a/cmd/yuccacleat/operations_test.go
+++ b/cmd/yuccacleat/operations_test.go
@@ -24,7 +24,7 @@
 		first := fl.firstNote()
 		first.Number = 1
 		first.Base = yuccastate.Empty().Digest()
-		second := yuccastate.Note{Number: 2, Base: fl.state.Digest(), By: "operator"}
+		second := yuccastate.Note{Number: 2, Base: fl.state.Digest(), Author: "operator"}
 		second.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{"verona-1": {Region: "italy"}}
 		settings, err := os.ReadFile(filepath.Join(fl.dir, "entry-1.yaml"))
 		Expect(err).NotTo(HaveOccurred())
--- a/cmd/yuccacleat/process_test.go
+++ b/cmd/yuccacleat/process_test.go
@@ -127,9 +127,9 @@
 // later: orders to targets that don't check them wait for older ones to expire.
 func (fl *fleet) wish(version string) {
 	GinkgoHelper()
-	note := yuccastate.Note{By: "operator"}
+	note := yuccastate.Note{Author: "operator"}
 	pool := fl.state.Pools["draft"]
-	pool.Wish = yuccastate.Wish{Model: "triage-8b", Version: version, Role: "decode"}
+	pool.Setup = yuccastate.EngineSetup{Model: "triage-8b", Version: version, Role: "decode"}
 	note.Changed.Pools = map[yuccaid.Pool]yuccastate.Pool{"draft": pool}
 	fl.publish(note)
 }
@@ -154,7 +154,7 @@
 // apartNote adds a pool whose targets change with each spec, so that what the fleet
 // has learnt of one broken engine tells nothing of the next.
 func (fl *fleet) apartNote() yuccastate.Note {
-	note := yuccastate.Note{By: "test operator"}
+	note := yuccastate.Note{Author: "test operator"}
 	note.Added.Pools = map[yuccaid.Pool]yuccastate.Pool{"apart": fl.state.Pools["draft"]}
 	account := fl.state.Accounts["hotline"]
 	account.Pools = append(slices.Clone(account.Pools), "apart")
@@ -165,7 +165,7 @@
 // soleTargets gives that pool new targets in place of its former ones.
 func (fl *fleet) soleTargets(addresses ...string) {
 	GinkgoHelper()
-	note := yuccastate.Note{By: "test operator"}
+	note := yuccastate.Note{Author: "test operator"}
 	for name, target := range fl.state.Targets {
 		if target.Pool == "apart" {
 			note.Withdrawn.Targets = append(note.Withdrawn.Targets, name)
--- a/cmd/yuccacleat/shift_test.go
+++ b/cmd/yuccacleat/shift_test.go
@@ -17,7 +17,7 @@
 		fl := newFleet(1, unlike...)
 		fl.startIn("verona-1", "entry-9")
 		fl.list()
-		note := yuccastate.Note{By: "operator"}
+		note := yuccastate.Note{Author: "operator"}
 		note.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{"verona-1": {Region: "italy"}}
 		fl.publish(note)
 		fl.settle()
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -84,7 +84,7 @@
 
 // Next compares a target with its wish and returns the order to send now, or the
 // reason for sending none.
-func (plan *Planner) Next(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, seen Observed) (Order, Hold) {
+func (plan *Planner) Next(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.EngineSetup, seen Observed) (Order, Hold) {
 	order, differs := step(wish, seen)
 	if !differs {
 		delete(plan.orders, name)
@@ -122,7 +122,7 @@
 
 // step returns the first difference between wish and target. An empty field of the
 // wish asks for nothing, so a target that nobody configured is left as it is.
-func step(wish yuccastate.Wish, seen Observed) (Order, bool) {
+func step(wish yuccastate.EngineSetup, seen Observed) (Order, bool) {
 	if wish.Model != "" && wish.Model != seen.Model {
 		return Order{Kind: Load, Model: wish.Model, Version: wish.Version}, true
 	}
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -9,25 +9,25 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Standing is how a peer's configuration relates to one's own.
-type Standing string
+// PeerRelation is how a peer's configuration relates to one's own.
+type PeerRelation string
 
 const (
-	// StandingSame says that both hold the same.
-	StandingSame Standing = "same"
-	// StandingBehind says that the peer holds a higher number: fetch what Plan says.
-	StandingBehind Standing = "behind"
-	// StandingAhead says that the peer holds a lower number and will fetch.
-	StandingAhead Standing = "ahead"
-	// StandingForked says that the peer accepted another content of the same number.
-	StandingForked Standing = "forked"
+	// RelationSame says that both hold the same.
+	RelationSame PeerRelation = "same"
+	// RelationLocalBehind says that the peer holds a higher number: fetch what Plan says.
+	RelationLocalBehind PeerRelation = "behind"
+	// RelationLocalAhead says that the peer holds a lower number and will fetch.
+	RelationLocalAhead PeerRelation = "ahead"
+	// RelationForked says that the peer accepted another content of the same number.
+	RelationForked PeerRelation = "forked"
 )
 
-// Hear compares with the number and digest in a peer's heartbeat. A fork is an alarm,
+// ComparePeer compares with the number and digest in a peer's heartbeat. A fork is an alarm,
 // told once for each peer and digest.
-func (chain *Chain) Hear(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (Standing, []Entry) {
+func (chain *Chain) ComparePeer(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (PeerRelation, []Entry) {
 	if number > chain.Number() {
-		return StandingBehind, nil
+		return RelationLocalBehind, nil
 	}
 	own := chain.accepted[number].after
 	if number == chain.Number() {
@@ -36,39 +36,39 @@
 	switch {
 	case own != "" && own != digest:
 		err := forked(number, digest, own)
-		return StandingForked, chain.told(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
+		return RelationForked, chain.told(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
 	case number < chain.Number():
-		return StandingAhead, nil
+		return RelationLocalAhead, nil
 	}
-	return StandingSame, nil
+	return RelationSame, nil
 }
 
 func forked(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
 	return refuse(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
 }
 
-// Plan is what to fetch in order to reach a peer's number.
-type Plan struct {
+// FetchPlan is what to fetch in order to reach a peer's number.
+type FetchPlan struct {
 	Notes    []yuccaid.ConfigNumber
 	Snapshot bool
 }
 
-// Plan says what to fetch from a peer that holds the number: the missing notes, or a
+// PlanFetch says what to fetch from a peer that holds the number: the missing notes, or a
 // snapshot if they are too many. If a note that was planned is refused, the plan after
 // it is a snapshot too: after a fork the peer's chain went on from another content, so
 // its notes can never fit here. A note that the platform alone published and that is
 // wrong for everybody doesn't count: mending it would else cost each daemon of the
 // fleet a snapshot. A peer that no longer has a note's text sends its snapshot.
-func (chain *Chain) Plan(number yuccaid.ConfigNumber) Plan {
+func (chain *Chain) PlanFetch(number yuccaid.ConfigNumber) FetchPlan {
 	next := chain.Number() + 1
 	if number < next {
-		return Plan{}
+		return FetchPlan{}
 	}
 	if number-chain.Number() > keptNotes || chain.barred == next {
-		return Plan{Snapshot: true}
+		return FetchPlan{Snapshot: true}
 	}
 	chain.asked = next
-	return Plan{Notes: chain.missingUpTo(number)}
+	return FetchPlan{Notes: chain.missingUpTo(number)}
 }
 
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -62,7 +62,7 @@
 	state    *State
 	digest   yuccaid.Digest
 	accepted map[yuccaid.ConfigNumber]link
-	held     map[yuccaid.ConfigNumber]Published
+	held     map[yuccaid.ConfigNumber]PublishedNote
 	asked    yuccaid.ConfigNumber // the next note, once Plan asked for it
 	barred   yuccaid.ConfigNumber // the next note, once it came as asked for and was refused
 	reported map[report]bool
@@ -93,7 +93,7 @@
 		state:    empty,
 		digest:   empty.Digest(),
 		accepted: map[yuccaid.ConfigNumber]link{},
-		held:     map[yuccaid.ConfigNumber]Published{},
+		held:     map[yuccaid.ConfigNumber]PublishedNote{},
 		reported: map[report]bool{},
 	}
 }
@@ -128,11 +128,11 @@
 // Offer takes a note from the platform or a peer, under the platform's key. It may
 // come late, twice or out of order. The error says why the note was not accepted.
 func (chain *Chain) Offer(now time.Time, key string, raw []byte) (Verdict, error) {
-	return chain.Take(now, ReadNote(key, raw))
+	return chain.OfferPublished(now, ReadNote(key, raw))
 }
 
-// Take is Offer for a note that was read before.
-func (chain *Chain) Take(now time.Time, pub Published) (Verdict, error) {
+// OfferPublished is Offer for a note that was read before.
+func (chain *Chain) OfferPublished(now time.Time, pub PublishedNote) (Verdict, error) {
 	switch {
 	case pub.number == 0:
 		return chain.refused(now, pub, pub.err)
@@ -150,7 +150,7 @@
 }
 
 // next judges the note that follows the accepted one.
-func (chain *Chain) next(now time.Time, pub Published) (Verdict, error) {
+func (chain *Chain) next(now time.Time, pub PublishedNote) (Verdict, error) {
 	if pub.err != nil {
 		return chain.refused(now, pub, pub.err)
 	}
@@ -158,7 +158,7 @@
 	if err != nil {
 		return chain.refused(now, pub, err)
 	}
-	entry := chain.move(now, EntryAccepted, pub.note.By, after)
+	entry := chain.move(now, EntryAccepted, pub.note.Author, after)
 	chain.accepted[pub.number] = link{raw: pub.raw, content: pub.content, meaning: pub.meaning, after: chain.digest}
 	chain.forget()
 	return Verdict{Kind: VerdictAccepted, Number: pub.number, Entries: []Entry{entry}}, nil
@@ -167,7 +167,7 @@
 // past judges a note whose number is accepted already. Another layout of the same
 // meaning is harmless. Another meaning is an alarm: daemons that start now would read
 // it in place of what the fleet runs on.
-func (chain *Chain) past(now time.Time, pub Published) (Verdict, error) {
+func (chain *Chain) past(now time.Time, pub PublishedNote) (Verdict, error) {
 	kept := chain.accepted[pub.number]
 	if kept.meaning == "" {
 		return Verdict{Kind: VerdictOld, Number: pub.number}, nil
@@ -177,15 +177,15 @@
 	}
 	remedy := "publish the accepted content again and the change as a new note"
 	alarm := refuse(pub.number, ErrContentChanged, NoteKey(pub.number), remedy, "holds another note than the accepted one")
-	entries := chain.told(now, EntryAlarm, pub.number, pub.note.By, pub.content, alarm)
+	entries := chain.told(now, EntryAlarm, pub.number, pub.note.Author, pub.content, alarm)
 	return Verdict{Kind: VerdictAlarm, Number: pub.number, Entries: entries}, alarm
 }
 
-func (chain *Chain) refused(now time.Time, pub Published, err error) (Verdict, error) {
+func (chain *Chain) refused(now time.Time, pub PublishedNote, err error) (Verdict, error) {
 	if pub.number > 0 && pub.number == chain.asked {
 		chain.barred = pub.number
 	}
-	entries := chain.told(now, EntryRefused, pub.number, pub.note.By, pub.content, err)
+	entries := chain.told(now, EntryRefused, pub.number, pub.note.Author, pub.content, err)
 	return Verdict{Kind: VerdictRefused, Number: pub.number, Entries: entries}, err
 }
 
@@ -195,7 +195,7 @@
 	for {
 		number := chain.Number() + 1
 		waiting, found := chain.held[number]
-		maps.DeleteFunc(chain.held, func(held yuccaid.ConfigNumber, _ Published) bool { return held <= number })
+		maps.DeleteFunc(chain.held, func(held yuccaid.ConfigNumber, _ PublishedNote) bool { return held <= number })
 		if !found {
 			return entries
 		}
@@ -209,7 +209,7 @@
 
 // hold keeps a note for later, the lowest numbers first if there is not room for all.
 // What is dropped can be fetched again: Plan asks for it.
-func (chain *Chain) hold(pub Published) {
+func (chain *Chain) hold(pub PublishedNote) {
 	chain.held[pub.number] = pub
 	for len(chain.held) > heldNotes || chain.heldSize() > heldBytes {
 		delete(chain.held, slices.Max(slices.Collect(maps.Keys(chain.held))))
--- a/core/yuccastate/chain_test.go
+++ b/core/yuccastate/chain_test.go
@@ -61,7 +61,7 @@
 			Expect(must(chain, yuccastate.NoteKey(number), raw).Kind).To(Equal(yuccastate.VerdictHeld))
 		}
 		Expect(chain.Missing()).To(Equal([]yuccaid.ConfigNumber{1}))
-		Expect(chain.Plan(5).Notes).To(Equal([]yuccaid.ConfigNumber{1, 5}))
+		Expect(chain.PlanFetch(5).Notes).To(Equal([]yuccaid.ConfigNumber{1, 5}))
 		raw, _ := source.Note(1)
 		Expect(must(chain, yuccastate.NoteKey(1), raw).Entries).To(HaveLen(4))
 		Expect(chain.Digest()).To(Equal(source.Digest()))
@@ -81,8 +81,8 @@
 		}
 		Expect(chain.Number()).To(Equal(yuccaid.ConfigNumber(3)))
 		Expect(len(chain.Missing())).To(BeNumerically("<=", 64))
-		Expect(chain.Plan(chain.Number() + 1000)).To(Equal(yuccastate.Plan{Snapshot: true}))
-		Expect(chain.Plan(chain.Number())).To(Equal(yuccastate.Plan{}))
+		Expect(chain.PlanFetch(chain.Number() + 1000)).To(Equal(yuccastate.FetchPlan{Snapshot: true}))
+		Expect(chain.PlanFetch(chain.Number())).To(Equal(yuccastate.FetchPlan{}))
 	})
 
 	It("raises an alarm once when the content of an accepted key changes", func() {
@@ -117,7 +117,7 @@
 		Expect(verdict.Entries[0].Reason).To(Equal("wrong base"))
 		Expect(verdict.Entries[0].By).To(Equal("anna"))
 		Expect(verdict.Entries[0].After).To(Equal(verdict.Entries[0].Before))
-		Expect(chain.Plan(3).Snapshot).To(BeFalse(), "what is wrong for all needs no snapshot")
+		Expect(chain.PlanFetch(3).Snapshot).To(BeFalse(), "what is wrong for all needs no snapshot")
 		verdict, _ = chain.Offer(noon, yuccastate.NoteKey(3), late)
 		Expect(verdict.Entries).To(BeEmpty())
 		key, mended := published(chain.State(), weigh(9))
@@ -165,11 +165,11 @@
 		must(west, key, second)
 		kept := west.Digest()
 		for range 2 {
-			standing, entries := west.Hear(noon, "east-1", east.Number(), east.Digest())
-			Expect(standing).To(Equal(yuccastate.StandingForked))
+			standing, entries := west.ComparePeer(noon, "east-1", east.Number(), east.Digest())
+			Expect(standing).To(Equal(yuccastate.RelationForked))
 			Expect(len(entries)).To(BeNumerically("<=", 1))
 		}
-		_, entries := east.Hear(noon, "west-1", west.Number(), west.Digest())
+		_, entries := east.ComparePeer(noon, "west-1", west.Number(), west.Digest())
 		Expect(entries).To(HaveExactElements(HaveField("Kind", yuccastate.EntryAlarm)))
 		verdict, err := west.Adopt(noon, "east-1", east.State(), east.Digest())
 		Expect(err).To(MatchError(yuccastate.ErrForked))
@@ -178,12 +178,12 @@
 
 		key, third := published(east.State(), weigh(5))
 		must(east, key, third)
-		standing, _ := east.Hear(noon, "west-1", west.Number(), west.Digest())
-		Expect(standing).To(Equal(yuccastate.StandingForked), "also when the other stays behind")
-		Expect(west.Plan(3)).To(Equal(yuccastate.Plan{Notes: []yuccaid.ConfigNumber{3}}))
+		standing, _ := east.ComparePeer(noon, "west-1", west.Number(), west.Digest())
+		Expect(standing).To(Equal(yuccastate.RelationForked), "also when the other stays behind")
+		Expect(west.PlanFetch(3)).To(Equal(yuccastate.FetchPlan{Notes: []yuccaid.ConfigNumber{3}}))
 		_, err = west.Offer(noon, key, third)
 		Expect(err).To(MatchError(yuccastate.ErrBase))
-		Expect(west.Plan(3)).To(Equal(yuccastate.Plan{Snapshot: true}))
+		Expect(west.PlanFetch(3)).To(Equal(yuccastate.FetchPlan{Snapshot: true}))
 		verdict, err = west.Adopt(noon, "east-1", east.State(), east.Digest())
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict.Entries).To(ConsistOf(yuccastate.Entry{
@@ -207,12 +207,12 @@
 		_, err = chain.Adopt(noon, "peer", newer.State(), old.Digest())
 		Expect(err).To(MatchError(yuccastate.ErrDigest))
 		Expect(chain.Digest()).To(Equal(before))
-		standing, _ := chain.Hear(noon, "peer", newer.Number(), newer.Digest())
-		Expect(standing).To(Equal(yuccastate.StandingBehind))
-		standing, _ = newer.Hear(noon, "chain", chain.Number(), chain.Digest())
-		Expect(standing).To(Equal(yuccastate.StandingAhead))
-		standing, _ = chain.Hear(noon, "twin", chain.Number(), chain.Digest())
-		Expect(standing).To(Equal(yuccastate.StandingSame))
+		standing, _ := chain.ComparePeer(noon, "peer", newer.Number(), newer.Digest())
+		Expect(standing).To(Equal(yuccastate.RelationLocalBehind))
+		standing, _ = newer.ComparePeer(noon, "chain", chain.Number(), chain.Digest())
+		Expect(standing).To(Equal(yuccastate.RelationLocalAhead))
+		standing, _ = chain.ComparePeer(noon, "twin", chain.Number(), chain.Digest())
+		Expect(standing).To(Equal(yuccastate.RelationSame))
 	})
 
 	It("go on from a snapshot with the notes that waited", func() {
--- a/core/yuccastate/check.go
+++ b/core/yuccastate/check.go
@@ -99,12 +99,12 @@
 	}
 	inRange := pool.LongestRun > 0 && pool.LongestRun <= longestRunLimit
 	run.expect(inRange, key+".longestRun", "write a duration up to "+longestRunLimit.String(), "is %s", pool.LongestRun)
-	run.checkWish(key+".wish", pool.Wish)
-	wishes := pool.Wish.Model != "" || len(pool.Wish.Adapters) > 0
+	run.checkWish(key+".wish", pool.Setup)
+	wishes := pool.Setup.Model != "" || len(pool.Setup.Adapters) > 0
 	run.expect(pool.Kind != PoolService || !wishes, key+".wish", "leave models and adapters out, or make it a model pool", "asks a plain service to load a model")
 }
 
-func (run *fold) checkWish(key string, wish Wish) {
+func (run *fold) checkWish(key string, wish EngineSetup) {
 	run.expect(validWord(string(wish.Model)), key+".model", wordRemedy(), "is %q", wish.Model)
 	run.expect(validWord(wish.Version), key+".version", wordRemedy(), "is %q", wish.Version)
 	run.expect(validWord(wish.Role), key+".role", wordRemedy(), "is %q", wish.Role)
@@ -126,7 +126,7 @@
 		run.expect(tgt.Prefill != 0, key+".prefill", "write the engine's prompt tokens a second", "is 0 in a model pool")
 		run.expect(tgt.Decode != 0, key+".decode", "write the engine's answer tokens a second", "is 0 in a model pool")
 	}
-	run.checkWish(key+".wish", tgt.Wish)
+	run.checkWish(key+".wish", tgt.Setup)
 }
 
 func (run *fold) checkAccount(key string, acc Account) {
--- a/core/yuccastate/clean.go
+++ b/core/yuccastate/clean.go
@@ -14,19 +14,19 @@
 }
 
 func (tgt Target) clean() Target {
-	tgt.Wish = tgt.Wish.clean()
+	tgt.Setup = tgt.Setup.clean()
 	return tgt
 }
 
 func (pool Pool) clean() Pool {
-	pool.Wish = pool.Wish.clean()
+	pool.Setup = pool.Setup.clean()
 	if len(pool.Operations) == 0 {
 		pool.Operations = nil
 	}
 	return pool
 }
 
-func (wish Wish) clean() Wish {
+func (wish EngineSetup) clean() EngineSetup {
 	wish.Adapters = cleanSet(wish.Adapters)
 	return wish
 }
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -30,8 +30,8 @@
 		return nil, note.locate(refuse(note.Number, ErrBase, "base", remedy, "is %q", note.Base))
 	}
 	next, problems := s.fold(note)
-	if !validBy(note.By) {
-		problems = append(problems, badValue("by", "say who publishes, in up to 100 printable characters", "is %q", note.By))
+	if !validBy(note.Author) {
+		problems = append(problems, badValue("by", "say who publishes, in up to 100 printable characters", "is %q", note.Author))
 	}
 	if len(problems) > 0 {
 		return nil, note.locate(&Refusal{Number: note.Number, Problems: problems})
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -85,17 +85,17 @@
 // exchange lets one daemon hear another and fetch what it lacks.
 func (fleet *fleet) exchange(t *rapid.T, dmn, peer *daemon) {
 	number, digest := peer.chain.Number(), peer.chain.Digest()
-	standing, entries := dmn.chain.Hear(noon, peer.name, number, digest)
+	standing, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
 	dmn.audit(t, entries)
 	if number == dmn.chain.Number() && digest != dmn.chain.Digest() {
-		if standing != yuccastate.StandingForked || !dmn.alarms[number] {
+		if standing != yuccastate.RelationForked || !dmn.alarms[number] {
 			t.Fatalf("%s and %s differ at %d without alarm", dmn.name, peer.name, number)
 		}
 		if !fleet.contested {
 			t.Fatalf("a fork without a key that was overwritten")
 		}
 	}
-	plan := dmn.chain.Plan(number)
+	plan := dmn.chain.PlanFetch(number)
 	for _, missing := range plan.Notes {
 		raw, kept := peer.chain.Note(missing)
 		plan.Snapshot = plan.Snapshot || !kept
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -19,7 +19,7 @@
 type Note struct {
 	Number    yuccaid.ConfigNumber `json:"number"`
 	Base      yuccaid.Digest       `json:"base"`
-	By        string               `json:"by"`
+	Author    string               `json:"by"`
 	Added     Objects              `json:"added,omitzero"`
 	Changed   Objects              `json:"changed,omitzero"`
 	Withdrawn Names                `json:"withdrawn,omitzero"`
@@ -100,5 +100,5 @@
 
 // String names the note in logs.
 func (note Note) String() string {
-	return fmt.Sprintf("note %d by %s", note.Number, note.By)
+	return fmt.Sprintf("note %d by %s", note.Number, note.Author)
 }
--- a/core/yuccastate/note_test.go
+++ b/core/yuccastate/note_test.go
@@ -21,7 +21,7 @@
 		Expect(back.Digest()).To(Equal(note.Digest()))
 		other := parsed(founded(), string(read("second.yaml"))+"# another layout\n")
 		Expect(other.Digest()).To(Equal(note.Digest()))
-		other.By = "carla"
+		other.Author = "carla"
 		Expect(other.Digest()).NotTo(Equal(note.Digest()))
 	})
 
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -59,11 +59,11 @@
 	Kind       PoolKind      `json:"kind,omitempty"`
 	Operations Operations    `json:"operations,omitempty"`
 	LongestRun time.Duration `json:"longestRun,omitempty"`
-	Wish       Wish          `json:"wish,omitzero"`
+	Setup      EngineSetup   `json:"wish,omitzero"`
 }
 
-// Wish is what an engine shall have loaded; an empty field wishes nothing.
-type Wish struct {
+// EngineSetup is what an engine shall have loaded; an empty field wishes nothing.
+type EngineSetup struct {
 	Model    yuccaid.Model   `json:"model,omitempty"`
 	Version  string          `json:"version,omitempty"`
 	Adapters []yuccaid.Model `json:"adapters,omitempty"`
@@ -81,7 +81,7 @@
 	Decode      yuccaid.TokenRate `json:"decode,omitempty"`
 	Cache       yuccaid.Tokens    `json:"cache,omitempty"`
 	ChecksFence bool              `json:"checksFence,omitempty"`
-	Wish        Wish              `json:"wish,omitzero"`
+	Setup       EngineSetup       `json:"wish,omitzero"`
 }
 
 // Limits bounds what a client account may use; a field of 0 sets no bound.
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -13,7 +13,7 @@
 
 // drawNote returns a note of a few edits to a small world, many of them wrong.
 func drawNote(t *rapid.T, on *yuccastate.State) yuccastate.Note {
-	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), By: rapid.SampledFrom([]string{"anna", "bruno"}).Draw(t, "by")}
+	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), Author: rapid.SampledFrom([]string{"anna", "bruno"}).Draw(t, "by")}
 	note.Added.Pools, note.Changed.Pools = map[yuccaid.Pool]yuccastate.Pool{}, map[yuccaid.Pool]yuccastate.Pool{}
 	note.Added.Targets, note.Changed.Targets = map[yuccaid.Target]yuccastate.Target{}, map[yuccaid.Target]yuccastate.Target{}
 	note.Added.Accounts, note.Changed.Accounts = map[yuccaid.Account]yuccastate.Account{}, map[yuccaid.Account]yuccastate.Account{}
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -7,12 +7,12 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Published is a note as it was found under a key, read but not yet judged.
+// PublishedNote is a note as it was found under a key, read but not yet judged.
 //
 // Reading a note of a megabyte takes some hundred milliseconds. Done where the chain
 // is, it would hold up every decision of the daemon for as long, so ReadNote can run
 // on another goroutine and only Take needs the chain.
-type Published struct {
+type PublishedNote struct {
 	number  yuccaid.ConfigNumber
 	raw     []byte
 	content sum
@@ -22,9 +22,9 @@
 }
 
 // ReadNote reads a note; what is wrong with it comes out when a chain takes it.
-func ReadNote(key string, raw []byte) Published {
+func ReadNote(key string, raw []byte) PublishedNote {
 	number, err := ParseNoteKey(key)
-	pub := Published{number: number, raw: slices.Clone(raw), content: sha256.Sum256(raw)}
+	pub := PublishedNote{number: number, raw: slices.Clone(raw), content: sha256.Sum256(raw)}
 	if err != nil {
 		pub.err = err
 		return pub
--- a/core/yuccastate/state.go
+++ b/core/yuccastate/state.go
@@ -80,11 +80,11 @@
 	return len(account.Targets) == 0 || slices.Contains(account.Targets, tgt)
 }
 
-// WishOf returns what the target shall have loaded: its own wish where it has one,
+// SetupOf returns what the target shall have loaded: its own wish where it has one,
 // else its pool's, field by field.
-func (s *State) WishOf(tgt yuccaid.Target) Wish {
+func (s *State) SetupOf(tgt yuccaid.Target) EngineSetup {
 	target := s.Targets[tgt]
-	wish, pool := target.Wish, s.Pools[target.Pool].Wish
+	wish, pool := target.Setup, s.Pools[target.Pool].Setup
 	if wish.Model == "" {
 		wish.Model = pool.Model
 	}
--- a/core/yuccastate/suite_test.go
+++ b/core/yuccastate/suite_test.go
@@ -46,8 +46,8 @@
 		panic(err)
 	}
 	note.Number, note.Base = on.Number+1, on.Digest()
-	if note.By == "" {
-		note.By = "anna"
+	if note.Author == "" {
+		note.Author = "anna"
 	}
 	return note
 }
--- a/io/yuccadaemon/config.go
+++ b/io/yuccadaemon/config.go
@@ -32,7 +32,7 @@
 func (d *Daemon) watchNotes(ctx context.Context) {
 	_ = d.platform.Follow(ctx, yuccastate.NotePrefix, func(page yuccaplat.Page) {
 		d.metrics.platformHeard.Store(time.Now().UnixNano())
-		notes := make([]yuccastate.Published, 0, len(page.Entries))
+		notes := make([]yuccastate.PublishedNote, 0, len(page.Entries))
 		for _, entry := range page.Entries {
 			notes = append(notes, yuccastate.ReadNote(entry.Key, entry.Value))
 		}
@@ -55,9 +55,9 @@
 }
 
 // takeNote offers a published note to the chain and puts an accepted one in force.
-func (d *Daemon) takeNote(now time.Time, note yuccastate.Published, source string) {
+func (d *Daemon) takeNote(now time.Time, note yuccastate.PublishedNote, source string) {
 	before := d.chain.State()
-	verdict, _ := d.chain.Take(now, note)
+	verdict, _ := d.chain.OfferPublished(now, note)
 	d.auditChain(verdict.Entries, source)
 	d.adopt(now, before)
 }
@@ -99,7 +99,7 @@
 		return
 	}
 	d.pulled = now
-	plan := d.chain.Plan(source.Number)
+	plan := d.chain.PlanFetch(source.Number)
 	if len(plan.Notes) == 0 && !plan.Snapshot {
 		return
 	}
@@ -132,7 +132,7 @@
 // readNotes reads a peer's notes on the connection's goroutine: a note of a megabyte
 // takes long enough to hold up every decision of control.
 func (d *Daemon) readNotes(message yuccawire.Notes) {
-	notes := make([]yuccastate.Published, 0, len(message.Notes))
+	notes := make([]yuccastate.PublishedNote, 0, len(message.Notes))
 	for _, note := range message.Notes {
 		notes = append(notes, yuccastate.ReadNote(yuccastate.NoteKey(note.Number), note.Raw))
 	}
--- a/io/yuccadaemon/member.go
+++ b/io/yuccadaemon/member.go
@@ -40,9 +40,9 @@
 		return
 	}
 	d.onChange(now, d.peers.HandleHeartbeat(now, beat))
-	standing, entries := d.chain.Hear(now, from.String(), beat.Number, beat.Digest)
+	standing, entries := d.chain.ComparePeer(now, from.String(), beat.Number, beat.Digest)
 	d.auditChain(entries, "peer "+from.String())
-	if standing == yuccastate.StandingSame {
+	if standing == yuccastate.RelationSame {
 		d.heardOf()
 	}
 }
--- a/io/yuccadaemon/order.go
+++ b/io/yuccadaemon/order.go
@@ -40,7 +40,7 @@
 		return
 	}
 	led.planner.Share(now, yuccaorder.DefaultLoads, d.leadersInView(state))
-	order, hold := led.planner.Next(now, state.Number, name, target, state.WishOf(name), yuccaorder.Observed{
+	order, hold := led.planner.Next(now, state.Number, name, target, state.SetupOf(name), yuccaorder.Observed{
 		Model: seen.Model, Version: seen.Version, Adapters: seen.Adapters, Role: seen.Role, Fence: seen.Fence,
 	})
 	if hold != "" {
--- a/io/yuccademo/fleet.go
+++ b/io/yuccademo/fleet.go
@@ -138,7 +138,7 @@
 }
 
 func (fl *fleet) note() yuccastate.Note {
-	note := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), By: "demo"}
+	note := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), Author: "demo"}
 	note.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{centre: {Region: "permian"}}
 	note.Added.Tiers = map[yuccaid.Tier]yuccastate.Tier{"urgent": {Rank: 0}, "normal": {Rank: 1}, "bulk": {Rank: 2}}
 	note.Added.Pools = map[yuccaid.Pool]yuccastate.Pool{
--- a/io/yuccameasure/config.go
+++ b/io/yuccameasure/config.go
@@ -156,7 +156,7 @@
 }
 
 func policyNote(index int) yuccastate.Note {
-	note := yuccastate.Note{By: account}
+	note := yuccastate.Note{Author: account}
 	note.Changed.Policy = &yuccastate.Policy{GoodputWeight: 1 + float64(index)/1000, WasteWeight: 1}
 	return note
 }
--- a/io/yuccameasure/fleet.go
+++ b/io/yuccameasure/fleet.go
@@ -190,7 +190,7 @@
 }
 
 func (flt *fleet) firstNote() yuccastate.Note {
-	note := yuccastate.Note{By: account}
+	note := yuccastate.Note{Author: account}
 	note.Added.Centres = make(map[yuccaid.Centre]yuccastate.Centre)
 	for centre := range flt.shape.centres {
 		// Regions of three or four data centres, as 14 in 4 regions have.
--- a/io/yuccameasure/state.go
+++ b/io/yuccameasure/state.go
@@ -182,7 +182,7 @@
 
 // smallNote changes one account, as most notes do.
 func smallNote(on *yuccastate.State, index int) yuccastate.Note {
-	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), By: account}
+	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), Author: account}
 	name := accountName(index % len(on.Accounts))
 	changed := on.Accounts[name]
 	changed.Weight = 2 + index
@@ -220,7 +220,7 @@
 )
 
 func frameNote(size scale) yuccastate.Note {
-	note := yuccastate.Note{By: account}
+	note := yuccastate.Note{Author: account}
 	note.Added.Centres = make(map[yuccaid.Centre]yuccastate.Centre)
 	for centre := range aimedCentres {
 		note.Added.Centres[centreName(centre)] = yuccastate.Centre{Region: yuccaid.Region(fmt.Sprint("region-", centre%aimedRegions))}
@@ -231,14 +231,14 @@
 		note.Added.Pools[poolName(model)] = yuccastate.Pool{
 			Kind: yuccastate.PoolModel, LongestRun: runDeadline,
 			Operations: yuccastate.Operations{"generate": {Idempotent: true}},
-			Wish:       yuccastate.Wish{Model: yuccaid.Model(fmt.Sprint("model-", model)), Version: "1.10"},
+			Setup:      yuccastate.EngineSetup{Model: yuccaid.Model(fmt.Sprint("model-", model)), Version: "1.10"},
 		}
 	}
 	return note
 }
 
 func targetNote(size scale) yuccastate.Note {
-	note := yuccastate.Note{By: account}
+	note := yuccastate.Note{Author: account}
 	note.Added.Targets = make(map[yuccaid.Target]yuccastate.Target)
 	for index := range size.targets {
 		note.Added.Targets[targetName(index)] = yuccastate.Target{
@@ -251,7 +251,7 @@
 }
 
 func accountNote(size scale) yuccastate.Note {
-	note := yuccastate.Note{By: account}
+	note := yuccastate.Note{Author: account}
 	note.Added.Accounts = make(map[yuccaid.Account]yuccastate.Account)
 	for index := range size.accounts {
 		note.Added.Accounts[accountName(index)] = yuccastate.Account{
--- a/io/yuccaserve/serve_test.go
+++ b/io/yuccaserve/serve_test.go
@@ -133,7 +133,7 @@
 
 func publish(platform *yuccastand.Platform, engine string) {
 	GinkgoHelper()
-	note := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), By: "test"}
+	note := yuccastate.Note{Number: 1, Base: yuccastate.Empty().Digest(), Author: "test"}
 	note.Added.Centres = map[yuccaid.Centre]yuccastate.Centre{"odessa-1": {Region: "permian"}}
 	note.Added.Tiers = map[yuccaid.Tier]yuccastate.Tier{"urgent": {}}
 	model := yuccastate.Pool{Kind: yuccastate.PoolModel, LongestRun: time.Minute, Operations: yuccastate.Operations{"generate": {Idempotent: true}}}
