--- a/core/yuccastate/yuccayaml/decode.go
+++ b/core/yuccastate/yuccayaml/decode.go
@@ -31,11 +31,11 @@
 	bytesType    = reflect.TypeFor[yuccaid.Bytes]()
 )
 
-// syntaxLine finds the line in a message of the YAML library.
+// syntaxLine matches the line number at the start of the YAML library's error messages.
 var syntaxLine = regexp.MustCompile(`^yaml: line (\d+): `)
 
-// Decode fills the struct that into points to, and returns the line of each key.
-// The error is a Problems with everything that is wrong, not just the first.
+// Decode decodes raw into the struct that into points to, and returns the line of each
+// key. The error is a Problems with all mistakes, not just the first.
 func Decode(raw []byte, into any) (Lines, error) {
 	root, err := parse(raw)
 	if err != nil {
@@ -82,14 +82,14 @@
 	problems Problems
 }
 
-func (dec *decoder) add(kind error, node *yaml.Node, key, remedy, detail string, args ...any) {
+func (dec *decoder) report(kind error, node *yaml.Node, key, remedy, detail string, args ...any) {
 	prob := &Problem{Kind: kind, Line: node.Line, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 	dec.problems = append(dec.problems, prob)
 }
 
 func (dec *decoder) value(node *yaml.Node, into reflect.Value, key string) {
 	if node.Kind == yaml.AliasNode {
-		dec.add(ErrSyntax, node, key, "write the value out", "an alias stands in place of a value")
+		dec.report(ErrSyntax, node, key, "write the value out", "an alias stands in place of a value")
 		return
 	}
 	switch into.Kind() {
@@ -99,7 +99,7 @@
 	case reflect.Struct:
 		dec.object(node, into, key)
 	case reflect.Map:
-		dec.table(node, into, key)
+		dec.mapping(node, into, key)
 	case reflect.Slice:
 		dec.list(node, into, key)
 	default:
@@ -107,27 +107,27 @@
 	}
 }
 
-// pairs calls each for the mapping's keys and reports what is not a mapping, keys
-// that are not plain text and keys that stand twice: of two equal keys a lenient
-// reader takes the last, and the operator who wrote the first never learns of it.
+// pairs calls each for the keys of a mapping. It reports a node that is not a mapping,
+// keys that are not scalars, and duplicate keys: lenient decoders take the last of two
+// equal keys without a message to the operator who wrote the first.
 func (dec *decoder) pairs(node *yaml.Node, key string, each func(name, value *yaml.Node, key string)) {
-	if empty(node) {
+	if isNull(node) {
 		return
 	}
 	if node.Kind != yaml.MappingNode {
-		dec.add(ErrValue, node, key, "write keys and values under it", "holds no keys")
+		dec.report(ErrValue, node, key, "write keys and values under it", "holds no keys")
 		return
 	}
 	seen := map[string]int{}
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		name, value := node.Content[i], node.Content[i+1]
 		if name.Kind != yaml.ScalarNode || name.Value == "" {
-			dec.add(ErrSyntax, name, key, "use plain words as keys", "a key is not plain text")
+			dec.report(ErrSyntax, name, key, "use plain words as keys", "a key is not plain text")
 			continue
 		}
 		path := join(key, name.Value)
 		if first, twice := seen[name.Value]; twice {
-			dec.add(ErrTwice, name, path, "keep one of the two", "stands on line %d already", first)
+			dec.report(ErrTwice, name, path, "keep one of the two", "stands on line %d already", first)
 			continue
 		}
 		seen[name.Value] = name.Line
@@ -141,15 +141,15 @@
 	dec.pairs(node, key, func(name, value *yaml.Node, path string) {
 		at := slices.Index(fields, name.Value)
 		if at < 0 {
-			dec.add(ErrUnknownKey, name, path, "use one of "+strings.Join(known(fields), ", "), "no such key")
+			dec.report(ErrUnknownKey, name, path, "use one of "+strings.Join(nonEmpty(fields), ", "), "no such key")
 			return
 		}
 		dec.value(value, into.Field(at), path)
 	})
 }
 
-func (dec *decoder) table(node *yaml.Node, into reflect.Value, key string) {
-	if empty(node) {
+func (dec *decoder) mapping(node *yaml.Node, into reflect.Value, key string) {
+	if isNull(node) {
 		return
 	}
 	into.Set(reflect.MakeMap(into.Type()))
@@ -161,11 +161,11 @@
 }
 
 func (dec *decoder) list(node *yaml.Node, into reflect.Value, key string) {
-	if empty(node) {
+	if isNull(node) {
 		return
 	}
 	if node.Kind != yaml.SequenceNode {
-		dec.add(ErrValue, node, key, "write [one, two] or one item a line after a hyphen", "is not a list")
+		dec.report(ErrValue, node, key, "write [one, two] or one item a line after a hyphen", "is not a list")
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(node.Content), len(node.Content)))
@@ -178,7 +178,7 @@
 
 func (dec *decoder) scalar(node *yaml.Node, into reflect.Value, key string) {
 	if node.Kind != yaml.ScalarNode || node.Tag == nullTag {
-		dec.add(ErrValue, node, key, "write a single value", "has no value")
+		dec.report(ErrValue, node, key, "write a single value", "has no value")
 		return
 	}
 	if into.Type() == durationType {
@@ -199,7 +199,7 @@
 	case into.Kind() == reflect.Bool:
 		into.SetBool(node.Value == "true")
 		if node.Tag != boolTag || node.Value != "true" && node.Value != "false" {
-			dec.add(ErrValue, node, key, "write true or false", "%q is neither true nor false", node.Value)
+			dec.report(ErrValue, node, key, "write true or false", "%q is neither true nor false", node.Value)
 		}
 	case into.CanInt():
 		number, err := strconv.ParseInt(node.Value, 10, bits)
@@ -223,12 +223,12 @@
 	if err == nil && slices.Contains(tags, node.Tag) {
 		return
 	}
-	united := node.Tag == strTag && strings.ContainsAny(node.Value, "0123456789")
-	if united && !errors.Is(err, strconv.ErrRange) {
-		dec.add(ErrUnit, node, key, "write "+want+" without unit or quotes", "%q is not a bare number", node.Value)
+	hasUnit := node.Tag == strTag && strings.ContainsAny(node.Value, "0123456789")
+	if hasUnit && !errors.Is(err, strconv.ErrRange) {
+		dec.report(ErrUnit, node, key, "write "+want+" without unit or quotes", "%q is not a bare number", node.Value)
 		return
 	}
-	dec.add(ErrValue, node, key, "write "+want, "%q does not fit", node.Value)
+	dec.report(ErrValue, node, key, "write "+want, "%q does not fit", node.Value)
 }
 
 func (dec *decoder) duration(node *yaml.Node, into reflect.Value, key string) {
@@ -239,21 +239,21 @@
 	}
 	remedy := "write a duration such as 30s or 2m"
 	if _, err := strconv.ParseFloat(node.Value, 64); err == nil {
-		dec.add(ErrUnit, node, key, remedy, "%s has no unit", node.Value)
+		dec.report(ErrUnit, node, key, remedy, "%s has no unit", node.Value)
 		return
 	}
-	dec.add(ErrUnit, node, key, remedy, "%q is not a duration", node.Value)
+	dec.report(ErrUnit, node, key, remedy, "%q is not a duration", node.Value)
 }
 
 func (dec *decoder) bytes(node *yaml.Node, into reflect.Value, key string) {
 	size, err := parseBytes(node.Value)
 	if err != nil {
-		dec.add(ErrUnit, node, key, "write a size such as 512B, 64KiB or 4MiB", "%q is not a size", node.Value)
+		dec.report(ErrUnit, node, key, "write a size such as 512B, 64KiB or 4MiB", "%q is not a size", node.Value)
 	}
 	into.SetInt(int64(size))
 }
 
-func empty(node *yaml.Node) bool {
+func isNull(node *yaml.Node) bool {
 	return node.Kind == yaml.ScalarNode && node.Tag == nullTag
 }
 
@@ -264,7 +264,8 @@
 	return key + "." + name
 }
 
-// fieldsOf returns the keys of a struct's fields, in the order of the fields.
+// fieldsOf returns the key of each field of a struct, in order; it is empty for a field
+// without a json tag.
 func fieldsOf(of reflect.Type) []string {
 	names := make([]string, of.NumField())
 	for i := range names {
@@ -273,6 +274,6 @@
 	return names
 }
 
-func known(fields []string) []string {
+func nonEmpty(fields []string) []string {
 	return slices.DeleteFunc(slices.Clone(fields), func(name string) bool { return name == "" })
 }
--- a/core/yuccastate/yuccayaml/doc.go
+++ b/core/yuccastate/yuccayaml/doc.go
@@ -1,10 +1,9 @@
-// Package yuccayaml reads the YAML files that people write for yuccacleat, and
-// tells them about every mistake by line, key and remedy.
+// Package yuccayaml decodes the YAML files that operators write for yuccacleat, and
+// reports every mistake with its line, key and remedy.
 //
-// Decode fills a struct by its json tags. It refuses what a lenient reader would
-// skip in silence: unknown keys, keys that stand twice, durations without a unit,
-// aliases and second documents. Encode writes the same struct back in one stable
-// form, which Decode reads to the same value.
+// Decode fills a struct by its json tags. It refuses what lenient decoders ignore:
+// unknown keys, duplicate keys, durations without a unit, aliases and second documents.
+// Encode writes a struct in a stable form, which Decode decodes to the same value.
 //
 //	var settings struct {
 //		Drain time.Duration `json:"drain"`
--- a/core/yuccastate/yuccayaml/encode.go
+++ b/core/yuccastate/yuccayaml/encode.go
@@ -15,19 +15,19 @@
 
 const indent = 2
 
-// Encode writes a struct in a stable form: fields in their order, maps sorted by
-// key, and no key that may be omitted and whose value is the zero value.
+// Encode returns a struct as YAML in a stable form: fields in the order of the struct,
+// maps sorted by key, and fields tagged omitempty or omitzero left out if they are empty.
 func Encode(from any) []byte {
 	return write(nodeOf(reflect.ValueOf(from)))
 }
 
-// Field is one key of a struct and its value on one line.
+// Field is the key of one field of a struct and its value as YAML on one line.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// Fields writes a struct's fields one by one, as Encode would.
+// Fields returns the fields of a struct that Encode writes, in the same order.
 func Fields(from any) []Field {
 	node := nodeOf(reflect.ValueOf(from))
 	fields := make([]Field, 0, len(node.Content)/2)
@@ -45,7 +45,7 @@
 	writer := yaml.NewEncoder(&out)
 	writer.SetIndent(indent)
 	if err := writer.Encode(node); err != nil {
-		// The nodes are built in this file, so only a mistake here gets there.
+		// All nodes are built in this file, so an error here is a bug in it.
 		panic(fmt.Sprintf("yuccayaml: %v", err))
 	}
 	return out.Bytes()
@@ -53,10 +53,10 @@
 
 func nodeOf(from reflect.Value) *yaml.Node {
 	if from.Type() == durationType {
-		return textNode("", time.Duration(from.Int()).String())
+		return scalarNode("", time.Duration(from.Int()).String())
 	}
 	if from.Type() == bytesType {
-		return textNode("", formatBytes(yuccaid.Bytes(from.Int())))
+		return scalarNode("", formatBytes(yuccaid.Bytes(from.Int())))
 	}
 	switch from.Kind() {
 	case reflect.Pointer:
@@ -64,13 +64,13 @@
 	case reflect.Struct:
 		return objectNode(from)
 	case reflect.Map:
-		return tableNode(from)
+		return mappingNode(from)
 	case reflect.Slice:
 		return listNode(from)
 	case reflect.String:
-		return textNode(strTag, from.String())
+		return scalarNode(strTag, from.String())
 	default:
-		return textNode("", fmt.Sprint(from.Interface()))
+		return scalarNode("", fmt.Sprint(from.Interface()))
 	}
 }
 
@@ -79,20 +79,20 @@
 	for i, name := range fieldsOf(from.Type()) {
 		field := from.Field(i)
 		_, options, _ := strings.Cut(from.Type().Field(i).Tag.Get("json"), ",")
-		if name == "" || options != "" && blank(field) {
+		if name == "" || options != "" && isEmpty(field) {
 			continue
 		}
-		node.Content = append(node.Content, textNode(strTag, name), nodeOf(field))
+		node.Content = append(node.Content, scalarNode(strTag, name), nodeOf(field))
 	}
 	return node
 }
 
-func tableNode(from reflect.Value) *yaml.Node {
+func mappingNode(from reflect.Value) *yaml.Node {
 	node := &yaml.Node{Kind: yaml.MappingNode}
 	keys := from.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
 	for _, key := range keys {
-		node.Content = append(node.Content, textNode(strTag, key.String()), nodeOf(from.MapIndex(key)))
+		node.Content = append(node.Content, scalarNode(strTag, key.String()), nodeOf(from.MapIndex(key)))
 	}
 	return node
 }
@@ -105,15 +105,15 @@
 	return node
 }
 
-func textNode(tag, text string) *yaml.Node {
+func scalarNode(tag, text string) *yaml.Node {
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: tag, Value: text}
 }
 
-func blank(field reflect.Value) bool {
+func isEmpty(field reflect.Value) bool {
 	switch field.Kind() {
 	case reflect.Struct:
 		for i := range field.NumField() {
-			if !blank(field.Field(i)) {
+			if !isEmpty(field.Field(i)) {
 				return false
 			}
 		}
--- a/core/yuccastate/yuccayaml/problem.go
+++ b/core/yuccastate/yuccayaml/problem.go
@@ -9,23 +9,25 @@
 )
 
 var (
-	// ErrSyntax says that a file is not the kind of YAML that is read here.
+	// ErrSyntax means that a file is not valid YAML or uses parts of it that are not
+	// supported, such as aliases.
 	ErrSyntax = errors.New("syntax")
-	// ErrUnknownKey says that a key has no meaning where it stands.
+	// ErrUnknownKey means that a mapping has a key that is not defined for it.
 	ErrUnknownKey = errors.New("unknown key")
-	// ErrTwice says that a key or an item stands twice.
+	// ErrTwice means that a key, an item or a unique value is given twice.
 	ErrTwice = errors.New("given twice")
-	// ErrUnit says that a quantity has no unit or a wrong one.
+	// ErrUnit means that a quantity has no unit, a wrong one or one where none belongs.
 	ErrUnit = errors.New("unit")
-	// ErrValue says that a value is of the wrong form or out of its range.
+	// ErrValue means that a value is of the wrong type or out of range.
 	ErrValue = errors.New("value")
 )
 
-// shownProblems bounds an error's text; a file of another kind altogether would
-// otherwise fill the log with one line for each of its keys.
-const shownProblems = 50
+// maxShownProblems bounds the number of problems in an error's text, because a file of
+// another format would otherwise add a line to the log for each of its keys.
+const maxShownProblems = 50
 
-// Problem is one mistake in a file, with the place and the remedy.
+// Problem is one mistake in a file. Kind is one of the sentinel errors, Key is dotted as
+// in "listen.peer", and Line is 0 if it is unknown.
 type Problem struct {
 	Kind   error
 	Line   int
@@ -34,7 +36,7 @@
 	Remedy string
 }
 
-// Error tells the place, what is wrong and what to do.
+// Error returns the line, the key, the mistake and the remedy.
 func (prob *Problem) Error() string {
 	var text strings.Builder
 	if prob.Line > 0 {
@@ -55,16 +57,16 @@
 	return prob.Kind
 }
 
-// Problems is every mistake that was found in one file.
+// Problems holds all mistakes that were found in one file.
 type Problems []*Problem
 
-// Error lists the problems, one a line.
+// Error returns the problems, one a line, up to maxShownProblems.
 func (probs Problems) Error() string {
 	var lines []string
-	for _, prob := range probs[:min(len(probs), shownProblems)] {
+	for _, prob := range probs[:min(len(probs), maxShownProblems)] {
 		lines = append(lines, prob.Error())
 	}
-	if more := len(probs) - shownProblems; more > 0 {
+	if more := len(probs) - maxShownProblems; more > 0 {
 		lines = append(lines, fmt.Sprintf("and %d more: mend these first", more))
 	}
 	return strings.Join(lines, "\n")
@@ -79,8 +81,8 @@
 	return all
 }
 
-// Sort orders the problems by place, so that the same mistakes read the same on every
-// daemon whatever the order in which its maps were walked.
+// Sort sorts the problems by line and key, so that the error for the same mistakes is the
+// same on every daemon, independent of Go's order of map iteration.
 func (probs Problems) Sort() {
 	slices.SortFunc(probs, func(a, b *Problem) int {
 		return cmp.Or(
@@ -92,7 +94,7 @@
 	})
 }
 
-// Err returns the problems in order as an error, or nil if there are none.
+// Err returns the problems, sorted, as an error, or nil if there are none.
 func (probs Problems) Err() error {
 	if len(probs) == 0 {
 		return nil
@@ -101,11 +103,11 @@
 	return probs
 }
 
-// Lines maps a dotted key such as "listen.peer" to the line on which it stands.
+// Lines holds the line of each dotted key, such as "listen.peer".
 type Lines map[string]int
 
-// Of returns the line of the key or of the nearest key around it, and 0 if neither
-// is known.
+// Of returns the line of the key or, if that is unknown, of the nearest enclosing key; it
+// returns 0 if none is known.
 func (lines Lines) Of(key string) int {
 	for key != "" {
 		if line, ok := lines[key]; ok {
--- a/core/yuccastate/yuccayaml/size.go
+++ b/core/yuccastate/yuccayaml/size.go
@@ -14,7 +14,7 @@
 	bytes yuccaid.Bytes
 }
 
-// sizeUnits go from large to small; B is last since the others end in it.
+// sizeUnits is sorted from large to small; B is last because the other names end in it.
 var sizeUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
 func parseBytes(text string) (yuccaid.Bytes, error) {
--- a/core/yuccastate/yuccayaml/suite_test.go
+++ b/core/yuccastate/yuccayaml/suite_test.go
@@ -19,7 +19,7 @@
 	RunSpecs(t, "yuccayaml")
 }
 
-// sample has a field of every kind that files of this project use.
+// sample has a field of every type that the files of this project use.
 type sample struct {
 	Text  string           `json:"text,omitempty"`
 	Truth bool             `json:"truth,omitempty"`
@@ -38,7 +38,7 @@
 }
 
 var _ = Describe("Decode", func() {
-	DescribeTable("tells line, key and remedy",
+	DescribeTable("reports line, key and remedy",
 		func(text string, kind error, want string) {
 			_, err := yuccayaml.Decode([]byte(text), &sample{})
 			Expect(err).To(MatchError(kind))
@@ -72,14 +72,14 @@
 		Entry("top level list", "- text", yuccayaml.ErrValue, "holds no keys"),
 	)
 
-	It("reads an empty file as nothing said", func() {
+	It("leaves the struct unchanged for an empty file", func() {
 		into := sample{Count: 7}
 		_, err := yuccayaml.Decode([]byte("# later\n"), &into)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(into).To(Equal(sample{Count: 7}))
 	})
 
-	It("bounds the text of an error, not what errors.Is finds", func() {
+	It("bounds the text of an error, but errors.Is finds all problems", func() {
 		text := ""
 		for i := range 70 {
 			text += fmt.Sprintf("key-%d: 1\n", i)
@@ -90,9 +90,9 @@
 	})
 })
 
-// What Encode writes must be read to the same value, whatever the texts look like to
-// YAML: a name such as "no" or "1e3" that came back as something else would give two
-// daemons different digests.
+// TestRoundTrip checks that Decode returns the value that Encode was given, also for texts
+// that YAML could take for another type: if a name such as "no" or "1e3" were decoded to
+// something else, two daemons would compute different digests.
 func TestRoundTrip(t *testing.T) {
 	texts := rapid.OneOf(
 		rapid.SampledFrom([]string{"no", "null", "~", "1e3", "0x1", "a: b", "- a", "'", "\"", "# x", " a ", "a\nb", "<<", "*a", "&a", "!t", "%", "2001-01-01", "="}),
