--- a/core/yuccastate/address.go
+++ b/core/yuccastate/address.go
@@ -12,14 +12,15 @@
 	groups     = 8
 	groupBits  = 16
 	hexBase    = 16
-	// mapped is the group that marks an IPv4 number written as IPv6.
-	mapped = 0xffff
+	// mappedMarker is the sixth group of an IPv4 address mappedMarker to IPv6 (::ffff:a.b.c.d).
+	mappedMarker = 0xffff
 )
 
-// ValidAddress reports whether an address is an IP number that can be dialled and a
-// port, such as 10.0.0.1:8000 or [fd00::1]:8000. Names are refused: looking them up
-// takes time in which the target would have no address. Each address has one accepted
-// spelling, so that one back end can't be listed twice with its slots counted double.
+// ValidAddress reports whether an address consists of an IP address that can be dialled
+// and a port, such as 10.0.0.1:8000 or [fd00::1]:8000. Host names are refused, because
+// the target would have no address until they are resolved. Each address has only one
+// accepted spelling, so that one target can't be listed twice, with its slots counted
+// twice.
 func ValidAddress(address string) bool {
 	at := strings.LastIndexByte(address, ':')
 	if at < 0 || !validDecimal(address[at+1:], portLimit) || address[at+1:] == "0" {
@@ -51,7 +52,7 @@
 	if !ok || number == [groups]uint16{} {
 		return false
 	}
-	if [groups]uint16{5: number[5], 6: number[6], 7: number[7]} == number && number[5] == mapped {
+	if [groups]uint16{5: number[5], 6: number[6], 7: number[7]} == number && number[5] == mappedMarker {
 		return false
 	}
 	return formatIP6(number) == host
@@ -85,8 +86,8 @@
 	return parsed, true
 }
 
-// formatIP6 writes the standard form: lower case, no leading zeros, and the first of
-// the longest runs of two or more zeros left out.
+// formatIP6 returns the standard form of RFC 5952: lower case, no leading zeros, and
+// the first of the longest runs of two or more zero groups replaced by "::".
 func formatIP6(number [groups]uint16) string {
 	from, to := longestZeros(number)
 	var text strings.Builder
--- a/core/yuccastate/address_test.go
+++ b/core/yuccastate/address_test.go
@@ -9,8 +9,9 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// The standard library, which the core does not import, is the oracle: an address is
-// valid if it is read there, is written back the same and can be dialled.
+// TestValidAddress compares ValidAddress with net/netip, which the core packages do not
+// import: an address is valid if netip parses it, formats it to the same text, and it
+// can be dialled.
 func TestValidAddress(t *testing.T) {
 	hosts := rapid.OneOf(
 		rapid.StringMatching(`(0|1|9|10|25[0-9]|01|300)(\.(0|1|127|255|256|00)){3,4}`),
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -9,34 +9,38 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// PeerRelation is how a peer's configuration relates to one's own.
+// PeerRelation is how the local configuration relates to a peer's.
 type PeerRelation string
 
 const (
-	// RelationSame says that both hold the same.
+	// RelationSame means that both configurations are the same.
 	RelationSame PeerRelation = "same"
-	// RelationLocalBehind says that the peer holds a higher number: fetch what Plan says.
+	// RelationLocalBehind means that the peer holds a higher number; PlanFetch returns
+	// what to fetch from it.
 	RelationLocalBehind PeerRelation = "behind"
-	// RelationLocalAhead says that the peer holds a lower number and will fetch.
+	// RelationLocalAhead means that the peer holds a lower number; it fetches the rest
+	// from here.
 	RelationLocalAhead PeerRelation = "ahead"
-	// RelationForked says that the peer accepted another content of the same number.
+	// RelationForked means that the peer accepted another content under a number that
+	// is accepted here too.
 	RelationForked PeerRelation = "forked"
 )
 
-// ComparePeer compares with the number and digest in a peer's heartbeat. A fork is an alarm,
-// told once for each peer and digest.
+// ComparePeer compares the local configuration with the number and digest in the
+// heartbeat of the peer from. On a fork it returns an alarm entry, once for each peer
+// and digest.
 func (chain *Chain) ComparePeer(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (PeerRelation, []Entry) {
 	if number > chain.Number() {
 		return RelationLocalBehind, nil
 	}
-	own := chain.accepted[number].after
+	own := chain.accepted[number].configDigest
 	if number == chain.Number() {
 		own = chain.digest
 	}
 	switch {
 	case own != "" && own != digest:
 		err := forked(number, digest, own)
-		return RelationForked, chain.told(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
+		return RelationForked, chain.auditOnce(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
 	case number < chain.Number():
 		return RelationLocalAhead, nil
 	}
@@ -44,36 +48,39 @@
 }
 
 func forked(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
-	return refuse(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
+	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
 }
 
-// FetchPlan is what to fetch in order to reach a peer's number.
+// FetchPlan is what to fetch from a peer in order to reach its number: the notes with
+// these numbers, or a snapshot.
 type FetchPlan struct {
 	Notes    []yuccaid.ConfigNumber
 	Snapshot bool
 }
 
-// PlanFetch says what to fetch from a peer that holds the number: the missing notes, or a
-// snapshot if they are too many. If a note that was planned is refused, the plan after
-// it is a snapshot too: after a fork the peer's chain went on from another content, so
-// its notes can never fit here. A note that the platform alone published and that is
-// wrong for everybody doesn't count: mending it would else cost each daemon of the
-// fleet a snapshot. A peer that no longer has a note's text sends its snapshot.
+// PlanFetch returns what to fetch from a peer whose configuration has the given number:
+// the missing notes, or a snapshot if there are too many of them.
+//
+// If a note is refused after a plan listed it, the next plan is a snapshot as well:
+// after a fork the peer's later notes build on another content, so they can never be
+// applied here. A note that came from the platform and was never planned does not cause
+// this, because it is invalid for all daemons, and each of them would fetch a snapshot
+// once it is corrected. A peer that no longer keeps a note's text sends a snapshot.
 func (chain *Chain) PlanFetch(number yuccaid.ConfigNumber) FetchPlan {
 	next := chain.Number() + 1
 	if number < next {
 		return FetchPlan{}
 	}
-	if number-chain.Number() > keptNotes || chain.barred == next {
+	if number-chain.Number() > maxKeptNotes || chain.plannedRefused == next {
 		return FetchPlan{Snapshot: true}
 	}
-	chain.asked = next
+	chain.planned = next
 	return FetchPlan{Notes: chain.missingUpTo(number)}
 }
 
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
 	var missing []yuccaid.ConfigNumber
-	for number := chain.Number() + 1; number <= highest && len(missing) < int(keptNotes); number++ {
+	for number := chain.Number() + 1; number <= highest && len(missing) < int(maxKeptNotes); number++ {
 		if _, held := chain.held[number]; !held {
 			missing = append(missing, number)
 		}
@@ -81,7 +88,7 @@
 	return missing
 }
 
-// Missing returns the numbers of notes that held ones wait for.
+// Missing returns the numbers of the missing notes that held notes wait for.
 func (chain *Chain) Missing() []yuccaid.ConfigNumber {
 	if len(chain.held) == 0 {
 		return nil
@@ -89,20 +96,20 @@
 	return chain.missingUpTo(slices.Max(slices.Collect(maps.Keys(chain.held))))
 }
 
-// Adopt puts a whole configuration in force, from a peer or a baseline, if it has the
-// digest that was announced and its number is higher than the accepted one. An empty
-// digest announces nothing.
+// Adopt puts a complete configuration from a peer or a baseline in force if its number
+// is higher than the current one and it has the announced digest. If digest is empty, the
+// digest is not checked.
 //
-// Texts of earlier notes are dropped: they may be of another branch than the
-// snapshot, and a peer that fetched them would follow the wrong one.
+// The texts of earlier notes are dropped: after a fork they may belong to another branch
+// than the snapshot, and a peer that fetched them would follow the wrong branch.
 func (chain *Chain) Adopt(now time.Time, from string, state *State, digest yuccaid.Digest) (Verdict, error) {
 	number, found := state.Number, state.Digest()
 	verdict := Verdict{Kind: VerdictRefused, Number: number}
 	content := sha256.Sum256([]byte(from + " " + string(found)))
 	switch {
 	case digest != "" && digest != found:
-		err := refuse(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", found, digest)
-		verdict.Entries = chain.told(now, EntryRefused, number, from, content, err)
+		err := newRefusal(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", found, digest)
+		verdict.Entries = chain.auditOnce(now, EntryRefused, number, from, content, err)
 		return verdict, err
 	case number == chain.Number() && found == chain.digest:
 		verdict.Kind = VerdictRepeated
@@ -110,19 +117,19 @@
 	case number == chain.Number():
 		err := forked(number, found, chain.digest)
 		verdict.Kind = VerdictAlarm
-		verdict.Entries = chain.told(now, EntryAlarm, number, from, content, err)
+		verdict.Entries = chain.auditOnce(now, EntryAlarm, number, from, content, err)
 		return verdict, err
 	case number < chain.Number():
-		return verdict, refuse(number, ErrNotHigher, "", "keep the accepted one", "snapshot is %d after %d", number, chain.Number())
+		return verdict, newRefusal(number, ErrNotHigher, "", "keep the accepted one", "snapshot is %d after %d", number, chain.Number())
 	}
 	verdict.Kind = VerdictAccepted
-	verdict.Entries = []Entry{chain.move(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.ConfigNumber, _ link) bool { return earlier+keptProofs <= number })
+	verdict.Entries = []Entry{chain.advance(now, EntryAdopted, from, state)}
+	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.ConfigNumber, _ acceptedNote) bool { return earlier+maxKeptDigests <= number })
 	for earlier, kept := range chain.accepted {
-		chain.accepted[earlier] = link{content: kept.content, meaning: kept.meaning}
+		chain.accepted[earlier] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
 	}
-	chain.accepted[number] = link{after: found}
-	chain.forget()
-	verdict.Entries = append(verdict.Entries, chain.release(now)...)
+	chain.accepted[number] = acceptedNote{configDigest: found}
+	chain.dropOld()
+	verdict.Entries = append(verdict.Entries, chain.releaseHeld(now)...)
 	return verdict, nil
 }
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -8,31 +8,32 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// headBytes is room in a part for what is not records.
-const headBytes yuccaid.Bytes = 512
+// partOverhead is the space in a part for everything but its records, in bytes.
+const partOverhead yuccaid.Bytes = 512
 
-// Part is one piece of a baseline, to be published under its key.
+// Part is one part of a baseline, which is published under its own key.
 type Part struct {
 	Number yuccaid.ConfigNumber
 	Index  int
 	Value  []byte
 }
 
-// Key returns the platform's key of the part.
+// Key returns the key under which the part is published on the platform.
 func (part Part) Key() string {
 	return PartKey(part.Number, part.Index)
 }
 
-// Baseline writes a configuration in parts of at most limit bytes each, always the
-// same ones. A new process reads them in place of the whole chain of notes. The
-// platform's values hold a megabyte and a fleet's accounts and targets don't fit in
-// one. A single object larger than the limit makes a larger part.
+// Baseline encodes a configuration in parts of at most limit bytes each; the result is
+// deterministic. A new process reads the parts instead of all notes. There are several
+// because the platform stores values of at most a megabyte, and a fleet's accounts and
+// targets don't fit into one. An object that is larger than the limit gets a part of its
+// own, which exceeds it.
 func Baseline(s *State, limit yuccaid.Bytes) []Part {
-	groups := group(s.records(), limit-headBytes)
+	groups := splitRecords(s.records(), limit-partOverhead)
 	digest := s.Digest()
 	parts := make([]Part, len(groups))
 	for i, records := range groups {
-		snap := snapshot{Form: snapshotForm, Number: s.Number, Digest: digest, Index: i, Count: len(groups), Policy: s.Policy, Records: records}
+		snap := snapshot{Form: snapshotVersion, Number: s.Number, Digest: digest, Index: i, Count: len(groups), Policy: s.Policy, Records: records}
 		value, err := encode(snap)
 		if err != nil {
 			panic(fmt.Sprintf("yuccastate: %v", err))
@@ -42,8 +43,9 @@
 	return parts
 }
 
-// group cuts records into runs whose encoded size stays within room.
-func group(records []record, room yuccaid.Bytes) [][]record {
+// splitRecords splits records into consecutive groups of at most limit encoded bytes
+// each; a larger record forms a splitRecords of its own.
+func splitRecords(records []record, limit yuccaid.Bytes) [][]record {
 	groups := [][]record{nil}
 	used := yuccaid.Bytes(0)
 	for _, rec := range records {
@@ -53,7 +55,7 @@
 		}
 		size := yuccaid.Bytes(len(raw))
 		last := len(groups) - 1
-		if used+size > room && len(groups[last]) > 0 {
+		if used+size > limit && len(groups[last]) > 0 {
 			groups = append(groups, nil)
 			last, used = last+1, 0
 		}
@@ -63,8 +65,9 @@
 	return groups
 }
 
-// JoinParts puts the parts of one baseline together, in any order; it refuses parts
-// that are missing, given twice, of different baselines or not of their digest.
+// JoinParts returns the configuration in the parts of one baseline, which may be in any
+// order. It refuses parts that are missing, duplicated or of different baselines, and
+// content that does not have the announced digest.
 func JoinParts(parts []Part) (*State, error) {
 	snaps := make([]snapshot, len(parts))
 	for i, part := range parts {
@@ -76,12 +79,12 @@
 	}
 	slices.SortFunc(snaps, func(a, b snapshot) int { return cmp.Compare(a.Index, b.Index) })
 	if len(snaps) == 0 {
-		return nil, refuse(0, ErrParts, "", "publish the baseline's parts", "there are no parts")
+		return nil, newRefusal(0, ErrParts, "", "publish the baseline's parts", "there are no parts")
 	}
 	whole := snaps[0]
 	whole.Records = nil
 	for i, snap := range snaps {
-		if err := whole.fits(snap, i, len(snaps)); err != nil {
+		if err := whole.checkPart(snap, i, len(snaps)); err != nil {
 			return nil, err
 		}
 		whole.Records = append(whole.Records, snap.Records...)
@@ -89,12 +92,12 @@
 	return whole.state()
 }
 
-func (snap snapshot) fits(part snapshot, index, count int) error {
+func (snap snapshot) checkPart(part snapshot, index, count int) error {
 	if part.Number != snap.Number || part.Digest != snap.Digest {
-		return refuse(part.Number, ErrParts, "", "publish all parts of one baseline", "part %d is of another baseline", part.Index)
+		return newRefusal(part.Number, ErrParts, "", "publish all parts of one baseline", "part %d is of another baseline", part.Index)
 	}
 	if part.Index != index || part.Count != count {
-		return refuse(part.Number, ErrParts, "", "wait for the missing parts or publish them", "has %d parts of %d, part %d is not among them once", count, part.Count, index)
+		return newRefusal(part.Number, ErrParts, "", "wait for the missing parts or publish them", "has %d parts of %d, part %d is not among them once", count, part.Count, index)
 	}
 	return nil
 }
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -9,92 +9,100 @@
 )
 
 const (
-	// heldNotes and heldBytes bound notes that wait for an earlier one. A watch
-	// delivers some dozens out of order at worst; beyond that a snapshot is cheaper.
-	heldNotes               = 64
-	heldBytes yuccaid.Bytes = 2 * NoteLimit
-	// keptNotes and keptBytes bound the texts kept for peers that were cut off for a
-	// while; one that lacks more fetches a snapshot.
-	keptNotes yuccaid.ConfigNumber = 64
-	keptBytes yuccaid.Bytes        = 4 * NoteLimit
-	// keptProofs bounds by how many notes a changed key is still recognised.
-	keptProofs yuccaid.ConfigNumber = 4096
-	// reportedLimit bounds what is remembered in order not to repeat audit entries.
-	reportedLimit = 1024
+	// maxHeldNotes and maxHeldBytes bound the notes that wait for an earlier one. A watch
+	// delivers at most some dozens out of order; for more, a snapshot is cheaper.
+	maxHeldNotes               = 64
+	maxHeldBytes yuccaid.Bytes = 2 * NoteLimit
+	// maxKeptNotes and maxKeptBytes bound the texts of accepted notes that are kept for
+	// peers that were disconnected; a peer that lacks more notes fetches a snapshot.
+	maxKeptNotes yuccaid.ConfigNumber = 64
+	maxKeptBytes yuccaid.Bytes        = 4 * NoteLimit
+	// maxKeptDigests bounds the number of accepted notes whose digests are kept, by which
+	// a changed content of their keys is detected.
+	maxKeptDigests yuccaid.ConfigNumber = 4096
+	// maxReported bounds the record of audit entries made, which prevents repeated ones.
+	maxReported = 1024
 )
 
-// VerdictKind says what became of an offer.
+// VerdictKind is the outcome of offering a note or a snapshot to a chain.
 type VerdictKind string
 
 const (
-	// VerdictAccepted says that the configuration moved on.
+	// VerdictAccepted means that the new configuration is in force.
 	VerdictAccepted VerdictKind = "accepted"
-	// VerdictRepeated says that the same content had been accepted before.
+	// VerdictRepeated means that the same content was accepted before.
 	VerdictRepeated VerdictKind = "repeated"
-	// VerdictHeld says that an earlier note is missing.
+	// VerdictHeld means that the note waits for an earlier one that is missing.
 	VerdictHeld VerdictKind = "held"
-	// VerdictRefused says that nothing changed and why is in the error.
+	// VerdictRefused means that nothing changed; the error gives the reason.
 	VerdictRefused VerdictKind = "refused"
-	// VerdictOld says that the number is passed and its content no longer known.
+	// VerdictOld means that the number is not above the accepted one and the digests of
+	// its note are no longer kept, so the contents can't be compared.
 	VerdictOld VerdictKind = "old"
-	// VerdictAlarm says that history was rewritten; nothing was taken of it.
+	// VerdictAlarm means that the content differs from the one accepted under the same
+	// number; nothing changed.
 	VerdictAlarm VerdictKind = "alarm"
 )
 
-// Verdict is what became of an offer, with the entries for the audit trail. One offer
-// may make several: an accepted note releases those that waited for it.
+// Verdict is the outcome of offering a note or a snapshot, with the entries for the
+// audit trail. There may be several entries, because an accepted note is followed by the
+// held notes that waited for it.
 type Verdict struct {
 	Kind    VerdictKind
 	Number  yuccaid.ConfigNumber
 	Entries []Entry
 }
 
-// Chain is what one daemon has accepted. Its number only ever grows, whatever the
-// platform's service or a peer says later, and it is used by one goroutine.
+// Chain holds the configuration and the notes that one daemon has accepted. Its number
+// never decreases, whatever the platform's service or a peer sends later. It must be
+// used by one goroutine only.
 //
-// Two contents of one number. When an operator overwrites a key while data centres
-// are cut off, some daemons may have accepted the first content and some the second.
-// Neither is more right, and taking the other's would revert an accepted
-// configuration. So each keeps what it accepted and raises an alarm. The operators
-// settle it forward: the next note builds on one of the two, the daemons of the other
-// refuse it for its base, and adopt the higher configuration as a snapshot.
+// Forks: if an operator overwrites a note's key while data centres are disconnected,
+// some daemons may have accepted the first content and some the second. Neither has
+// precedence, and switching to the other would revert an accepted configuration. So each
+// daemon keeps the content that it accepted and raises an alarm. The operators resolve
+// the fork with the next note, which is written against one of the two contents: daemons
+// that hold the other one refuse it because of its base, and then adopt the higher
+// configuration as a snapshot.
 type Chain struct {
-	state    *State
-	digest   yuccaid.Digest
-	accepted map[yuccaid.ConfigNumber]link
-	held     map[yuccaid.ConfigNumber]PublishedNote
-	asked    yuccaid.ConfigNumber // the next note, once Plan asked for it
-	barred   yuccaid.ConfigNumber // the next note, once it came as asked for and was refused
-	reported map[report]bool
+	state          *State
+	digest         yuccaid.Digest
+	accepted       map[yuccaid.ConfigNumber]acceptedNote
+	held           map[yuccaid.ConfigNumber]PublishedNote
+	planned        yuccaid.ConfigNumber // number of the next note, once PlanFetch listed it
+	plannedRefused yuccaid.ConfigNumber // number of the next note, once it was planned and refused
+	reported       map[reportKey]bool
 }
 
-// link is what remains of an accepted note: its text while peers may ask for it, and
-// digests to recognise another content by.
-type link struct {
-	raw     []byte
-	content sum
-	meaning yuccaid.Digest
-	after   yuccaid.Digest
+// acceptedNote is what is kept of an accepted note: its text (raw) for peers that lack
+// it, and the digests by which another content of its number is detected: of the text,
+// of the note's canonical form and of the configuration after it.
+type acceptedNote struct {
+	raw          []byte
+	rawSum       sum
+	noteDigest   yuccaid.Digest
+	configDigest yuccaid.Digest
 }
 
-// report identifies what was told already. A service that shows the same wrong note
-// at every poll must not fill the audit trail.
-type report struct {
+// reportKey identifies an audit entry that was made already, so that a service that
+// returns the same wrong note on every poll does not fill the audit trail. A refusal is
+// recorded again once the chain's number (current) has changed.
+type reportKey struct {
 	reason  string
 	number  yuccaid.ConfigNumber
 	content sum
-	at      yuccaid.ConfigNumber
+	current yuccaid.ConfigNumber
 }
 
-// NewChain starts at the empty configuration.
+// NewChain returns a chain at the empty configuration.
 func NewChain() *Chain {
 	empty := Empty()
 	return &Chain{
 		state:    empty,
 		digest:   empty.Digest(),
-		accepted: map[yuccaid.ConfigNumber]link{},
+		accepted: map[yuccaid.ConfigNumber]acceptedNote{},
 		held:     map[yuccaid.ConfigNumber]PublishedNote{},
-		reported: map[report]bool{},
+		reported: map[reportKey]bool{},
 	}
 }
 
@@ -113,84 +121,85 @@
 	return chain.digest
 }
 
-// Held returns how many notes wait for an earlier one.
+// Held returns the number of notes that wait for an earlier one.
 func (chain *Chain) Held() int {
 	return len(chain.held)
 }
 
-// Note returns the text of an accepted note while it is kept, for a peer that lacks
-// it; a peer that asks too late needs a snapshot.
+// Note returns the text of an accepted note and whether it is still kept. A peer that
+// requests a note that is no longer kept needs a snapshot.
 func (chain *Chain) Note(number yuccaid.ConfigNumber) ([]byte, bool) {
 	kept := chain.accepted[number]
 	return kept.raw, kept.raw != nil
 }
 
-// Offer takes a note from the platform or a peer, under the platform's key. It may
-// come late, twice or out of order. The error says why the note was not accepted.
+// Offer processes a note from the platform or a peer, with the key under which it was
+// published. Notes may arrive late, repeatedly or out of order. The error gives the
+// reason why a note was refused.
 func (chain *Chain) Offer(now time.Time, key string, raw []byte) (Verdict, error) {
 	return chain.OfferPublished(now, ReadNote(key, raw))
 }
 
-// OfferPublished is Offer for a note that was read before.
+// OfferPublished is like Offer, for a note that ReadNote has parsed.
 func (chain *Chain) OfferPublished(now time.Time, pub PublishedNote) (Verdict, error) {
 	switch {
 	case pub.number == 0:
-		return chain.refused(now, pub, pub.err)
+		return chain.recordRefusal(now, pub, pub.err)
 	case pub.number <= chain.Number():
-		return chain.past(now, pub)
+		return chain.offerPast(now, pub)
 	case pub.number > chain.Number()+1:
 		chain.hold(pub)
 		return Verdict{Kind: VerdictHeld, Number: pub.number}, nil
 	}
-	verdict, err := chain.next(now, pub)
+	verdict, err := chain.offerNext(now, pub)
 	if err == nil {
-		verdict.Entries = append(verdict.Entries, chain.release(now)...)
+		verdict.Entries = append(verdict.Entries, chain.releaseHeld(now)...)
 	}
 	return verdict, err
 }
 
-// next judges the note that follows the accepted one.
-func (chain *Chain) next(now time.Time, pub PublishedNote) (Verdict, error) {
+// offerNext applies the note whose number follows the accepted one.
+func (chain *Chain) offerNext(now time.Time, pub PublishedNote) (Verdict, error) {
 	if pub.err != nil {
-		return chain.refused(now, pub, pub.err)
+		return chain.recordRefusal(now, pub, pub.err)
 	}
 	after, err := chain.state.Apply(pub.note)
 	if err != nil {
-		return chain.refused(now, pub, err)
+		return chain.recordRefusal(now, pub, err)
 	}
-	entry := chain.move(now, EntryAccepted, pub.note.Author, after)
-	chain.accepted[pub.number] = link{raw: pub.raw, content: pub.content, meaning: pub.meaning, after: chain.digest}
-	chain.forget()
+	entry := chain.advance(now, EntryAccepted, pub.note.Author, after)
+	chain.accepted[pub.number] = acceptedNote{raw: pub.raw, rawSum: pub.rawSum, noteDigest: pub.noteDigest, configDigest: chain.digest}
+	chain.dropOld()
 	return Verdict{Kind: VerdictAccepted, Number: pub.number, Entries: []Entry{entry}}, nil
 }
 
-// past judges a note whose number is accepted already. Another layout of the same
-// meaning is harmless. Another meaning is an alarm: daemons that start now would read
-// it in place of what the fleet runs on.
-func (chain *Chain) past(now time.Time, pub PublishedNote) (Verdict, error) {
+// offerPast compares a note with the one accepted under its number. A difference in
+// layout only is harmless. A difference in content raises an alarm, because daemons that
+// start now would read it instead of the note that the fleet has accepted.
+func (chain *Chain) offerPast(now time.Time, pub PublishedNote) (Verdict, error) {
 	kept := chain.accepted[pub.number]
-	if kept.meaning == "" {
+	if kept.noteDigest == "" {
 		return Verdict{Kind: VerdictOld, Number: pub.number}, nil
 	}
-	if pub.content == kept.content || pub.meaning == kept.meaning {
+	if pub.rawSum == kept.rawSum || pub.noteDigest == kept.noteDigest {
 		return Verdict{Kind: VerdictRepeated, Number: pub.number}, nil
 	}
 	remedy := "publish the accepted content again and the change as a new note"
-	alarm := refuse(pub.number, ErrContentChanged, NoteKey(pub.number), remedy, "holds another note than the accepted one")
-	entries := chain.told(now, EntryAlarm, pub.number, pub.note.Author, pub.content, alarm)
+	alarm := newRefusal(pub.number, ErrContentChanged, NoteKey(pub.number), remedy, "holds another note than the accepted one")
+	entries := chain.auditOnce(now, EntryAlarm, pub.number, pub.note.Author, pub.rawSum, alarm)
 	return Verdict{Kind: VerdictAlarm, Number: pub.number, Entries: entries}, alarm
 }
 
-func (chain *Chain) refused(now time.Time, pub PublishedNote, err error) (Verdict, error) {
-	if pub.number > 0 && pub.number == chain.asked {
-		chain.barred = pub.number
+func (chain *Chain) recordRefusal(now time.Time, pub PublishedNote, err error) (Verdict, error) {
+	if pub.number > 0 && pub.number == chain.planned {
+		chain.plannedRefused = pub.number
 	}
-	entries := chain.told(now, EntryRefused, pub.number, pub.note.Author, pub.content, err)
+	entries := chain.auditOnce(now, EntryRefused, pub.number, pub.note.Author, pub.rawSum, err)
 	return Verdict{Kind: VerdictRefused, Number: pub.number, Entries: entries}, err
 }
 
-// release judges the notes that waited, as long as the next one is there.
-func (chain *Chain) release(now time.Time) []Entry {
+// releaseHeld applies held notes until the next one is missing or refused.
+func (chain *Chain) releaseHeld(now time.Time) []Entry {
 	var entries []Entry
 	for {
 		number := chain.Number() + 1
@@ -199,7 +208,7 @@
 		if !found {
 			return entries
 		}
-		verdict, err := chain.next(now, waiting)
+		verdict, err := chain.offerNext(now, waiting)
 		entries = append(entries, verdict.Entries...)
 		if err != nil {
 			return entries
@@ -207,11 +216,11 @@
 	}
 }
 
-// hold keeps a note for later, the lowest numbers first if there is not room for all.
-// What is dropped can be fetched again: Plan asks for it.
+// hold keeps a note until the notes before it have arrived. Above the limits the notes
+// with the highest numbers are dropped; PlanFetch lists them again.
 func (chain *Chain) hold(pub PublishedNote) {
 	chain.held[pub.number] = pub
-	for len(chain.held) > heldNotes || chain.heldSize() > heldBytes {
+	for len(chain.held) > maxHeldNotes || chain.heldSize() > maxHeldBytes {
 		delete(chain.held, slices.Max(slices.Collect(maps.Keys(chain.held))))
 	}
 }
@@ -224,24 +233,25 @@
 	return size
 }
 
-// move puts a higher configuration in force.
-func (chain *Chain) move(now time.Time, kind EntryKind, by string, after *State) Entry {
+// advance puts a configuration with a higher number in force and returns its audit entry.
+func (chain *Chain) advance(now time.Time, kind EntryKind, by string, after *State) Entry {
 	before := chain.digest
 	chain.state = after
 	chain.digest = after.Digest()
 	return Entry{At: now, Kind: kind, By: by, Number: after.Number, Before: before, After: chain.digest}
 }
 
-// told makes an audit entry for what changed nothing, once.
-func (chain *Chain) told(now time.Time, kind EntryKind, number yuccaid.ConfigNumber, by string, content sum, err error) []Entry {
-	key := report{reason: Reason(err), number: number, content: content}
+// auditOnce returns an audit entry for a refusal or an alarm, or none if it was recorded
+// before.
+func (chain *Chain) auditOnce(now time.Time, kind EntryKind, number yuccaid.ConfigNumber, by string, content sum, err error) []Entry {
+	key := reportKey{reason: Reason(err), number: number, content: content}
 	if kind == EntryRefused {
-		key.at = chain.Number()
+		key.current = chain.Number()
 	}
 	if chain.reported[key] {
 		return nil
 	}
-	if len(chain.reported) >= reportedLimit {
+	if len(chain.reported) >= maxReported {
 		clear(chain.reported)
 	}
 	chain.reported[key] = true
@@ -251,21 +261,21 @@
 	}}
 }
 
-// forget drops the texts and later the digests of old notes, so that a daemon that
-// runs for years doesn't grow with every note. It looks at the numbers that may have
-// come to their limit, not at all of them.
-func (chain *Chain) forget() {
+// dropOld drops the texts, and later the digests, of old notes, so that the memory of a
+// daemon that runs for years does not grow with every note. It visits only the numbers
+// that may just have passed a limit.
+func (chain *Chain) dropOld() {
 	newest := chain.Number()
 	size := yuccaid.Bytes(0)
-	for age := range min(keptNotes+1, newest) {
+	for age := range min(maxKeptNotes+1, newest) {
 		kept := chain.accepted[newest-age]
 		size += yuccaid.Bytes(len(kept.raw))
-		if kept.raw != nil && (age == keptNotes || size > keptBytes) {
+		if kept.raw != nil && (age == maxKeptNotes || size > maxKeptBytes) {
 			kept.raw = nil
 			chain.accepted[newest-age] = kept
 		}
 	}
-	if newest > keptProofs {
-		delete(chain.accepted, newest-keptProofs)
+	if newest > maxKeptDigests {
+		delete(chain.accepted, newest-maxKeptDigests)
 	}
 }
--- a/core/yuccastate/clean.go
+++ b/core/yuccastate/clean.go
@@ -2,54 +2,54 @@
 
 import "slices"
 
-// The order of a set's items means nothing, and neither does an empty list against
-// none. Both are brought to one form before anything is compared or hashed: else two
-// daemons that read the same note from different sources could differ in digest.
+// The order of a set's items has no meaning, and an empty list is the same as none. Both
+// are normalised before anything is compared or hashed, because two daemons that read the
+// same note from different sources could otherwise compute different digests.
 
-func (acc Account) clean() Account {
-	acc.Tiers = cleanSet(acc.Tiers)
-	acc.Pools = cleanSet(acc.Pools)
-	acc.Targets = cleanSet(acc.Targets)
+func (acc Account) normalised() Account {
+	acc.Tiers = normaliseSet(acc.Tiers)
+	acc.Pools = normaliseSet(acc.Pools)
+	acc.Targets = normaliseSet(acc.Targets)
 	return acc
 }
 
-func (tgt Target) clean() Target {
-	tgt.Setup = tgt.Setup.clean()
+func (tgt Target) normalised() Target {
+	tgt.Setup = tgt.Setup.normalised()
 	return tgt
 }
 
-func (pool Pool) clean() Pool {
-	pool.Setup = pool.Setup.clean()
+func (pool Pool) normalised() Pool {
+	pool.Setup = pool.Setup.normalised()
 	if len(pool.Operations) == 0 {
 		pool.Operations = nil
 	}
 	return pool
 }
 
-func (wish EngineSetup) clean() EngineSetup {
-	wish.Adapters = cleanSet(wish.Adapters)
-	return wish
+func (setup EngineSetup) normalised() EngineSetup {
+	setup.Adapters = normaliseSet(setup.Adapters)
+	return setup
 }
 
-func (objs Objects) clean() Objects {
-	objs.Pools = cleanMap(objs.Pools, Pool.clean)
-	objs.Targets = cleanMap(objs.Targets, Target.clean)
-	objs.Accounts = cleanMap(objs.Accounts, Account.clean)
+func (objs Objects) normalised() Objects {
+	objs.Pools = normaliseMap(objs.Pools, Pool.normalised)
+	objs.Targets = normaliseMap(objs.Targets, Target.normalised)
+	objs.Accounts = normaliseMap(objs.Accounts, Account.normalised)
 	return objs
 }
 
-func (names Names) clean() Names {
+func (names Names) normalised() Names {
 	return Names{
-		Centres:  cleanSet(names.Centres),
-		Links:    cleanSet(names.Links),
-		Tiers:    cleanSet(names.Tiers),
-		Pools:    cleanSet(names.Pools),
-		Targets:  cleanSet(names.Targets),
-		Accounts: cleanSet(names.Accounts),
+		Centres:  normaliseSet(names.Centres),
+		Links:    normaliseSet(names.Links),
+		Tiers:    normaliseSet(names.Tiers),
+		Pools:    normaliseSet(names.Pools),
+		Targets:  normaliseSet(names.Targets),
+		Accounts: normaliseSet(names.Accounts),
 	}
 }
 
-func cleanSet[T ~string](items []T) []T {
+func normaliseSet[T ~string](items []T) []T {
 	if len(items) == 0 {
 		return nil
 	}
@@ -58,10 +58,10 @@
 	return sorted
 }
 
-func cleanMap[K ~string, V any](objects map[K]V, clean func(V) V) map[K]V {
-	cleaned := make(map[K]V, len(objects))
+func normaliseMap[K ~string, V any](objects map[K]V, normalise func(V) V) map[K]V {
+	normalisedObjects := make(map[K]V, len(objects))
 	for name, object := range objects {
-		cleaned[name] = clean(object)
+		normalisedObjects[name] = normalise(object)
 	}
-	return cleaned
+	return normalisedObjects
 }
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -12,18 +12,19 @@
 	"yuccacleat/core/yuccapack"
 )
 
-// snapshotForm is raised whenever the encoding changes, so that a daemon of another
-// version refuses a snapshot instead of reading it wrongly.
-const snapshotForm = 1
+// snapshotVersion is increased whenever the encoding changes, so that a daemon with
+// another encoding refuses a snapshot instead of misreading it.
+const snapshotVersion = 1
 
-// record is one object of a snapshot or of a part of one.
+// record is one encoded object in a snapshot.
 type record struct {
 	Kind Kind               `json:"kind"`
 	Name string             `json:"name"`
 	Body msgpack.RawMessage `json:"body"`
 }
 
-// snapshot is a whole configuration, or the records that one part of it holds.
+// snapshot is an encoded configuration, or one part (Index) of Count that together make
+// up a baseline. Form is the version of the encoding.
 type snapshot struct {
 	Form    int                  `json:"form"`
 	Number  yuccaid.ConfigNumber `json:"number"`
@@ -34,13 +35,14 @@
 	Records []record             `json:"records"`
 }
 
-// EncodeState writes a configuration for a peer, always to the same bytes.
+// EncodeState encodes a configuration as a snapshot for a peer; equal configurations give
+// equal bytes.
 func EncodeState(s *State) ([]byte, error) {
-	return encode(snapshot{Form: snapshotForm, Number: s.Number, Digest: s.Digest(), Count: 1, Policy: s.Policy, Records: s.records()})
+	return encode(snapshot{Form: snapshotVersion, Number: s.Number, Digest: s.Digest(), Count: 1, Policy: s.Policy, Records: s.records()})
 }
 
-// DecodeState reads what EncodeState wrote, checks every object as the fold does, and
-// refuses content that doesn't have the digest that it claims.
+// DecodeState decodes a snapshot that EncodeState encoded. It checks every object as
+// Apply does, and refuses content that does not have the digest in the snapshot.
 func DecodeState(raw []byte) (*State, error) {
 	snap, err := decodeSnapshot(raw)
 	if err != nil {
@@ -52,10 +54,10 @@
 func decodeSnapshot(raw []byte) (snapshot, error) {
 	var snap snapshot
 	if err := decode(raw, &snap); err != nil {
-		return snapshot{}, refuse(0, ErrGarbled, "", "fetch it again", "snapshot can't be read: %v", err)
+		return snapshot{}, newRefusal(0, ErrGarbled, "", "fetch it again", "snapshot can't be read: %v", err)
 	}
-	if snap.Form != snapshotForm {
-		return snapshot{}, refuse(snap.Number, ErrGarbled, "form", "run one version on both sides", "is %d instead of %d", snap.Form, snapshotForm)
+	if snap.Form != snapshotVersion {
+		return snapshot{}, newRefusal(snap.Number, ErrGarbled, "form", "run one version on both sides", "is %d instead of %d", snap.Form, snapshotVersion)
 	}
 	return snap, nil
 }
@@ -66,13 +68,13 @@
 		return nil, err
 	}
 	note := Note{Number: snap.Number, Added: objs, Changed: Objects{Policy: &snap.Policy}}
-	state, problems := Empty().fold(note)
+	state, problems := Empty().build(note)
 	if len(problems) > 0 {
 		problems.Sort()
 		return nil, &Refusal{Number: snap.Number, Problems: problems}
 	}
 	if digest := state.Digest(); digest != snap.Digest {
-		return nil, refuse(snap.Number, ErrDigest, "digest", "fetch it again from another peer", "is %s, but the content has %s", snap.Digest, digest)
+		return nil, newRefusal(snap.Number, ErrDigest, "digest", "fetch it again from another peer", "is %s, but the content has %s", snap.Digest, digest)
 	}
 	return state, nil
 }
@@ -105,7 +107,7 @@
 	}
 	for _, rec := range records {
 		if err := objs.add(rec); err != nil {
-			return Objects{}, refuse(0, ErrGarbled, string(rec.Kind)+"."+rec.Name, "fetch it again", "can't be read: %v", err)
+			return Objects{}, newRefusal(0, ErrGarbled, string(rec.Kind)+"."+rec.Name, "fetch it again", "can't be read: %v", err)
 		}
 	}
 	return objs, nil
@@ -140,7 +142,7 @@
 	return err
 }
 
-// EncodeMsgpack writes the operations sorted by name, so that snapshots of one
+// EncodeMsgpack encodes the operations sorted by name, so that snapshots of one
 // configuration are equal byte by byte.
 func (ops Operations) EncodeMsgpack(enc *msgpack.Encoder) error {
 	if err := enc.EncodeMapLen(len(ops)); err != nil {
@@ -166,8 +168,8 @@
 	return out.Bytes(), err
 }
 
-// decode refuses trailing bytes and unknown fields: both mean that the sender wrote
-// something that would be lost here in silence.
+// decode refuses trailing bytes and unknown fields, because both mean that the sender
+// encoded something that would be dropped without notice.
 func decode(raw []byte, into any) error {
 	if err := yuccapack.Check(raw); err != nil {
 		return err
--- a/core/yuccastate/codec_test.go
+++ b/core/yuccastate/codec_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("a snapshot", func() {
-	It("survives the wire, always in the same bytes", func() {
+	It("decodes to the same state and encodes to the same bytes", func() {
 		state := largeState()
 		raw, err := yuccastate.EncodeState(state)
 		Expect(err).NotTo(HaveOccurred())
@@ -30,9 +30,9 @@
 	})
 
 	It("is refused when a single byte differs", func() {
-		// A damaged snapshot would put a fleet's worth of wrong addresses in force at
-		// once. One that announces billions of keys where a few bytes follow ended the
-		// process for lack of memory, and with it every request that it held.
+		// A damaged snapshot would put wrong addresses of all targets in force at once. A
+		// snapshot that announces billions of keys before a few bytes once ended the process
+		// by exhausting its memory, and with it all requests that it held.
 		raw, err := yuccastate.EncodeState(founded())
 		Expect(err).NotTo(HaveOccurred())
 		const map32, array32, bin32 = 0xdf, 0xdd, 0xc6
@@ -75,8 +75,8 @@
 		Expect(back.Digest()).To(Equal(state.Digest()))
 	})
 
-	// The keys of a baseline are published one by one, and a reader may come in
-	// between: it would start with half of the accounts unknown.
+	// The keys of a baseline are published one by one. A daemon that reads them in between
+	// would start with half of the accounts unknown if JoinParts accepted what is there.
 	first, second := founded(), founded()
 	second.Number, second.Policy.GoodputWeight = 2, 9
 	parts := yuccastate.Baseline(first, 1000)
@@ -101,7 +101,7 @@
 })
 
 var _ = Describe("a fold", func() {
-	It("shares what the note leaves alone and never writes what it builds on", func() {
+	It("shares the maps that the note does not mention and never writes to the old state", func() {
 		before := largeState()
 		digest := before.Digest()
 		after, err := before.Apply(parsed(before, "withdrawn: {targets: [target-7]}"))
@@ -115,8 +115,8 @@
 	})
 })
 
-// FuzzDecodeState looks for bytes from a peer that end the process, and for accepted
-// ones that don't survive being sent on.
+// FuzzDecodeState searches for bytes from a peer that make the decoder panic, and for
+// accepted ones that differ after being encoded and decoded again.
 func FuzzDecodeState(f *testing.F) {
 	raw, _ := yuccastate.EncodeState(founded())
 	f.Add(raw)
@@ -125,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		again, _ := yuccastate.EncodeState(state) // what is empty can't be read below
+		again, _ := yuccastate.EncodeState(state) // if this fails, again is empty and the next line returns an error
 		back, err := yuccastate.DecodeState(again)
 		if err != nil || back.Digest() != state.Digest() {
 			t.Fatalf("%v: %s", err, yuccastate.Diff(state, back))
--- a/core/yuccastate/diff.go
+++ b/core/yuccastate/diff.go
@@ -9,8 +9,8 @@
 	"yuccacleat/core/yuccastate/yuccayaml"
 )
 
-// Diff lists what differs from a to b, one object or field a line, in a stable order:
-// "+" what b adds, "-" what it lacks, "~" what it changes.
+// Diff returns the differences from a to b, one object or field a line, in a stable
+// order: "+" for objects only in b, "-" for objects only in a, "~" for changed ones.
 func Diff(a, b *State) string {
 	var text strings.Builder
 	if a.Number != b.Number {
@@ -42,7 +42,7 @@
 		after, has := b[name]
 		switch {
 		case !had:
-			fmt.Fprintf(text, "+ %s.%s: %s\n", kind, name, line(after))
+			fmt.Fprintf(text, "+ %s.%s: %s\n", kind, name, objectLine(after))
 		case !has:
 			fmt.Fprintf(text, "- %s.%s\n", kind, name)
 		case string(canonical(before)) != string(canonical(after)):
@@ -60,14 +60,14 @@
 	}
 	slices.Sort(keys)
 	for _, key := range slices.Compact(keys) {
-		if from, to := shown(was, key), shown(is, key); from != to {
+		if from, to := valueOrNone(was, key), valueOrNone(is, key); from != to {
 			fmt.Fprintf(text, "    %s: %s -> %s\n", key, from, to)
 		}
 	}
 }
 
-// shown returns a field's value, or "none" for a field that is not written.
-func shown(fields []yuccayaml.Field, key string) string {
+// valueOrNone returns the value of the field with the key, or "none" if there is none.
+func valueOrNone(fields []yuccayaml.Field, key string) string {
 	for _, field := range fields {
 		if field.Key == key {
 			return field.Value
@@ -76,7 +76,7 @@
 	return "none"
 }
 
-func line(object any) string {
+func objectLine(object any) string {
 	var texts []string
 	for _, field := range yuccayaml.Fields(object) {
 		texts = append(texts, field.Key+": "+field.Value)
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -11,15 +11,15 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// digestForm is hashed first, so that a later form of the digest can't agree with
-// this one by accident.
-const digestForm = "yuccacleat configuration 1"
+// digestVersion is hashed first, so that digests computed by a later method can never
+// equal those of this one.
+const digestVersion = "yuccacleat configuration 1"
 
 type sum [sha256.Size]byte
 
-// kindSum is the digest over all objects of a kind, with the digest of each. A note
-// touches a few objects out of thousands: only those are written out and hashed
-// again, the others' digests are carried over.
+// kindSum holds the digest over all objects of a kind, and the digest of each by name. A
+// note concerns a few objects out of thousands: only those are encoded and hashed again,
+// and the digests of the others are reused.
 type kindSum struct {
 	objects map[string]sum
 	all     sum
@@ -29,8 +29,8 @@
 	centres, links, tiers, pools, targets, accounts kindSum
 }
 
-// touched lists the objects that a note adds, changes or withdraws.
-type touched struct {
+// touchedNames holds the names of the objects that a note adds, changes or withdraws.
+type touchedNames struct {
 	centres  []yuccaid.Centre
 	links    []yuccaid.Region
 	tiers    []yuccaid.Tier
@@ -50,7 +50,7 @@
 	}
 }
 
-func sumTouched(before, now *State, names touched) *sums {
+func sumTouched(before, now *State, names touchedNames) *sums {
 	old := before.sums
 	if old == nil {
 		old = sumAll(before)
@@ -65,8 +65,8 @@
 	}
 }
 
-// sumKind hashes the objects in touched, and takes the others' digests from before;
-// with an empty before it hashes them all.
+// sumKind hashes the objects in touched, and takes the digests of the others from before.
+// If before is the zero value, it hashes all objects.
 func sumKind[K ~string, V any](objects map[K]V, touched []K, before kindSum) kindSum {
 	if before.objects != nil && len(touched) == 0 {
 		return before
@@ -89,34 +89,34 @@
 func sumObjects(objects map[string]sum) sum {
 	text := make([]byte, 0, len(objects)*2*sha256.Size)
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
-		one := objects[name]
+		objectSum := objects[name]
 		text = append(text, name...)
 		text = append(text, 0)
-		text = append(text, one[:]...)
+		text = append(text, objectSum[:]...)
 	}
 	return sha256.Sum256(text)
 }
 
-// canonical writes an object in one form only: JSON with the fields in the order of
-// their struct and maps sorted by key.
+// canonical encodes an object as JSON with fields in the order of the struct and maps
+// sorted by key, so that equal objects give equal bytes.
 func canonical(object any) []byte {
 	text, err := json.Marshal(object)
 	if err != nil {
-		// Only a float that is not finite can't be written, and the fold lets none in.
+		// Only a float that is not finite can't be encoded, and Apply refuses those.
 		panic(fmt.Sprintf("yuccastate: %v", err))
 	}
 	return text
 }
 
-// Digest returns the digest over the number and everything configured; two states
-// have the same if and only if they are equal, in whatever order they were built.
+// Digest returns the digest of the number, the policy and all objects. Two states have
+// the same digest if and only if they are equal, whichever notes led to them.
 func (s *State) Digest() yuccaid.Digest {
 	parts := s.sums
 	if parts == nil {
 		parts = sumAll(s)
 	}
 	hash := sha256.New()
-	fmt.Fprintf(hash, "%s\n%d\n%s\n", digestForm, s.Number, canonical(s.Policy))
+	fmt.Fprintf(hash, "%s\n%d\n%s\n", digestVersion, s.Number, canonical(s.Policy))
 	for _, kind := range []kindSum{parts.centres, parts.links, parts.tiers, parts.pools, parts.targets, parts.accounts} {
 		hash.Write(kind.all[:])
 	}
--- a/core/yuccastate/doc.go
+++ b/core/yuccastate/doc.go
@@ -1,25 +1,24 @@
-// Package yuccastate holds the fleet's configuration: data centres, links, tiers,
-// pools, targets, client accounts and the policy, and the release notes that change
-// them.
+// Package yuccastate holds the fleet's configuration (data centres, links, tiers,
+// pools, targets, client accounts and the policy) and the release notes that change it.
 //
-// A State is one configuration, immutable, with a number and a digest. A Note builds
-// on one digest and adds, changes and withdraws objects. Apply folds the note into a
-// new State or refuses it, and does so alike on every daemon, since it depends on
-// nothing else. A Chain is what one daemon has accepted: it takes notes in any order
-// and snapshots from peers, and its number never goes down.
+// A State is one immutable configuration with a number and a digest. A Note names the
+// digest of the configuration that it was written against, and adds, changes and
+// withdraws objects. Apply returns the State after a note, or a Refusal. The result
+// depends on the State and the Note only, so every daemon gets the same one. A Chain
+// holds what one daemon has accepted: it takes notes in any order and snapshots from
+// peers, and its configuration number never decreases.
 //
-//	note, err := yuccastate.ParseNote(raw)      // mistakes by line, key and remedy
-//	after, err := before.Apply(note)            // a *Refusal that wraps every reason
+//	note, err := yuccastate.ParseNote(raw)      // each mistake with line, key and remedy
+//	after, err := before.Apply(note)            // a *Refusal that wraps every problem
 //	fmt.Print(yuccastate.Diff(before, after))
 //
-// The kinds of refusal are sentinels such as ErrBase and ErrReference, found by
-// errors.Is; Reason names them in the audit trail.
+// The kinds of problem are sentinel errors such as ErrBase and ErrReference, to be
+// tested with errors.Is; Reason returns their names in the audit trail.
 //
-// # What can't hold
+// # Limits
 //
-// Nothing is kept on disk. If every daemon that holds the newest note is gone and the
-// platform's service still serves an older one, no process can know that the newer
-// note existed. The same holds for the record of what an old number contained: a
-// daemon that adopted a snapshot can't tell whether the keys of earlier notes were
-// changed since.
+// Nothing is stored on disk. If every daemon that holds the newest note has stopped and
+// the platform's service still serves an older note, no process can find out that the
+// newer one existed. A daemon that adopted a snapshot has no digests of the notes before
+// it, so it can't tell whether the content of their keys has changed since.
 package yuccastate
--- a/core/yuccastate/entry.go
+++ b/core/yuccastate/entry.go
@@ -6,22 +6,24 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// EntryKind says what an audit entry records.
+// EntryKind is the kind of event that an audit entry records.
 type EntryKind string
 
 const (
 	// EntryAccepted records a note that took effect.
 	EntryAccepted EntryKind = "accepted"
-	// EntryRefused records a note that changed nothing.
+	// EntryRefused records a note or a snapshot that was refused.
 	EntryRefused EntryKind = "refused"
 	// EntryAdopted records a snapshot that took effect.
 	EntryAdopted EntryKind = "adopted"
-	// EntryAlarm records what an operator must look at: history was rewritten.
+	// EntryAlarm records a conflict that an operator must settle: two contents were
+	// published or accepted under one number.
 	EntryAlarm EntryKind = "alarm"
 )
 
-// Entry is one line of the audit trail: who did what, and the digests before and
-// after, which are equal where nothing changed.
+// Entry is one entry of the audit trail: the event, the note's author or the peer that
+// it came from (By), and the configuration's digests before and after it, which are
+// equal if nothing changed.
 type Entry struct {
 	At     time.Time            `json:"at"`
 	Kind   EntryKind            `json:"kind"`
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -14,23 +14,23 @@
 	sectionWithdrawn = "withdrawn"
 )
 
-// Apply returns the configuration after the note, or a Refusal. It depends on nothing
-// but its two arguments, so every daemon that holds the same configuration accepts
-// the same notes and refuses the others for the same reasons.
+// Apply returns the configuration after the note, or a *Refusal as the error. The result
+// depends on s and the note only, so all daemons that hold the same configuration accept
+// the same notes and refuse the others for the same reasons.
 //
-// The base is what settles a race of two operators: both wrote against the same
-// configuration, and once one's note is accepted, the other's base is gone.
+// The note's base decides a race between two operators who wrote notes against the same
+// configuration: once one note is accepted, the base of the other is no longer current.
 func (s *State) Apply(note Note) (*State, error) {
 	if note.Number != s.Number+1 {
 		remedy := fmt.Sprintf("number it %d", s.Number+1)
-		return nil, note.locate(refuse(note.Number, ErrNumber, "number", remedy, "is %d after %d", note.Number, s.Number))
+		return nil, note.locate(newRefusal(note.Number, ErrNumber, "number", remedy, "is %d after %d", note.Number, s.Number))
 	}
 	if base := s.Digest(); note.Base != base {
 		remedy := fmt.Sprintf("read configuration %d again and write the note against %s", s.Number, base)
-		return nil, note.locate(refuse(note.Number, ErrBase, "base", remedy, "is %q", note.Base))
+		return nil, note.locate(newRefusal(note.Number, ErrBase, "base", remedy, "is %q", note.Base))
 	}
-	next, problems := s.fold(note)
-	if !validBy(note.Author) {
+	next, problems := s.build(note)
+	if !validAuthor(note.Author) {
 		problems = append(problems, badValue("by", "say who publishes, in up to 100 printable characters", "is %q", note.Author))
 	}
 	if len(problems) > 0 {
@@ -39,100 +39,101 @@
 	return next, nil
 }
 
-// fold is one run of Apply: the configuration under construction and what is wrong
-// with it.
-type fold struct {
+// builder is the state of one call of Apply: the configuration under construction and
+// the problems found.
+type builder struct {
 	note     Note
 	before   *State
 	next     *State
 	problems yuccayaml.Problems
 }
 
-func (s *State) fold(note Note) (*State, yuccayaml.Problems) {
+func (s *State) build(note Note) (*State, yuccayaml.Problems) {
 	next := *s
 	next.Number = note.Number
-	run := &fold{note: note, before: s, next: &next}
+	bld := &builder{note: note, before: s, next: &next}
 	add, change, drop := note.Added, note.Changed, note.Withdrawn
-	var touched touched
-	next.Centres, touched.centres = foldKind(run, KindCentre, s.Centres, add.Centres, change.Centres, drop.Centres, same)
-	next.Links, touched.links = foldKind(run, KindLink, s.Links, add.Links, change.Links, drop.Links, same)
-	next.Tiers, touched.tiers = foldKind(run, KindTier, s.Tiers, add.Tiers, change.Tiers, drop.Tiers, same)
-	next.Pools, touched.pools = foldKind(run, KindPool, s.Pools, add.Pools, change.Pools, drop.Pools, Pool.clean)
-	next.Targets, touched.targets = foldKind(run, KindTarget, s.Targets, add.Targets, change.Targets, drop.Targets, Target.clean)
-	next.Accounts, touched.accounts = foldKind(run, KindAccount, s.Accounts, add.Accounts, change.Accounts, drop.Accounts, Account.clean)
-	run.policy()
-	run.checkValues()
-	run.checkUnique()
-	run.checkReferences()
-	if len(run.problems) == 0 {
-		next.sums = sumTouched(s, &next, touched)
+	var names touchedNames
+	next.Centres, names.centres = applyKind(bld, KindCentre, s.Centres, add.Centres, change.Centres, drop.Centres, identity)
+	next.Links, names.links = applyKind(bld, KindLink, s.Links, add.Links, change.Links, drop.Links, identity)
+	next.Tiers, names.tiers = applyKind(bld, KindTier, s.Tiers, add.Tiers, change.Tiers, drop.Tiers, identity)
+	next.Pools, names.pools = applyKind(bld, KindPool, s.Pools, add.Pools, change.Pools, drop.Pools, Pool.normalised)
+	next.Targets, names.targets = applyKind(bld, KindTarget, s.Targets, add.Targets, change.Targets, drop.Targets, Target.normalised)
+	next.Accounts, names.accounts = applyKind(bld, KindAccount, s.Accounts, add.Accounts, change.Accounts, drop.Accounts, Account.normalised)
+	bld.applyPolicy()
+	bld.checkValues()
+	bld.checkUnique()
+	bld.checkReferences()
+	if len(bld.problems) == 0 {
+		next.sums = sumTouched(s, &next, names)
 	}
-	return &next, run.problems
+	return &next, bld.problems
 }
 
-func same[V any](object V) V { return object }
+func identity[V any](object V) V { return object }
 
-// foldKind applies what a note says about one kind. The old map is never written; it
-// is shared when the note says nothing about the kind.
-func foldKind[K ~string, V any](run *fold, kind Kind, old, added, changed map[K]V, withdrawn []K, clean func(V) V) (map[K]V, []K) {
+// applyKind applies a note's changes to the objects of one kind, and returns the new map
+// and the names of the objects concerned. The old map is never written to; it is returned
+// as it is if the note does not mention the kind.
+func applyKind[K ~string, V any](bld *builder, kind Kind, old, added, changed map[K]V, withdrawn []K, normalise func(V) V) (map[K]V, []K) {
 	if len(added)+len(changed)+len(withdrawn) == 0 {
 		return old, nil
 	}
 	objects := make(map[K]V, len(old)+len(added))
 	maps.Copy(objects, old)
 	seen := map[K]bool{}
-	touch := func(section string, name K, must bool) {
-		key := path(section, kind, string(name))
+	mention := func(section string, name K, mustExist bool) {
+		key := objectKey(section, kind, string(name))
 		_, exists := old[name]
 		switch {
 		case seen[name]:
-			run.report(yuccayaml.ErrTwice, key, "name it once in a note", "stands in the note already")
-		case must && !exists:
-			run.report(ErrAbsent, key, "leave it out or add it", "does not exist")
-		case !must && exists:
-			run.report(ErrDuplicate, key, "list it under changed", "exists already")
+			bld.report(yuccayaml.ErrTwice, key, "name it once in a note", "stands in the note already")
+		case mustExist && !exists:
+			bld.report(ErrAbsent, key, "leave it out or add it", "does not exist")
+		case !mustExist && exists:
+			bld.report(ErrDuplicate, key, "list it under changed", "exists already")
 		}
 		seen[name] = true
 	}
 	for _, name := range withdrawn {
-		touch(sectionWithdrawn, name, true)
+		mention(sectionWithdrawn, name, true)
 		delete(objects, name)
 	}
 	for name, object := range added {
-		touch(sectionAdded, name, false)
-		objects[name] = clean(object)
+		mention(sectionAdded, name, false)
+		objects[name] = normalise(object)
 	}
 	for name, object := range changed {
-		touch(sectionChanged, name, true)
-		objects[name] = clean(object)
+		mention(sectionChanged, name, true)
+		objects[name] = normalise(object)
 	}
 	return objects, slices.Collect(maps.Keys(seen))
 }
 
-func (run *fold) policy() {
-	if run.note.Added.Policy != nil {
-		run.report(ErrDuplicate, "added.policy", "list it under changed", "exists already")
+func (bld *builder) applyPolicy() {
+	if bld.note.Added.Policy != nil {
+		bld.report(ErrDuplicate, "added.policy", "list it under changed", "exists already")
 	}
-	if policy := run.note.Changed.Policy; policy != nil {
-		run.next.Policy = *policy
+	if policy := bld.note.Changed.Policy; policy != nil {
+		bld.next.Policy = *policy
 	}
 }
 
-func (run *fold) report(kind error, key, remedy, detail string, args ...any) {
+func (bld *builder) report(kind error, key, remedy, detail string, args ...any) {
 	prob := &yuccayaml.Problem{Kind: kind, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
-	run.problems = append(run.problems, prob)
+	bld.problems = append(bld.problems, prob)
 }
 
 func badValue(key, remedy, detail string, args ...any) *yuccayaml.Problem {
 	return &yuccayaml.Problem{Kind: yuccayaml.ErrValue, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 }
 
-func path(section string, kind Kind, name string) string {
+func objectKey(section string, kind Kind, name string) string {
 	return section + "." + string(kind) + "." + name
 }
 
-// section returns where the note speaks of the object, or "" if it doesn't.
-func section[K ~string, V any](added, changed map[K]V, name K) string {
+// sectionOf returns the sectionOf of the note that holds the object, or "" if none does.
+func sectionOf[K ~string, V any](added, changed map[K]V, name K) string {
 	if _, found := added[name]; found {
 		return sectionAdded
 	}
--- a/core/yuccastate/fold_test.go
+++ b/core/yuccastate/fold_test.go
@@ -18,7 +18,7 @@
 		literal := &yuccastate.State{Accounts: state.Accounts}
 		acc, known = literal.AccountOf("desk secret")
 		Expect(known).To(BeTrue())
-		Expect(acc).To(Equal(yuccaid.Account("desk")), "also in a state that was not folded")
+		Expect(acc).To(Equal(yuccaid.Account("desk")), "also in a state built as a literal")
 		_, known = state.AccountOf("other secret")
 		Expect(known).To(BeFalse())
 		Expect(state.Allowed("desk", "drafts-1")).To(BeTrue())
--- a/core/yuccastate/large_test.go
+++ b/core/yuccastate/large_test.go
@@ -9,7 +9,7 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// The fleet that the configuration has to be cheap for.
+// The numbers of accounts and targets of the largest fleet to be supported.
 const (
 	largeAccounts = 1600
 	largeTargets  = 1800
@@ -47,7 +47,7 @@
 	return state
 })
 
-// BenchmarkFold measures what one note costs each daemon of the largest fleet.
+// BenchmarkFold measures applying one note to the configuration of the largest fleet.
 func BenchmarkFold(b *testing.B) {
 	on := largeState()
 	for _, edit := range []string{
@@ -69,7 +69,7 @@
 	}
 }
 
-// BenchmarkParseNote measures reading the largest fleet's first note.
+// BenchmarkParseNote measures parsing the first note of the largest fleet.
 func BenchmarkParseNote(b *testing.B) {
 	b.SetBytes(int64(len(largeText())))
 	for b.Loop() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// BenchmarkAccountOf measures what recognising a caller costs each request.
+// BenchmarkAccountOf measures finding the account of a request by its bearer secret.
 func BenchmarkAccountOf(b *testing.B) {
 	on := largeState()
 	for b.Loop() {
@@ -87,7 +87,7 @@
 	}
 }
 
-// BenchmarkDecodeState measures what a new process pays for its first configuration.
+// BenchmarkDecodeState measures decoding the snapshot that a new process starts with.
 func BenchmarkDecodeState(b *testing.B) {
 	raw, err := yuccastate.EncodeState(largeState())
 	if err != nil {
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -12,36 +12,38 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// daemon is a chain and what it has promised so far.
+// daemon is a chain, the digests that it put in force by number (promised), the numbers
+// of its alarms, and the digests of the notes that it accepted.
 type daemon struct {
-	name     string
-	chain    *yuccastate.Chain
-	promised map[yuccaid.ConfigNumber]yuccaid.Digest
-	alarms   map[yuccaid.ConfigNumber]bool
-	meanings map[yuccaid.ConfigNumber]yuccaid.Digest
+	name        string
+	chain       *yuccastate.Chain
+	promised    map[yuccaid.ConfigNumber]yuccaid.Digest
+	alarms      map[yuccaid.ConfigNumber]bool
+	noteDigests map[yuccaid.ConfigNumber]yuccaid.Digest
 }
 
-// fleet is several daemons and a platform's service that shows any version of a key
-// that was ever published, in any order.
+// fleet is several daemons and a platform's service that may return any version of a
+// key that was ever published, in any order. It is contested once two notes with
+// different contents were published under one number.
 type fleet struct {
-	daemons   []*daemon
-	versions  map[yuccaid.ConfigNumber][][]byte
-	meanings  map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool
-	contested bool
+	daemons     []*daemon
+	versions    map[yuccaid.ConfigNumber][][]byte
+	noteDigests map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool
+	contested   bool
 }
 
 func newFleet(size int) *fleet {
-	fleet := &fleet{versions: map[yuccaid.ConfigNumber][][]byte{}, meanings: map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool{}}
+	fleet := &fleet{versions: map[yuccaid.ConfigNumber][][]byte{}, noteDigests: map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool{}}
 	for i := range size {
 		fleet.daemons = append(fleet.daemons, &daemon{
 			name: fmt.Sprint("daemon-", i), chain: yuccastate.NewChain(),
-			promised: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, meanings: map[yuccaid.ConfigNumber]yuccaid.Digest{},
+			promised: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, noteDigests: map[yuccaid.ConfigNumber]yuccaid.Digest{},
 		})
 	}
 	return fleet
 }
 
-// audit checks the entries against what the daemon promised before.
+// audit checks that no entry contradicts an earlier one of the daemon.
 func (dmn *daemon) audit(t *rapid.T, entries []yuccastate.Entry) {
 	for _, entry := range entries {
 		moved := entry.Kind == yuccastate.EntryAccepted || entry.Kind == yuccastate.EntryAdopted
@@ -49,7 +51,7 @@
 		case entry.Kind == yuccastate.EntryAlarm:
 			dmn.alarms[entry.Number] = true
 		case moved && (dmn.promised[entry.Number] != "" || entry.By == ""):
-			t.Fatalf("%s moved to %d twice or by nobody", dmn.name, entry.Number)
+			t.Fatalf("%s put %d in force twice or without an author", dmn.name, entry.Number)
 		case moved:
 			dmn.promised[entry.Number] = entry.After
 		case entry.Before != entry.After || entry.Reason == "":
@@ -68,31 +70,31 @@
 		t.Fatalf("published notes parse: %v", parseErr)
 	}
 	if accepted {
-		dmn.meanings[number] = note.Digest()
+		dmn.noteDigests[number] = note.Digest()
 	}
 	if number == before+1 {
 		want := note.Base == state.Digest() && oracle(state, note)
 		if accepted != want || (err == nil) != want {
 			t.Fatalf("accepted %v, the oracle says %v: %v\n%s", accepted, want, err, raw)
 		}
-	} else if kept := dmn.meanings[number]; kept != "" && (kept != note.Digest()) != (verdict.Kind == yuccastate.VerdictAlarm) {
-		t.Fatalf("another content of note %d gives %s", number, verdict.Kind)
+	} else if kept := dmn.noteDigests[number]; kept != "" && (kept != note.Digest()) != (verdict.Kind == yuccastate.VerdictAlarm) {
+		t.Fatalf("another content of note %d gives verdict %s", number, verdict.Kind)
 	} else if accepted || dmn.chain.Number() != before {
-		t.Fatalf("note %d was taken at %d", number, before)
+		t.Fatalf("note %d was accepted at %d", number, before)
 	}
 }
 
-// exchange lets one daemon hear another and fetch what it lacks.
+// exchange sends a heartbeat from peer to dmn, which then fetches what it lacks.
 func (fleet *fleet) exchange(t *rapid.T, dmn, peer *daemon) {
 	number, digest := peer.chain.Number(), peer.chain.Digest()
-	standing, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
+	relation, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
 	dmn.audit(t, entries)
 	if number == dmn.chain.Number() && digest != dmn.chain.Digest() {
-		if standing != yuccastate.RelationForked || !dmn.alarms[number] {
+		if relation != yuccastate.RelationForked || !dmn.alarms[number] {
 			t.Fatalf("%s and %s differ at %d without alarm", dmn.name, peer.name, number)
 		}
 		if !fleet.contested {
-			t.Fatalf("a fork without a key that was overwritten")
+			t.Fatalf("a fork although no key was overwritten")
 		}
 	}
 	plan := dmn.chain.PlanFetch(number)
@@ -123,11 +125,11 @@
 
 func (fleet *fleet) publish(number yuccaid.ConfigNumber, note yuccastate.Note) {
 	raw := note.Canonical()
-	if fleet.meanings[number] == nil {
-		fleet.meanings[number] = map[yuccaid.Digest]bool{}
+	if fleet.noteDigests[number] == nil {
+		fleet.noteDigests[number] = map[yuccaid.Digest]bool{}
 	}
-	fleet.meanings[number][note.Digest()] = true
-	fleet.contested = fleet.contested || len(fleet.meanings[number]) > 1
+	fleet.noteDigests[number][note.Digest()] = true
+	fleet.contested = fleet.contested || len(fleet.noteDigests[number]) > 1
 	fleet.versions[number] = append(fleet.versions[number], raw)
 }
 
@@ -135,7 +137,7 @@
 	for _, dmn := range fleet.daemons {
 		state := dmn.chain.State()
 		if number := slices.Max(append(slices.Collect(maps.Keys(dmn.promised)), 0)); number != state.Number {
-			t.Fatalf("%s promised %d and is at %d", dmn.name, number, state.Number)
+			t.Fatalf("%s put %d in force and is at %d", dmn.name, number, state.Number)
 		}
 		if promised, moved := dmn.promised[state.Number]; moved && promised != dmn.chain.Digest() {
 			t.Fatalf("%s changed what it holds at %d", dmn.name, state.Number)
@@ -150,12 +152,12 @@
 	}
 }
 
-// settle exchanges until nothing changes any more.
+// settle repeats exchanges between all daemons until all changes have spread.
 func (fleet *fleet) settle(t *rapid.T) {
 	for range 2 * len(fleet.daemons) {
 		for _, dmn := range fleet.daemons {
 			for _, peer := range fleet.daemons {
-				// A fetch that is refused is followed by one of the snapshot.
+				// If a fetched note is refused, the second exchange fetches a snapshot.
 				fleet.exchange(t, dmn, peer)
 				fleet.exchange(t, dmn, peer)
 			}
@@ -164,10 +166,10 @@
 	fleet.check(t)
 }
 
-// Notes reach daemons late, twice and out of order, a stale copy of the service shows
-// old content again, and two operators publish under one key while the fleet is cut.
-// A user would notice a daemon that falls back to withdrawn targets, or two data
-// centres that serve by different rules with nobody told.
+// TestFleetNeverReverts guards against a daemon that goes back to withdrawn targets, and
+// against data centres that run different configurations without an alarm. Notes arrive
+// late, twice and out of order, a stale copy of the platform's service returns old
+// content, and two operators publish under one key while the fleet is partitioned.
 func TestFleetNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFleet(3)
@@ -198,7 +200,7 @@
 				t.Fatalf("%s stays at %d, %s at %d", dmn.name, dmn.chain.Number(), other.name, other.chain.Number())
 			}
 		}
-		// Whatever has forked, the operators' next note settles it.
+		// The operators' next note resolves any fork.
 		on := fleet.daemons[0].chain.State()
 		last := parsed(on, "changed: {policy: {goodputWeight: 7}}")
 		for _, dmn := range fleet.daemons {
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -11,11 +11,13 @@
 	"yuccacleat/core/yuccastate/yuccayaml"
 )
 
-// NoteLimit is the largest note: the platform's service holds values of that size.
+// NoteLimit is the maximum size of a note in bytes, because the platform's service
+// stores values of at most that size.
 const NoteLimit yuccaid.Bytes = 1 << 20
 
-// Note is a release note: what it adds, changes and withdraws, and the digest of the
-// configuration that it was written against. A changed object is given whole.
+// Note is a release note: the objects that it adds, changes and withdraws, and the
+// digest of the configuration that it was written against (Base). A changed object is
+// given in full, not as a list of changed fields.
 type Note struct {
 	Number    yuccaid.ConfigNumber `json:"number"`
 	Base      yuccaid.Digest       `json:"base"`
@@ -27,8 +29,8 @@
 	lines yuccayaml.Lines
 }
 
-// ParseNote reads a note's YAML and refuses unknown keys and values of the wrong
-// form; whether the note fits a configuration is for Apply to say.
+// ParseNote parses a note's YAML and refuses unknown keys and values of the wrong
+// type. Whether the note fits a configuration is checked by Apply.
 func ParseNote(raw []byte) (Note, error) {
 	note, err := readNote(raw)
 	if err != nil {
@@ -37,11 +39,11 @@
 	return note, nil
 }
 
-// readNote returns with an error what could be read, so that a refusal can name its
-// author.
+// readNote parses a note. With an error it returns the fields that could be read, so
+// that the audit entry of the refusal can name the note's author.
 func readNote(raw []byte) (Note, error) {
 	if yuccaid.Bytes(len(raw)) > NoteLimit {
-		return Note{}, refuse(0, yuccayaml.ErrValue, "", "split it into several notes", "has %d bytes, more than %d", len(raw), NoteLimit)
+		return Note{}, newRefusal(0, yuccayaml.ErrValue, "", "split it into several notes", "has %d bytes, more than %d", len(raw), NoteLimit)
 	}
 	var note Note
 	lines, err := yuccayaml.Decode(raw, &note)
@@ -54,7 +56,7 @@
 	return note, nil
 }
 
-// locate gives each problem the line of its key and puts them in order.
+// locate sets each problem's line to the line of its key in the note, and sorts them.
 func (note Note) locate(ref *Refusal) *Refusal {
 	for _, prob := range ref.Problems {
 		prob.Line = note.lines.Of(prob.Key)
@@ -63,8 +65,8 @@
 	return ref
 }
 
-// locateWithdrawn makes the lines of withdrawn objects known by name; the reader of
-// YAML knows an item of a list by its position only.
+// locateWithdrawn adds the lines of withdrawn objects under their names, because the
+// YAML decoder records list items by index only.
 func (note Note) locateWithdrawn() {
 	names := note.Withdrawn
 	locateNames(note.lines, KindCentre, names.Centres)
@@ -77,28 +79,28 @@
 
 func locateNames[K ~string](lines yuccayaml.Lines, kind Kind, names []K) {
 	for i, name := range names {
-		line := lines.Of(path(sectionWithdrawn, kind, strconv.Itoa(i)))
-		defer func() { lines[path(sectionWithdrawn, kind, string(name))] = line }()
+		line := lines.Of(objectKey(sectionWithdrawn, kind, strconv.Itoa(i)))
+		defer func() { lines[objectKey(sectionWithdrawn, kind, string(name))] = line }()
 	}
 }
 
-// Canonical writes the note in the one form that its meaning has; comments, order
-// and layout are gone from it.
+// Canonical encodes the note as YAML without comments and with keys and sets in a fixed
+// order, so that notes with the same content give the same bytes.
 func (note Note) Canonical() []byte {
-	note.Added = note.Added.clean()
-	note.Changed = note.Changed.clean()
-	note.Withdrawn = note.Withdrawn.clean()
+	note.Added = note.Added.normalised()
+	note.Changed = note.Changed.normalised()
+	note.Withdrawn = note.Withdrawn.normalised()
 	return yuccayaml.Encode(note)
 }
 
-// Digest returns the digest of the canonical form: two notes that mean the same have
-// the same.
+// Digest returns the SHA-256 of the canonical form, which is the same for notes that
+// differ only in layout, order or comments.
 func (note Note) Digest() yuccaid.Digest {
 	sum := sha256.Sum256(note.Canonical())
 	return yuccaid.Digest(hex.EncodeToString(sum[:]))
 }
 
-// String names the note in logs.
+// String returns the note's number and author, for logs.
 func (note Note) String() string {
 	return fmt.Sprintf("note %d by %s", note.Number, note.Author)
 }
--- a/core/yuccastate/note_test.go
+++ b/core/yuccastate/note_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("a note's canonical form", func() {
-	It("is one for all layouts of a meaning", func() {
+	It("is the same for all layouts of the same content", func() {
 		note := parsed(founded(), string(read("second.yaml")))
 		expectGolden("canonical.golden", string(note.Canonical()))
 		back, err := yuccastate.ParseNote(note.Canonical())
@@ -25,14 +25,14 @@
 		Expect(other.Digest()).NotTo(Equal(note.Digest()))
 	})
 
-	It("has a size that the platform's service can hold", func() {
+	It("has a size that the platform's service can store", func() {
 		_, err := yuccastate.ParseNote(bytes.Repeat([]byte("#"), int(yuccastate.NoteLimit)+1))
 		Expect(err).To(MatchError(ContainSubstring("split it")))
 	})
 })
 
-// FuzzParseNote looks for texts that end the process, and for accepted ones whose
-// canonical form means something else.
+// FuzzParseNote searches for inputs that make the parser panic, accepted notes whose
+// canonical form parses to another note, and errors without a reason.
 func FuzzParseNote(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*/*.yaml")
 	for _, file := range append(files, "testdata/first.yaml", "testdata/second.yaml") {
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -6,10 +6,10 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Kind names a sort of object in the configuration, as notes spell it.
+// Kind is a kind of object in the configuration; its value is the key in notes.
 type Kind string
 
-// The kinds, in the order in which checks and texts go through them.
+// The kinds, in the order in which Apply, Diff and snapshots process them.
 const (
 	KindCentre  Kind = "centres"
 	KindLink    Kind = "links"
@@ -20,13 +20,13 @@
 	KindPolicy  Kind = "policy"
 )
 
-// PoolKind says what stands behind a pool.
+// PoolKind is the kind of a pool's targets.
 type PoolKind string
 
 const (
-	// PoolModel is a pool of engines that generate from prompts.
+	// PoolModel is a pool of inference engines, which generate answers from prompts.
 	PoolModel PoolKind = "model"
-	// PoolService is a pool of plain services.
+	// PoolService is a pool of services that run no model.
 	PoolService PoolKind = "service"
 )
 
@@ -35,7 +35,7 @@
 	Region yuccaid.Region `json:"region,omitempty"`
 }
 
-// Link is what it costs to send traffic out of a region.
+// Link holds the price and delay of traffic that leaves a region.
 type Link struct {
 	PricePerGigabyte float64       `json:"pricePerGigabyte,omitempty"`
 	Delay            time.Duration `json:"delay,omitempty"`
@@ -46,15 +46,16 @@
 	Rank int `json:"rank"`
 }
 
-// Operation is a kind of request that a pool serves.
+// Operation is one kind of request that a pool serves.
 type Operation struct {
 	Idempotent bool `json:"idempotent"`
 }
 
-// Operations is the kinds of request that a pool serves.
+// Operations holds the kinds of request that a pool serves, by name.
 type Operations map[yuccaid.Operation]Operation
 
-// Pool is the targets of one model or of one plain service.
+// Pool is a group of targets that serve the same model or the same service. LongestRun
+// is the longest time that a request may run on one of them.
 type Pool struct {
 	Kind       PoolKind      `json:"kind,omitempty"`
 	Operations Operations    `json:"operations,omitempty"`
@@ -62,7 +63,7 @@
 	Setup      EngineSetup   `json:"wish,omitzero"`
 }
 
-// EngineSetup is what an engine shall have loaded; an empty field wishes nothing.
+// EngineSetup is what an engine should have loaded; an empty field makes no demand.
 type EngineSetup struct {
 	Model    yuccaid.Model   `json:"model,omitempty"`
 	Version  string          `json:"version,omitempty"`
@@ -70,7 +71,8 @@
 	Role     string          `json:"role,omitempty"`
 }
 
-// Target is one back end; its own wish, field by field, goes before its pool's.
+// Target is one endpoint that serves requests. Prefill and Decode are prompt and answer
+// tokens per second, Cache is in tokens. Each field set in Setup overrides the pool's.
 type Target struct {
 	Pool        yuccaid.Pool      `json:"pool,omitempty"`
 	Centre      yuccaid.Centre    `json:"centre,omitempty"`
@@ -84,15 +86,15 @@
 	Setup       EngineSetup       `json:"wish,omitzero"`
 }
 
-// Limits bounds what a client account may use; a field of 0 sets no bound.
+// Limits bounds what a client account may use; a field of 0 sets no limit.
 type Limits struct {
 	RequestsPerSecond float64           `json:"requestsPerSecond,omitempty"`
 	Running           int               `json:"running,omitempty"`
 	TokensPerSecond   yuccaid.TokenRate `json:"tokensPerSecond,omitempty"`
 }
 
-// Account is a client account; without targets of its own it may use all targets
-// of its pools.
+// Account is a client account. If Targets is empty, it may use all targets of its
+// pools. Weight is its share relative to other accounts.
 type Account struct {
 	Credential yuccaid.Digest   `json:"credential,omitempty"`
 	Tiers      []yuccaid.Tier   `json:"tiers,omitempty"`
@@ -102,13 +104,13 @@
 	Limits     Limits           `json:"limits,omitzero"`
 }
 
-// Policy weighs the two objectives against each other.
+// Policy holds the relative weights of the two objectives, more goodput and less waste.
 type Policy struct {
 	GoodputWeight float64 `json:"goodputWeight,omitempty"`
 	WasteWeight   float64 `json:"wasteWeight,omitempty"`
 }
 
-// Objects is a part of a configuration, as a note adds or changes it.
+// Objects holds the objects that a note adds or changes.
 type Objects struct {
 	Centres  map[yuccaid.Centre]Centre   `json:"centres,omitempty"`
 	Links    map[yuccaid.Region]Link     `json:"links,omitempty"`
@@ -119,7 +121,7 @@
 	Policy   *Policy                     `json:"policy,omitempty"`
 }
 
-// Names is what a note withdraws.
+// Names holds the names of the objects that a note withdraws.
 type Names struct {
 	Centres  []yuccaid.Centre  `json:"centres,omitempty"`
 	Links    []yuccaid.Region  `json:"links,omitempty"`
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -11,7 +11,8 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// drawNote returns a note of a few edits to a small world, many of them wrong.
+// drawNote returns a note with one to three edits to a small configuration; many of the
+// notes are invalid.
 func drawNote(t *rapid.T, on *yuccastate.State) yuccastate.Note {
 	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), Author: rapid.SampledFrom([]string{"anna", "bruno"}).Draw(t, "by")}
 	note.Added.Pools, note.Changed.Pools = map[yuccaid.Pool]yuccastate.Pool{}, map[yuccaid.Pool]yuccastate.Pool{}
@@ -30,7 +31,8 @@
 	return note
 }
 
-// edit mostly adds what is absent and changes or drops what is there.
+// edit adds an object that does not exist, or changes or withdraws one that does; in one
+// of ten cases it does the opposite, which is a mistake.
 func edit[K ~string, V any](t *rapid.T, kind string, old map[K]V, object V, added, changed map[K]V, dropped *[]K) {
 	name := drawNames[K](t, kind, 1)[0]
 	_, exists := old[name]
@@ -72,15 +74,15 @@
 	return yuccastate.Account{Credential: credential, Tiers: []yuccaid.Tier{"urgent"}, Weight: 1, Pools: pools, Targets: targets}
 }
 
-// oracle says in the plainest way whether a note of drawNote fits: it edits copies of
-// the maps and looks at everything.
+// oracle reports whether Apply should accept a note from drawNote. It is a simple
+// reference implementation, which edits copies of the maps and checks all objects.
 func oracle(s *yuccastate.State, note yuccastate.Note) bool {
 	ok := true
-	pools := plainly(s.Pools, note.Added.Pools, note.Changed.Pools, note.Withdrawn.Pools, &ok)
-	targets := plainly(s.Targets, note.Added.Targets, note.Changed.Targets, note.Withdrawn.Targets, &ok)
-	accounts := plainly(s.Accounts, note.Added.Accounts, note.Changed.Accounts, note.Withdrawn.Accounts, &ok)
-	centres := plainly(s.Centres, note.Added.Centres, nil, nil, &ok)
-	tiers := plainly(s.Tiers, note.Added.Tiers, nil, nil, &ok)
+	pools := applyEdits(s.Pools, note.Added.Pools, note.Changed.Pools, note.Withdrawn.Pools, &ok)
+	targets := applyEdits(s.Targets, note.Added.Targets, note.Changed.Targets, note.Withdrawn.Targets, &ok)
+	accounts := applyEdits(s.Accounts, note.Added.Accounts, note.Changed.Accounts, note.Withdrawn.Accounts, &ok)
+	centres := applyEdits(s.Centres, note.Added.Centres, nil, nil, &ok)
+	tiers := applyEdits(s.Tiers, note.Added.Tiers, nil, nil, &ok)
 	addresses, credentials := map[string]bool{}, map[yuccaid.Digest]bool{}
 	for _, tgt := range targets {
 		pool, known := pools[tgt.Pool]
@@ -108,7 +110,7 @@
 	return ok
 }
 
-func plainly[K ~string, V any](old, added, changed map[K]V, dropped []K, ok *bool) map[K]V {
+func applyEdits[K ~string, V any](old, added, changed map[K]V, dropped []K, ok *bool) map[K]V {
 	now, mentions := map[K]V{}, map[K]int{}
 	maps.Copy(now, old)
 	mention := func(name K, must bool) {
--- a/core/yuccastate/problem.go
+++ b/core/yuccastate/problem.go
@@ -9,43 +9,45 @@
 )
 
 var (
-	// ErrNumber says that a note's number does not follow the accepted one.
+	// ErrNumber means that a note's number is not the one after the accepted number.
 	ErrNumber = errors.New("number is not the next")
-	// ErrBase says that a note builds on another configuration than the accepted one.
+	// ErrBase means that a note was written against another configuration than the
+	// accepted one.
 	ErrBase = errors.New("wrong base")
-	// ErrReference says that an object names another that does not exist.
+	// ErrReference means that an object refers to another that does not exist.
 	ErrReference = errors.New("unknown reference")
-	// ErrInUse says that a note withdraws what another object still names.
+	// ErrInUse means that a note withdraws an object that another one still refers to.
 	ErrInUse = errors.New("still referenced")
-	// ErrDuplicate says that a note adds what exists.
+	// ErrDuplicate means that a note adds an object that exists already.
 	ErrDuplicate = errors.New("exists already")
-	// ErrAbsent says that a note changes or withdraws what does not exist.
+	// ErrAbsent means that a note changes or withdraws an object that does not exist.
 	ErrAbsent = errors.New("does not exist")
-	// ErrKey says that a note was published under another number's key.
+	// ErrKey means that a key is malformed, or that a note was published under the key of
+	// another number.
 	ErrKey = errors.New("wrong key")
-	// ErrContentChanged says that the content of an accepted note's key was replaced.
+	// ErrContentChanged means that the key of an accepted note now has another content.
 	ErrContentChanged = errors.New("content of an accepted note changed")
-	// ErrForked says that another daemon accepted another content of the same number.
+	// ErrForked means that another daemon accepted another content under the same number.
 	ErrForked = errors.New("two configurations with one number")
-	// ErrNotHigher says that a snapshot is not newer than what is accepted.
+	// ErrNotHigher means that a snapshot's number is lower than the accepted one.
 	ErrNotHigher = errors.New("snapshot is not higher")
-	// ErrDigest says that a snapshot's content is not what its digest promises.
+	// ErrDigest means that a snapshot does not have the digest announced for it.
 	ErrDigest = errors.New("digest does not match")
-	// ErrParts says that the parts of a baseline don't make up a whole.
+	// ErrParts means that the parts given are not all parts of one baseline, each once.
 	ErrParts = errors.New("baseline is incomplete")
-	// ErrGarbled says that bytes don't hold what they should.
+	// ErrGarbled means that the bytes of a snapshot can't be decoded.
 	ErrGarbled = errors.New("garbled")
 )
 
-// reasons names the kinds of problem in the audit trail, the most telling first.
+// reasons lists the kinds of problem; if a refusal has several, Reason returns the first.
 var reasons = []error{
 	ErrContentChanged, ErrForked, ErrKey, ErrNumber, ErrBase, ErrNotHigher, ErrDigest, ErrParts, ErrGarbled,
 	yuccayaml.ErrSyntax, yuccayaml.ErrUnknownKey, yuccayaml.ErrTwice, yuccayaml.ErrUnit,
 	ErrDuplicate, ErrAbsent, ErrInUse, ErrReference, yuccayaml.ErrValue,
 }
 
-// Reason returns the kind of a refusal, the same on every daemon, and "" for errors
-// of other packages.
+// Reason returns the text of a refusal's kind for the audit trail, which is the same on
+// every daemon, or "" for errors of other packages.
 func Reason(err error) string {
 	for _, kind := range reasons {
 		if errors.Is(err, kind) {
@@ -55,13 +57,14 @@
 	return ""
 }
 
-// Refusal is why a note was not accepted; it wraps each problem that was found.
+// Refusal is the error for a note or a snapshot that was not accepted; it wraps each
+// problem that was found.
 type Refusal struct {
 	Number   yuccaid.ConfigNumber
 	Problems yuccayaml.Problems
 }
 
-// Error names the note and lists its problems.
+// Error returns the note's number and its problems, one a line.
 func (ref *Refusal) Error() string {
 	return fmt.Sprintf("note %d is refused:\n%s", ref.Number, ref.Problems.Error())
 }
@@ -71,7 +74,7 @@
 	return ref.Problems.Unwrap()
 }
 
-func refuse(number yuccaid.ConfigNumber, kind error, key, remedy, detail string, args ...any) *Refusal {
+func newRefusal(number yuccaid.ConfigNumber, kind error, key, remedy, detail string, args ...any) *Refusal {
 	prob := &yuccayaml.Problem{Kind: kind, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 	return &Refusal{Number: number, Problems: yuccayaml.Problems{prob}}
 }
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -7,24 +7,26 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// PublishedNote is a note as it was found under a key, read but not yet judged.
+// PublishedNote is a note as published under a key: parsed, but not yet offered to a
+// chain.
 //
-// Reading a note of a megabyte takes some hundred milliseconds. Done where the chain
-// is, it would hold up every decision of the daemon for as long, so ReadNote can run
-// on another goroutine and only Take needs the chain.
+// Parsing a note of a megabyte takes some hundred milliseconds. On the goroutine that
+// owns the chain it would delay every decision of the daemon by that time. ReadNote may
+// therefore run on any goroutine, and only OfferPublished needs the chain.
 type PublishedNote struct {
-	number  yuccaid.ConfigNumber
-	raw     []byte
-	content sum
-	note    Note
-	meaning yuccaid.Digest
-	err     error
+	number     yuccaid.ConfigNumber
+	raw        []byte
+	rawSum     sum
+	note       Note
+	noteDigest yuccaid.Digest
+	err        error
 }
 
-// ReadNote reads a note; what is wrong with it comes out when a chain takes it.
+// ReadNote parses a note that was published under a key. An error is kept in the result
+// and returned by OfferPublished.
 func ReadNote(key string, raw []byte) PublishedNote {
 	number, err := ParseNoteKey(key)
-	pub := PublishedNote{number: number, raw: slices.Clone(raw), content: sha256.Sum256(raw)}
+	pub := PublishedNote{number: number, raw: slices.Clone(raw), rawSum: sha256.Sum256(raw)}
 	if err != nil {
 		pub.err = err
 		return pub
@@ -33,10 +35,10 @@
 	if pub.err != nil {
 		return pub
 	}
-	pub.meaning = pub.note.Digest()
+	pub.noteDigest = pub.note.Digest()
 	if pub.note.Number != number {
 		remedy := "publish it as " + NoteKey(pub.note.Number)
-		pub.err = pub.note.locate(refuse(number, ErrKey, "number", remedy, "is %d under %s", pub.note.Number, key))
+		pub.err = pub.note.locate(newRefusal(number, ErrKey, "number", remedy, "is %d under %s", pub.note.Number, key))
 	}
 	return pub
 }
--- a/core/yuccastate/reference.go
+++ b/core/yuccastate/reference.go
@@ -6,29 +6,29 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// checkReferences looks at what objects say of each other. A note that only adds
-// can't break what stands, so only its own objects are looked at; one that changes
-// or withdraws may, and everything is.
-func (run *fold) checkReferences() {
-	all := run.mayBreak()
-	next, add, change := run.next, run.note.Added, run.note.Changed
-	each(next.Links, add.Links, change.Links, all, run.checkLinkRegion)
-	each(next.Targets, add.Targets, change.Targets, all, run.checkTargetNames)
-	each(next.Accounts, add.Accounts, change.Accounts, all, run.checkAccountNames)
+// checkReferences checks the references between objects. A note that only adds objects
+// can't break existing references, so only its own objects are checked; after a note
+// that changes or withdraws objects, all are.
+func (bld *builder) checkReferences() {
+	all := bld.mayBreakReferences()
+	next, add, change := bld.next, bld.note.Added, bld.note.Changed
+	checkEach(next.Links, add.Links, change.Links, all, bld.checkLinkRegion)
+	checkEach(next.Targets, add.Targets, change.Targets, all, bld.checkTargetReferences)
+	checkEach(next.Accounts, add.Accounts, change.Accounts, all, bld.checkAccountReferences)
 }
 
-func (run *fold) mayBreak() bool {
-	change, drop := run.note.Changed, run.note.Withdrawn
+func (bld *builder) mayBreakReferences() bool {
+	change, drop := bld.note.Changed, bld.note.Withdrawn
 	changes := len(change.Centres) + len(change.Pools) + len(change.Targets)
 	withdraws := len(drop.Centres) + len(drop.Tiers) + len(drop.Pools) + len(drop.Targets)
 	return changes+withdraws > 0
 }
 
-// each calls check for the note's own objects or for all; key is the place in the
-// note, or just the object if the note doesn't speak of it.
-func each[K ~string, V any](objects, added, changed map[K]V, all bool, check func(key string, name K, object V)) {
-	visit := func(section string, some map[K]V) {
-		for name := range some {
+// checkEach calls check for the objects that the note adds or changes, or for all. The
+// section is empty for an object that the note does not mention.
+func checkEach[K ~string, V any](objects, added, changed map[K]V, all bool, check func(section string, name K, object V)) {
+	visit := func(section string, objectsOfSection map[K]V) {
+		for name := range objectsOfSection {
 			if object, exists := objects[name]; exists {
 				check(section, name, object)
 			}
@@ -40,71 +40,72 @@
 		return
 	}
 	for name, object := range objects {
-		if section(added, changed, name) == "" {
+		if sectionOf(added, changed, name) == "" {
 			check("", name, object)
 		}
 	}
 }
 
-// user is an object that names others.
-type user struct {
+// referrer is an object that refers to others. Its section is that of the note, or empty
+// if the note does not mention it.
+type referrer struct {
 	section string
 	kind    Kind
 	name    string
 }
 
-func (use user) key() string {
-	if use.section == "" {
-		return string(use.kind) + "." + use.name
+func (ref referrer) key() string {
+	if ref.section == "" {
+		return string(ref.kind) + "." + ref.name
 	}
-	return path(use.section, use.kind, use.name)
+	return objectKey(ref.section, ref.kind, ref.name)
 }
 
-// expectKnown reports a name without an object: at the withdrawal, if that is what
-// took the object away, else at the object that uses the name.
-func expectKnown[K ~string, V any](run *fold, use user, field string, kind Kind, name K, objects map[K]V, withdrawn []K) bool {
+// expectKnown reports a reference to an object that does not exist: at the key of the
+// withdrawal if the note withdraws it, else at the field of the object that refers to it.
+func expectKnown[K ~string, V any](bld *builder, ref referrer, field string, kind Kind, name K, objects map[K]V, withdrawn []K) bool {
 	if _, known := objects[name]; known {
 		return true
 	}
 	if slices.Contains(withdrawn, name) {
-		run.report(ErrInUse, path(sectionWithdrawn, kind, string(name)), "change or withdraw what uses it in the same note", "is used by %s of %s.%s", field, use.kind, use.name)
+		bld.report(ErrInUse, objectKey(sectionWithdrawn, kind, string(name)), "change or withdraw what uses it in the same note", "is used by %s of %s.%s", field, ref.kind, ref.name)
 		return false
 	}
-	run.report(ErrReference, use.key()+"."+field, "add it to "+string(kind)+" or correct the name", "names %q, which does not exist", name)
+	bld.report(ErrReference, ref.key()+"."+field, "add it to "+string(kind)+" or correct the name", "names %q, which does not exist", name)
 	return false
 }
 
-func (run *fold) checkLinkRegion(section string, name yuccaid.Region, _ Link) {
-	for _, centre := range run.next.Centres {
+func (bld *builder) checkLinkRegion(section string, name yuccaid.Region, _ Link) {
+	for _, centre := range bld.next.Centres {
 		if centre.Region == name {
 			return
 		}
 	}
-	use := user{section: section, kind: KindLink, name: string(name)}
-	run.report(ErrReference, use.key(), "withdraw the link or keep a data centre in its region", "is of a region without data centres")
+	ref := referrer{section: section, kind: KindLink, name: string(name)}
+	bld.report(ErrReference, ref.key(), "withdraw the link or keep a data centre in its region", "is of a region without data centres")
 }
 
-func (run *fold) checkTargetNames(section string, name yuccaid.Target, tgt Target) {
-	use := user{section: section, kind: KindTarget, name: string(name)}
-	expectKnown(run, use, "pool", KindPool, tgt.Pool, run.next.Pools, run.note.Withdrawn.Pools)
-	expectKnown(run, use, "centre", KindCentre, tgt.Centre, run.next.Centres, run.note.Withdrawn.Centres)
-	if section == "" && run.next.Pools[tgt.Pool].Kind == PoolModel && (tgt.Prefill == 0 || tgt.Decode == 0) {
-		run.problems = append(run.problems, badValue(use.key(), "give the target its rates in the same note", "has no prefill or decode rate, which a model pool needs"))
+func (bld *builder) checkTargetReferences(section string, name yuccaid.Target, tgt Target) {
+	ref := referrer{section: section, kind: KindTarget, name: string(name)}
+	expectKnown(bld, ref, "pool", KindPool, tgt.Pool, bld.next.Pools, bld.note.Withdrawn.Pools)
+	expectKnown(bld, ref, "centre", KindCentre, tgt.Centre, bld.next.Centres, bld.note.Withdrawn.Centres)
+	if section == "" && bld.next.Pools[tgt.Pool].Kind == PoolModel && (tgt.Prefill == 0 || tgt.Decode == 0) {
+		bld.problems = append(bld.problems, badValue(ref.key(), "give the target its rates in the same note", "has no prefill or decode rate, which a model pool needs"))
 	}
 }
 
-func (run *fold) checkAccountNames(section string, name yuccaid.Account, acc Account) {
-	use := user{section: section, kind: KindAccount, name: string(name)}
+func (bld *builder) checkAccountReferences(section string, name yuccaid.Account, acc Account) {
+	ref := referrer{section: section, kind: KindAccount, name: string(name)}
 	for _, tier := range acc.Tiers {
-		expectKnown(run, use, "tiers", KindTier, tier, run.next.Tiers, run.note.Withdrawn.Tiers)
+		expectKnown(bld, ref, "tiers", KindTier, tier, bld.next.Tiers, bld.note.Withdrawn.Tiers)
 	}
 	for _, pool := range acc.Pools {
-		expectKnown(run, use, "pools", KindPool, pool, run.next.Pools, run.note.Withdrawn.Pools)
+		expectKnown(bld, ref, "pools", KindPool, pool, bld.next.Pools, bld.note.Withdrawn.Pools)
 	}
 	for _, tgt := range acc.Targets {
-		known := expectKnown(run, use, "targets", KindTarget, tgt, run.next.Targets, run.note.Withdrawn.Targets)
-		if pool := run.next.Targets[tgt].Pool; known && !slices.Contains(acc.Pools, pool) {
-			run.report(ErrReference, use.key()+".targets", "add the pool to the account or leave the target out", "names %s of pool %q, which is not the account's", tgt, pool)
+		known := expectKnown(bld, ref, "targets", KindTarget, tgt, bld.next.Targets, bld.note.Withdrawn.Targets)
+		if pool := bld.next.Targets[tgt].Pool; known && !slices.Contains(acc.Pools, pool) {
+			bld.report(ErrReference, ref.key()+".targets", "add the pool to the account or leave the target out", "names %s of pool %q, which is not the account's", tgt, pool)
 		}
 	}
 }
--- a/core/yuccastate/refusal_test.go
+++ b/core/yuccastate/refusal_test.go
@@ -10,8 +10,9 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// judge returns what a daemon on the founded configuration says to a note.
-func judge(raw []byte) error {
+// applyToFounded parses a note, applies it to the founded configuration and returns the
+// error.
+func applyToFounded(raw []byte) error {
 	note, err := yuccastate.ParseNote(raw)
 	if err == nil {
 		_, err = founded().Apply(note)
@@ -20,21 +21,21 @@
 }
 
 var _ = Describe("a refused note", func() {
-	// A note with a mistake that slipped through would be in force everywhere within
-	// seconds. The operator sees each mistake with its line and what to do; all daemons
-	// say the same, so that a note is never in force in one data centre only.
+	// A mistake that is not detected would be in force in the whole fleet within seconds.
+	// The operator gets each mistake with its line and remedy, and all daemons must return
+	// the same error, so that a note is never in force in one data centre only.
 	files, err := filepath.Glob("testdata/refused/*.yaml")
 	if err != nil || len(files) == 0 {
 		panic("no notes to refuse")
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".yaml")
-		It("tells line, key and remedy: "+name, func() {
+		It("is reported with line, key and remedy: "+name, func() {
 			text := strings.ReplaceAll(string(read("refused/"+name+".yaml")), "FOUNDED", string(founded().Digest()))
-			refusal := judge([]byte(text))
+			refusal := applyToFounded([]byte(text))
 			Expect(refusal).To(HaveOccurred())
-			for range 20 { // the order of Go's maps differs from run to run
-				Expect(judge([]byte(text))).To(MatchError(refusal.Error()))
+			for range 20 { // Go's order of map iteration differs each time
+				Expect(applyToFounded([]byte(text))).To(MatchError(refusal.Error()))
 			}
 			expectGolden("refused/"+name+".golden", yuccastate.Reason(refusal)+"\n"+refusal.Error()+"\n")
 		})
--- a/core/yuccastate/state.go
+++ b/core/yuccastate/state.go
@@ -9,9 +9,9 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// State is one accepted configuration. It is immutable: Apply builds a new one,
-// which shares the maps of all kinds that the note leaves alone, so a reader may
-// keep a State for as long as it likes and needs no lock.
+// State is one accepted configuration. It is immutable: Apply builds a new State, which
+// shares with the old one the maps of all kinds that the note does not mention. A reader
+// therefore needs no lock and may keep a State indefinitely.
 type State struct {
 	Number   yuccaid.ConfigNumber
 	Centres  map[yuccaid.Centre]Centre
@@ -22,14 +22,15 @@
 	Accounts map[yuccaid.Account]Account
 	Policy   Policy
 
-	// sums and credentials are derived; they are nil in a State that was written
-	// as a literal, which then computes what it needs afresh.
+	// sums (digests per kind of object) and credentials (account by credential digest)
+	// are derived from the fields above. They are nil in a State built as a struct
+	// literal, whose methods then compute them on each call.
 	sums        *sums
 	credentials map[yuccaid.Digest]yuccaid.Account
 }
 
-// Empty returns the configuration that the first note builds on: no objects, and
-// both objectives weighed alike.
+// Empty returns configuration 0, which the first note is written against: no objects,
+// and equal weights for goodput and waste.
 func Empty() *State {
 	empty := &State{Policy: Policy{GoodputWeight: 1, WasteWeight: 1}}
 	empty.sums = sumAll(empty)
@@ -37,17 +38,19 @@
 	return empty
 }
 
-// CredentialDigest returns the digest under which a bearer secret is configured.
+// CredentialDigest returns the SHA-256 of a bearer secret in hex, as Account.Credential
+// holds it.
 func CredentialDigest(credential string) yuccaid.Digest {
 	sum := sha256.Sum256([]byte(credential))
 	return yuccaid.Digest(hex.EncodeToString(sum[:]))
 }
 
-// AccountOf returns the client account whose bearer secret is given.
+// AccountOf returns the client account with the given bearer secret, and whether there
+// is one.
 //
-// The secret is hashed before anything is compared. The map's look-up may leak
-// through its timing how much of a digest agrees, which tells a guesser nothing
-// about the next secret to try; the decisive comparison takes constant time.
+// The secret is hashed before it is compared. The timing of the map look-up may reveal
+// how many leading bytes of a digest match, which does not help an attacker to choose
+// the next secret to try. The final comparison takes constant time.
 func (s *State) AccountOf(credential string) (yuccaid.Account, bool) {
 	digest := CredentialDigest(credential)
 	name, found := s.credentials[digest]
@@ -80,22 +83,22 @@
 	return len(account.Targets) == 0 || slices.Contains(account.Targets, tgt)
 }
 
-// SetupOf returns what the target shall have loaded: its own wish where it has one,
-// else its pool's, field by field.
+// SetupOf returns what the target should have loaded: each field from the target's own
+// setup if it is set there, else from its pool's.
 func (s *State) SetupOf(tgt yuccaid.Target) EngineSetup {
 	target := s.Targets[tgt]
-	wish, pool := target.Setup, s.Pools[target.Pool].Setup
-	if wish.Model == "" {
-		wish.Model = pool.Model
+	setup, poolSetup := target.Setup, s.Pools[target.Pool].Setup
+	if setup.Model == "" {
+		setup.Model = poolSetup.Model
 	}
-	if wish.Version == "" {
-		wish.Version = pool.Version
+	if setup.Version == "" {
+		setup.Version = poolSetup.Version
 	}
-	if len(wish.Adapters) == 0 {
-		wish.Adapters = pool.Adapters
+	if len(setup.Adapters) == 0 {
+		setup.Adapters = poolSetup.Adapters
 	}
-	if wish.Role == "" {
-		wish.Role = pool.Role
+	if setup.Role == "" {
+		setup.Role = poolSetup.Role
 	}
-	return wish
+	return setup
 }
--- a/core/yuccastate/suite_test.go
+++ b/core/yuccastate/suite_test.go
@@ -19,7 +19,8 @@
 	RunSpecs(t, "yuccastate")
 }
 
-// expectGolden compares with a file under testdata, or writes it with -update.
+// expectGolden compares text with a file under testdata; with -update it rewrites the
+// file first.
 func expectGolden(name, text string) {
 	GinkgoHelper()
 	path := filepath.Join("testdata", name)
@@ -39,7 +40,7 @@
 	return raw
 }
 
-// parsed returns a note that is written against a configuration.
+// parsed parses a note and sets its number and base so that it follows on.
 func parsed(on *yuccastate.State, text string) yuccastate.Note {
 	note, err := yuccastate.ParseNote([]byte(text))
 	if err != nil {
@@ -52,7 +53,7 @@
 	return note
 }
 
-// founded returns the configuration after the first note of testdata.
+// founded returns the configuration after the first note of testdata (first.yaml).
 func founded() *yuccastate.State {
 	state, err := yuccastate.Empty().Apply(parsed(yuccastate.Empty(), string(read("first.yaml"))))
 	if err != nil {
@@ -61,7 +62,8 @@
 	return state
 }
 
-// published returns a note as an operator publishes it.
+// published returns the key and the text under which an operator publishes a note that
+// follows on.
 func published(on *yuccastate.State, text string) (string, []byte) {
 	note := parsed(on, text)
 	return yuccastate.NoteKey(note.Number), note.Canonical()
