--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -39,7 +39,7 @@
 	}
 	switch {
 	case own != "" && own != digest:
-		err := forked(number, digest, own)
+		err := forkRefusal(number, digest, own)
 		return RelationForked, chain.auditOnce(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
 	case number < chain.Number():
 		return RelationLocalAhead, nil
@@ -47,7 +47,7 @@
 	return RelationSame, nil
 }
 
-func forked(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
+func forkRefusal(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
 	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
 }
 
@@ -78,6 +78,8 @@
 	return FetchPlan{Notes: chain.missingUpTo(number)}
 }
 
+// missingUpTo returns the numbers after the current one, up to highest, whose notes are not
+// held; at most maxKeptNotes of them.
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
 	var missing []yuccaid.ConfigNumber
 	for number := chain.Number() + 1; number <= highest && len(missing) < int(maxKeptNotes); number++ {
@@ -115,7 +117,7 @@
 		verdict.Kind = VerdictRepeated
 		return verdict, nil
 	case number == chain.Number():
-		err := forked(number, found, chain.digest)
+		err := forkRefusal(number, found, chain.digest)
 		verdict.Kind = VerdictAlarm
 		verdict.Entries = chain.auditOnce(now, EntryAlarm, number, from, content, err)
 		return verdict, err
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -92,6 +92,8 @@
 	return whole.state()
 }
 
+// checkPart refuses a part that is of another baseline than snap, or that is not the part
+// with this index out of count.
 func (snap snapshot) checkPart(part snapshot, index, count int) error {
 	if part.Number != snap.Number || part.Digest != snap.Digest {
 		return newRefusal(part.Number, ErrParts, "", "publish all parts of one baseline", "part %d is of another baseline", part.Index)
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -190,6 +190,8 @@
 	return Verdict{Kind: VerdictAlarm, Number: pub.number, Entries: entries}, alarm
 }
 
+// recordRefusal returns the verdict for a note that was refused with err, and notes whether
+// PlanFetch had listed it.
 func (chain *Chain) recordRefusal(now time.Time, pub PublishedNote, err error) (Verdict, error) {
 	if pub.number > 0 && pub.number == chain.planned {
 		chain.plannedRefused = pub.number
--- a/core/yuccastate/check.go
+++ b/core/yuccastate/check.go
@@ -69,6 +69,7 @@
 	bld.expect(validAmount(amount), key, "write a number from 0 up", "is %v", amount)
 }
 
+// expectSet sorts items, and reports those that occur twice.
 func (bld *builder) expectSet(items []string, key string) {
 	slices.Sort(items)
 	for i := 1; i < len(items); i++ {
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -62,6 +62,7 @@
 	return snap, nil
 }
 
+// state returns the configuration in a snapshot after checking its objects and digest.
 func (snap snapshot) state() (*State, error) {
 	objs, err := objectsOf(snap.Records)
 	if err != nil {
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -15,6 +15,7 @@
 // equal those of this one.
 const digestVersion = "yuccacleat configuration 1"
 
+// sum is a SHA-256 digest.
 type sum [sha256.Size]byte
 
 // kindSum holds the digest over all objects of a kind, and the digest of each by name. A
@@ -25,6 +26,7 @@
 	all     sum
 }
 
+// sums holds the digests of a State by kind of object.
 type sums struct {
 	centres, links, tiers, pools, targets, accounts kindSum
 }
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -48,6 +48,8 @@
 	problems yuccayaml.Problems
 }
 
+// build returns the configuration after the note, and the problems of the note apart from
+// its number, base and author. The configuration is incomplete if there are any.
 func (s *State) build(note Note) (*State, yuccayaml.Problems) {
 	next := *s
 	next.Number = note.Number
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -77,6 +77,8 @@
 	locateNames(note.lines, KindAccount, names.Accounts)
 }
 
+// locateNames sets the lines after the loop, because the name of one object may be equal to
+// the index of another.
 func locateNames[K ~string](lines yuccayaml.Lines, kind Kind, names []K) {
 	for i, name := range names {
 		line := lines.Of(objectKey(sectionWithdrawn, kind, strconv.Itoa(i)))
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -110,6 +110,8 @@
 	return ok
 }
 
+// applyEdits returns the objects after the edits, and sets ok to false for an edit that does
+// not fit.
 func applyEdits[K ~string, V any](old, added, changed map[K]V, dropped []K, ok *bool) map[K]V {
 	now, mentions := map[K]V{}, map[K]int{}
 	maps.Copy(now, old)
--- a/core/yuccastate/reference.go
+++ b/core/yuccastate/reference.go
@@ -17,6 +17,8 @@
 	checkEach(next.Accounts, add.Accounts, change.Accounts, all, bld.checkAccountReferences)
 }
 
+// mayBreakReferences reports whether the note could break references of objects that
+// it does not mention.
 func (bld *builder) mayBreakReferences() bool {
 	change, drop := bld.note.Changed, bld.note.Withdrawn
 	changes := len(change.Centres) + len(change.Pools) + len(change.Targets)
--- a/core/yuccastate/yuccayaml/decode.go
+++ b/core/yuccastate/yuccayaml/decode.go
@@ -219,6 +219,7 @@
 	}
 }
 
+// number reports a number that could not be parsed or whose YAML type is not in tags.
 func (dec *decoder) number(node *yaml.Node, key string, err error, want string, tags ...string) {
 	if err == nil && slices.Contains(tags, node.Tag) {
 		return
