--- a/core/yuccastate/yuccayaml/decode.go
+++ b/core/yuccastate/yuccayaml/decode.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	strTag  = "!!str"
-	nullTag = "!!null"
-	boolTag = "!!bool"
-	intTag  = "!!int"
-	fltTag  = "!!float"
+	strTag   = "!!str"
+	nullTag  = "!!null"
+	boolTag  = "!!bool"
+	intTag   = "!!int"
+	floatTag = "!!float"
 )
 
 var (
@@ -31,8 +31,9 @@
 	bytesType    = reflect.TypeFor[yuccaid.Bytes]()
 )
 
-// syntaxLine matches the line number at the start of the YAML library's error messages.
-var syntaxLine = regexp.MustCompile(`^yaml: line (\d+): `)
+// syntaxLinePattern matches the line number at the start of the YAML library's error
+// messages.
+var syntaxLinePattern = regexp.MustCompile(`^yaml: line (\d+): `)
 
 // Decode decodes raw into the struct that into points to, and returns the line of each
 // key. The error is a Problems with all mistakes, not just the first.
@@ -43,15 +44,16 @@
 	}
 	dec := &decoder{lines: Lines{}}
 	if root != nil {
-		dec.value(root, reflect.ValueOf(into).Elem(), "")
+		dec.decodeValue(root, reflect.ValueOf(into).Elem(), "")
 	}
 	return dec.lines, dec.problems.Err()
 }
 
+// parse returns the root node of the document, or nil if raw has none.
 func parse(raw []byte) (*yaml.Node, error) {
-	reader := yaml.NewDecoder(bytes.NewReader(raw))
+	yamlDecoder := yaml.NewDecoder(bytes.NewReader(raw))
 	var doc yaml.Node
-	err := reader.Decode(&doc)
+	err := yamlDecoder.Decode(&doc)
 	if errors.Is(err, io.EOF) {
 		return nil, nil
 	}
@@ -59,7 +61,7 @@
 		return nil, syntaxProblem(err)
 	}
 	var second yaml.Node
-	if err := reader.Decode(&second); !errors.Is(err, io.EOF) {
+	if err := yamlDecoder.Decode(&second); !errors.Is(err, io.EOF) {
 		prob := &Problem{Kind: ErrSyntax, Line: second.Line, Detail: "a second document follows", Remedy: "keep one document in a file"}
 		return nil, Problems{prob}
 	}
@@ -69,7 +71,7 @@
 func syntaxProblem(err error) Problems {
 	text := err.Error()
 	prob := &Problem{Kind: ErrSyntax, Remedy: "write plain YAML, with spaces for indentation"}
-	if match := syntaxLine.FindStringSubmatch(text); match != nil {
+	if match := syntaxLinePattern.FindStringSubmatch(text); match != nil {
 		prob.Line, _ = strconv.Atoi(match[1])
 		text = text[len(match[0]):]
 	}
@@ -77,17 +79,20 @@
 	return Problems{prob}
 }
 
+// decoder holds the lines and problems found during one call of Decode.
 type decoder struct {
 	lines    Lines
 	problems Problems
 }
 
+// report adds a problem at the line of node.
 func (dec *decoder) report(kind error, node *yaml.Node, key, remedy, detail string, args ...any) {
 	prob := &Problem{Kind: kind, Line: node.Line, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 	dec.problems = append(dec.problems, prob)
 }
 
-func (dec *decoder) value(node *yaml.Node, into reflect.Value, key string) {
+// decodeValue decodes node into a settable value of any type; key is its dotted key.
+func (dec *decoder) decodeValue(node *yaml.Node, into reflect.Value, key string) {
 	if node.Kind == yaml.AliasNode {
 		dec.report(ErrSyntax, node, key, "write the value out", "an alias stands in place of a value")
 		return
@@ -95,22 +100,22 @@
 	switch into.Kind() {
 	case reflect.Pointer:
 		into.Set(reflect.New(into.Type().Elem()))
-		dec.value(node, into.Elem(), key)
+		dec.decodeValue(node, into.Elem(), key)
 	case reflect.Struct:
-		dec.object(node, into, key)
+		dec.decodeObject(node, into, key)
 	case reflect.Map:
-		dec.mapping(node, into, key)
+		dec.decodeMapping(node, into, key)
 	case reflect.Slice:
-		dec.list(node, into, key)
+		dec.decodeList(node, into, key)
 	default:
-		dec.scalar(node, into, key)
+		dec.decodeScalar(node, into, key)
 	}
 }
 
-// pairs calls each for the keys of a mapping. It reports a node that is not a mapping,
-// keys that are not scalars, and duplicate keys: lenient decoders take the last of two
-// equal keys without a message to the operator who wrote the first.
-func (dec *decoder) pairs(node *yaml.Node, key string, each func(name, value *yaml.Node, key string)) {
+// eachPair calls each for every key of a mapping and its value. It reports a node that is
+// not a mapping, keys that are not scalars, and duplicate keys. Lenient decoders keep the
+// last of two equal keys and drop the first without telling the operator.
+func (dec *decoder) eachPair(node *yaml.Node, key string, each func(name, value *yaml.Node, key string)) {
 	if isNull(node) {
 		return
 	}
@@ -136,31 +141,31 @@
 	}
 }
 
-func (dec *decoder) object(node *yaml.Node, into reflect.Value, key string) {
-	fields := fieldsOf(into.Type())
-	dec.pairs(node, key, func(name, value *yaml.Node, path string) {
-		at := slices.Index(fields, name.Value)
-		if at < 0 {
-			dec.report(ErrUnknownKey, name, path, "use one of "+strings.Join(nonEmpty(fields), ", "), "no such key")
+func (dec *decoder) decodeObject(node *yaml.Node, into reflect.Value, key string) {
+	names := jsonNames(into.Type())
+	dec.eachPair(node, key, func(name, value *yaml.Node, path string) {
+		index := slices.Index(names, name.Value)
+		if index < 0 {
+			dec.report(ErrUnknownKey, name, path, "use one of "+strings.Join(nonEmpty(names), ", "), "no such key")
 			return
 		}
-		dec.value(value, into.Field(at), path)
+		dec.decodeValue(value, into.Field(index), path)
 	})
 }
 
-func (dec *decoder) mapping(node *yaml.Node, into reflect.Value, key string) {
+func (dec *decoder) decodeMapping(node *yaml.Node, into reflect.Value, key string) {
 	if isNull(node) {
 		return
 	}
 	into.Set(reflect.MakeMap(into.Type()))
-	dec.pairs(node, key, func(name, value *yaml.Node, path string) {
+	dec.eachPair(node, key, func(name, value *yaml.Node, path string) {
 		item := reflect.New(into.Type().Elem()).Elem()
-		dec.value(value, item, path)
+		dec.decodeValue(value, item, path)
 		into.SetMapIndex(reflect.ValueOf(name.Value).Convert(into.Type().Key()), item)
 	})
 }
 
-func (dec *decoder) list(node *yaml.Node, into reflect.Value, key string) {
+func (dec *decoder) decodeList(node *yaml.Node, into reflect.Value, key string) {
 	if isNull(node) {
 		return
 	}
@@ -172,21 +177,21 @@
 	for i, item := range node.Content {
 		path := join(key, strconv.Itoa(i))
 		dec.lines[path] = item.Line
-		dec.value(item, into.Index(i), path)
+		dec.decodeValue(item, into.Index(i), path)
 	}
 }
 
-func (dec *decoder) scalar(node *yaml.Node, into reflect.Value, key string) {
+func (dec *decoder) decodeScalar(node *yaml.Node, into reflect.Value, key string) {
 	if node.Kind != yaml.ScalarNode || node.Tag == nullTag {
 		dec.report(ErrValue, node, key, "write a single value", "has no value")
 		return
 	}
 	if into.Type() == durationType {
-		dec.duration(node, into, key)
+		dec.decodeDuration(node, into, key)
 		return
 	}
 	if into.Type() == bytesType {
-		dec.bytes(node, into, key)
+		dec.decodeBytes(node, into, key)
 		return
 	}
 	bits := 0
@@ -204,23 +209,24 @@
 	case into.CanInt():
 		number, err := strconv.ParseInt(node.Value, 10, bits)
 		into.SetInt(number)
-		dec.number(node, key, err, "a whole number", intTag)
+		dec.checkNumber(node, key, err, "a whole number", intTag)
 	case into.CanUint():
 		number, err := strconv.ParseUint(node.Value, 10, bits)
 		into.SetUint(number)
-		dec.number(node, key, err, "a whole number, not negative", intTag)
+		dec.checkNumber(node, key, err, "a whole number, not negative", intTag)
 	default:
 		number, err := strconv.ParseFloat(node.Value, bits)
 		if math.IsNaN(number) || math.IsInf(number, 0) {
 			number, err = 0, strconv.ErrRange
 		}
 		into.SetFloat(number)
-		dec.number(node, key, err, "a number", intTag, fltTag)
+		dec.checkNumber(node, key, err, "a number", intTag, floatTag)
 	}
 }
 
-// number reports a number that could not be parsed or whose YAML type is not in tags.
-func (dec *decoder) number(node *yaml.Node, key string, err error, want string, tags ...string) {
+// checkNumber reports a number that could not be parsed (err) or whose YAML type is not
+// in tags.
+func (dec *decoder) checkNumber(node *yaml.Node, key string, err error, want string, tags ...string) {
 	if err == nil && slices.Contains(tags, node.Tag) {
 		return
 	}
@@ -232,7 +238,9 @@
 	dec.report(ErrValue, node, key, "write "+want, "%q does not fit", node.Value)
 }
 
-func (dec *decoder) duration(node *yaml.Node, into reflect.Value, key string) {
+// decodeDuration decodes a duration with a unit. time.ParseDuration accepts a bare 0; it
+// is refused here, so that every duration has a unit.
+func (dec *decoder) decodeDuration(node *yaml.Node, into reflect.Value, key string) {
 	span, err := time.ParseDuration(node.Value)
 	if err == nil && (span != 0 || node.Tag != intTag) {
 		into.SetInt(int64(span))
@@ -246,7 +254,7 @@
 	dec.report(ErrUnit, node, key, remedy, "%q is not a duration", node.Value)
 }
 
-func (dec *decoder) bytes(node *yaml.Node, into reflect.Value, key string) {
+func (dec *decoder) decodeBytes(node *yaml.Node, into reflect.Value, key string) {
 	size, err := parseBytes(node.Value)
 	if err != nil {
 		dec.report(ErrUnit, node, key, "write a size such as 512B, 64KiB or 4MiB", "%q is not a size", node.Value)
@@ -254,6 +262,7 @@
 	into.SetInt(int64(size))
 }
 
+// isNull reports whether a value is null or missing.
 func isNull(node *yaml.Node) bool {
 	return node.Kind == yaml.ScalarNode && node.Tag == nullTag
 }
@@ -265,16 +274,16 @@
 	return key + "." + name
 }
 
-// fieldsOf returns the key of each field of a struct, in order; it is empty for a field
-// without a json tag.
-func fieldsOf(of reflect.Type) []string {
-	names := make([]string, of.NumField())
+// jsonNames returns the name in the json tag of each field of a struct, in order; it is
+// empty for a field without a json tag.
+func jsonNames(structType reflect.Type) []string {
+	names := make([]string, structType.NumField())
 	for i := range names {
-		names[i], _, _ = strings.Cut(of.Field(i).Tag.Get("json"), ",")
+		names[i], _, _ = strings.Cut(structType.Field(i).Tag.Get("json"), ",")
 	}
 	return names
 }
 
-func nonEmpty(fields []string) []string {
-	return slices.DeleteFunc(slices.Clone(fields), func(name string) bool { return name == "" })
+func nonEmpty(names []string) []string {
+	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == "" })
 }
--- a/core/yuccastate/yuccayaml/encode.go
+++ b/core/yuccastate/yuccayaml/encode.go
@@ -13,12 +13,13 @@
 	"yuccacleat/core/yuccaid"
 )
 
+// indent is the number of spaces per level of nesting.
 const indent = 2
 
 // Encode returns a struct as YAML in a stable form: fields in the order of the struct,
 // maps sorted by key, and fields tagged omitempty or omitzero left out if they are empty.
-func Encode(from any) []byte {
-	return write(nodeOf(reflect.ValueOf(from)))
+func Encode(object any) []byte {
+	return encodeNode(nodeOf(reflect.ValueOf(object)))
 }
 
 // Field is the key of one field of a struct and its value as YAML on one line.
@@ -28,57 +29,58 @@
 }
 
 // Fields returns the fields of a struct that Encode writes, in the same order.
-func Fields(from any) []Field {
-	node := nodeOf(reflect.ValueOf(from))
+func Fields(object any) []Field {
+	node := nodeOf(reflect.ValueOf(object))
 	fields := make([]Field, 0, len(node.Content)/2)
 	for i := 0; i+1 < len(node.Content); i += 2 {
 		value := node.Content[i+1]
 		value.Style |= yaml.FlowStyle
-		text := strings.TrimSuffix(string(write(value)), "\n")
+		text := strings.TrimSuffix(string(encodeNode(value)), "\n")
 		fields = append(fields, Field{Key: node.Content[i].Value, Value: text})
 	}
 	return fields
 }
 
-func write(node *yaml.Node) []byte {
+func encodeNode(node *yaml.Node) []byte {
 	var out bytes.Buffer
-	writer := yaml.NewEncoder(&out)
-	writer.SetIndent(indent)
-	if err := writer.Encode(node); err != nil {
+	encoder := yaml.NewEncoder(&out)
+	encoder.SetIndent(indent)
+	if err := encoder.Encode(node); err != nil {
 		// All nodes are built in this file, so an error here is a bug in it.
 		panic(fmt.Sprintf("yuccayaml: %v", err))
 	}
 	return out.Bytes()
 }
 
-func nodeOf(from reflect.Value) *yaml.Node {
-	if from.Type() == durationType {
-		return scalarNode("", time.Duration(from.Int()).String())
+func nodeOf(value reflect.Value) *yaml.Node {
+	if value.Type() == durationType {
+		return scalarNode("", time.Duration(value.Int()).String())
 	}
-	if from.Type() == bytesType {
-		return scalarNode("", formatBytes(yuccaid.Bytes(from.Int())))
+	if value.Type() == bytesType {
+		return scalarNode("", formatBytes(yuccaid.Bytes(value.Int())))
 	}
-	switch from.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer:
-		return nodeOf(from.Elem())
+		return nodeOf(value.Elem())
 	case reflect.Struct:
-		return objectNode(from)
+		return objectNode(value)
 	case reflect.Map:
-		return mappingNode(from)
+		return mappingNode(value)
 	case reflect.Slice:
-		return listNode(from)
+		return listNode(value)
 	case reflect.String:
-		return scalarNode(strTag, from.String())
+		return scalarNode(strTag, value.String())
 	default:
-		return scalarNode("", fmt.Sprint(from.Interface()))
+		return scalarNode("", fmt.Sprint(value.Interface()))
 	}
 }
 
-func objectNode(from reflect.Value) *yaml.Node {
+// objectNode returns a struct as a mapping; a tag option is omitempty or omitzero.
+func objectNode(object reflect.Value) *yaml.Node {
 	node := &yaml.Node{Kind: yaml.MappingNode}
-	for i, name := range fieldsOf(from.Type()) {
-		field := from.Field(i)
-		_, options, _ := strings.Cut(from.Type().Field(i).Tag.Get("json"), ",")
+	for i, name := range jsonNames(object.Type()) {
+		field := object.Field(i)
+		_, options, _ := strings.Cut(object.Type().Field(i).Tag.Get("json"), ",")
 		if name == "" || options != "" && isEmpty(field) {
 			continue
 		}
@@ -87,20 +89,20 @@
 	return node
 }
 
-func mappingNode(from reflect.Value) *yaml.Node {
+func mappingNode(mapping reflect.Value) *yaml.Node {
 	node := &yaml.Node{Kind: yaml.MappingNode}
-	keys := from.MapKeys()
+	keys := mapping.MapKeys()
 	slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(a.String(), b.String()) })
 	for _, key := range keys {
-		node.Content = append(node.Content, scalarNode(strTag, key.String()), nodeOf(from.MapIndex(key)))
+		node.Content = append(node.Content, scalarNode(strTag, key.String()), nodeOf(mapping.MapIndex(key)))
 	}
 	return node
 }
 
-func listNode(from reflect.Value) *yaml.Node {
+func listNode(list reflect.Value) *yaml.Node {
 	node := &yaml.Node{Kind: yaml.SequenceNode, Style: yaml.FlowStyle}
-	for i := range from.Len() {
-		node.Content = append(node.Content, nodeOf(from.Index(i)))
+	for i := range list.Len() {
+		node.Content = append(node.Content, nodeOf(list.Index(i)))
 	}
 	return node
 }
@@ -109,6 +111,8 @@
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: tag, Value: text}
 }
 
+// isEmpty reports whether omitempty or omitzero leaves the field out: it is a zero value,
+// an empty map or list, or a struct of such fields only.
 func isEmpty(field reflect.Value) bool {
 	switch field.Kind() {
 	case reflect.Struct:
--- a/core/yuccastate/yuccayaml/problem.go
+++ b/core/yuccastate/yuccayaml/problem.go
@@ -27,7 +27,8 @@
 const maxShownProblems = 50
 
 // Problem is one mistake in a file. Kind is one of the sentinel errors, Key is dotted as
-// in "listen.peer", and Line is 0 if it is unknown.
+// in "listen.peer", Line is 0 if it is unknown, Detail says what is wrong, and Remedy what
+// to write instead.
 type Problem struct {
 	Kind   error
 	Line   int
--- a/core/yuccastate/yuccayaml/size.go
+++ b/core/yuccastate/yuccayaml/size.go
@@ -9,6 +9,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
+// sizeUnit is a unit of sizes: its name and the number of bytes that it stands for.
 type sizeUnit struct {
 	name  string
 	bytes yuccaid.Bytes
@@ -17,6 +18,7 @@
 // sizeUnits is sorted from large to small; B is last because the other names end in it.
 var sizeUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
+// parseBytes parses a whole number followed directly by a unit, such as 64KiB.
 func parseBytes(text string) (yuccaid.Bytes, error) {
 	for _, unit := range sizeUnits {
 		digits, found := strings.CutSuffix(text, unit.name)
@@ -32,6 +34,8 @@
 	return 0, fmt.Errorf("%q has no unit", text)
 }
 
+// formatBytes returns a size in the largest unit that divides it. B divides every size, so
+// the loop always returns.
 func formatBytes(size yuccaid.Bytes) string {
 	for _, unit := range sizeUnits {
 		if size%unit.bytes == 0 && (size != 0 || unit.bytes == 1) {
--- a/core/yuccastate/yuccayaml/suite_test.go
+++ b/core/yuccastate/yuccayaml/suite_test.go
@@ -90,9 +90,9 @@
 	})
 })
 
-// TestRoundTrip checks that Decode returns the value that Encode was given, also for texts
-// that YAML could take for another type: if a name such as "no" or "1e3" were decoded to
-// something else, two daemons would compute different digests.
+// TestRoundTrip guards against a name such as "no" or "1e3" that is decoded as a bool or a
+// number: two daemons would then compute different digests. It checks that Decode returns
+// the value that Encode was given.
 func TestRoundTrip(t *testing.T) {
 	texts := rapid.OneOf(
 		rapid.SampledFrom([]string{"no", "null", "~", "1e3", "0x1", "a: b", "- a", "'", "\"", "# x", " a ", "a\nb", "<<", "*a", "&a", "!t", "%", "2001-01-01", "="}),
