--- a/core/yuccastate/address_test.go
+++ b/core/yuccastate/address_test.go
@@ -9,8 +9,9 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// TestValidAddress compares ValidAddress with net/netip, which the core packages do not
-// import: an address is valid if netip parses it, formats it to the same text, and it
+// TestValidAddress guards against an address that is accepted in two spellings or can't be
+// dialled. It compares ValidAddress with net/netip, which the core packages do not import:
+// an address is valid if netip parses it, formats it to the same text, and it
 // can be dialled.
 func TestValidAddress(t *testing.T) {
 	hosts := rapid.OneOf(
@@ -23,9 +24,9 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		address := hosts.Draw(t, "host") + rapid.SampledFrom([]string{":80", ":80", ":0", ":65536", ":08", "", ":"}).Draw(t, "port")
-		read, err := netip.ParseAddrPort(address)
-		ip := read.Addr()
-		want := err == nil && read.String() == address && read.Port() > 0 && !ip.IsUnspecified() && !ip.Is4In6() && ip.Zone() == ""
+		parsed, err := netip.ParseAddrPort(address)
+		ip := parsed.Addr()
+		want := err == nil && parsed.String() == address && parsed.Port() > 0 && !ip.IsUnspecified() && !ip.Is4In6() && ip.Zone() == ""
 		if yuccastate.ValidAddress(address) != want {
 			t.Fatalf("%q: want %v", address, want)
 		}
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -18,28 +18,28 @@
 	// RelationLocalBehind means that the peer holds a higher number; PlanFetch returns
 	// what to fetch from it.
 	RelationLocalBehind PeerRelation = "behind"
-	// RelationLocalAhead means that the peer holds a lower number; it fetches the rest
-	// from here.
+	// RelationLocalAhead means that the peer holds a lower number; it fetches the
+	// missing notes from this daemon.
 	RelationLocalAhead PeerRelation = "ahead"
-	// RelationForked means that the peer accepted another content under a number that
-	// is accepted here too.
+	// RelationForked means that the peer and this daemon accepted different contents
+	// under the same number.
 	RelationForked PeerRelation = "forked"
 )
 
-// ComparePeer compares the local configuration with the number and digest in the
-// heartbeat of the peer from. On a fork it returns an alarm entry, once for each peer
-// and digest.
+// ComparePeer compares the local configuration with the number and digest in a heartbeat
+// of the peer named from. On a fork it returns an alarm entry, once for each peer and
+// digest.
 func (chain *Chain) ComparePeer(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (PeerRelation, []Entry) {
 	if number > chain.Number() {
 		return RelationLocalBehind, nil
 	}
-	own := chain.accepted[number].configDigest
+	localDigest := chain.accepted[number].configDigest
 	if number == chain.Number() {
-		own = chain.digest
+		localDigest = chain.digest
 	}
 	switch {
-	case own != "" && own != digest:
-		err := forkRefusal(number, digest, own)
+	case localDigest != "" && localDigest != digest:
+		err := forkRefusal(number, digest, localDigest)
 		return RelationForked, chain.auditOnce(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
 	case number < chain.Number():
 		return RelationLocalAhead, nil
@@ -47,8 +47,10 @@
 	return RelationSame, nil
 }
 
-func forkRefusal(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
-	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
+// forkRefusal returns the refusal for a number under which the peer and this daemon have
+// accepted different contents.
+func forkRefusal(number yuccaid.ConfigNumber, peerDigest, localDigest yuccaid.Digest) *Refusal {
+	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", peerDigest, localDigest)
 }
 
 // FetchPlan is what to fetch from a peer in order to reach its number: the notes with
@@ -61,25 +63,26 @@
 // PlanFetch returns what to fetch from a peer whose configuration has the given number:
 // the missing notes, or a snapshot if there are too many of them.
 //
-// If a note is refused after a plan listed it, the next plan is a snapshot as well:
-// after a fork the peer's later notes build on another content, so they can never be
-// applied here. A note that came from the platform and was never planned does not cause
-// this, because it is invalid for all daemons, and each of them would fetch a snapshot
-// once it is corrected. A peer that no longer keeps a note's text sends a snapshot.
+// If a note is refused after a plan listed it, the next plan is a snapshot as well: after
+// a fork the peer's later notes are based on the content that it accepted, so this daemon
+// can never apply them. A refused note that no plan listed does not cause a snapshot: it
+// came from the platform and is invalid for all daemons, and each of them would fetch a
+// snapshot once it is corrected. A peer that no longer keeps a note's text sends a
+// snapshot.
 func (chain *Chain) PlanFetch(number yuccaid.ConfigNumber) FetchPlan {
 	next := chain.Number() + 1
 	if number < next {
 		return FetchPlan{}
 	}
-	if number-chain.Number() > maxKeptNotes || chain.plannedRefused == next {
+	if number-chain.Number() > maxKeptNotes || chain.refusedNext == next {
 		return FetchPlan{Snapshot: true}
 	}
-	chain.planned = next
+	chain.plannedNext = next
 	return FetchPlan{Notes: chain.missingUpTo(number)}
 }
 
-// missingUpTo returns the numbers after the current one, up to highest, whose notes are not
-// held; at most maxKeptNotes of them.
+// missingUpTo returns the numbers after the current one, up to highest, whose notes are
+// not held; at most maxKeptNotes of them.
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
 	var missing []yuccaid.ConfigNumber
 	for number := chain.Number() + 1; number <= highest && len(missing) < int(maxKeptNotes); number++ {
@@ -90,7 +93,8 @@
 	return missing
 }
 
-// Missing returns the numbers of the missing notes that held notes wait for.
+// Missing returns the numbers of the missing notes without which the held notes can't be
+// applied.
 func (chain *Chain) Missing() []yuccaid.ConfigNumber {
 	if len(chain.held) == 0 {
 		return nil
@@ -99,25 +103,25 @@
 }
 
 // Adopt puts a complete configuration from a peer or a baseline in force if its number
-// is higher than the current one and it has the announced digest. If digest is empty, the
-// digest is not checked.
+// is higher than the current one and its digest is the one that was announced (digest). An
+// empty digest is not checked.
 //
-// The texts of earlier notes are dropped: after a fork they may belong to another branch
-// than the snapshot, and a peer that fetched them would follow the wrong branch.
+// The texts of earlier notes are dropped: after a fork they may belong to the
+// abandoned branch, and a peer that fetched them would apply notes of that branch.
 func (chain *Chain) Adopt(now time.Time, from string, state *State, digest yuccaid.Digest) (Verdict, error) {
-	number, found := state.Number, state.Digest()
+	number, actual := state.Number, state.Digest()
 	verdict := Verdict{Kind: VerdictRefused, Number: number}
-	content := sha256.Sum256([]byte(from + " " + string(found)))
+	content := sha256.Sum256([]byte(from + " " + string(actual)))
 	switch {
-	case digest != "" && digest != found:
-		err := newRefusal(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", found, digest)
+	case digest != "" && digest != actual:
+		err := newRefusal(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", actual, digest)
 		verdict.Entries = chain.auditOnce(now, EntryRefused, number, from, content, err)
 		return verdict, err
-	case number == chain.Number() && found == chain.digest:
+	case number == chain.Number() && actual == chain.digest:
 		verdict.Kind = VerdictRepeated
 		return verdict, nil
 	case number == chain.Number():
-		err := forkRefusal(number, found, chain.digest)
+		err := forkRefusal(number, actual, chain.digest)
 		verdict.Kind = VerdictAlarm
 		verdict.Entries = chain.auditOnce(now, EntryAlarm, number, from, content, err)
 		return verdict, err
@@ -126,11 +130,11 @@
 	}
 	verdict.Kind = VerdictAccepted
 	verdict.Entries = []Entry{chain.advance(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.ConfigNumber, _ acceptedNote) bool { return earlier+maxKeptDigests <= number })
-	for earlier, kept := range chain.accepted {
-		chain.accepted[earlier] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
+	maps.DeleteFunc(chain.accepted, func(accepted yuccaid.ConfigNumber, _ acceptedNote) bool { return accepted+maxKeptDigests <= number })
+	for accepted, kept := range chain.accepted {
+		chain.accepted[accepted] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
 	}
-	chain.accepted[number] = acceptedNote{configDigest: found}
+	chain.accepted[number] = acceptedNote{configDigest: actual}
 	chain.dropOld()
 	verdict.Entries = append(verdict.Entries, chain.releaseHeld(now)...)
 	return verdict, nil
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -8,10 +8,11 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// partOverhead is the space in a part for everything but its records, in bytes.
+// partOverhead is the space reserved in a part for all fields but its records, in bytes.
 const partOverhead yuccaid.Bytes = 512
 
-// Part is one part of a baseline, which is published under its own key.
+// Part is one part of a baseline, a whole configuration that is published on the platform.
+// Each part is published under its own key.
 type Part struct {
 	Number yuccaid.ConfigNumber
 	Index  int
@@ -24,10 +25,10 @@
 }
 
 // Baseline encodes a configuration in parts of at most limit bytes each; the result is
-// deterministic. A new process reads the parts instead of all notes. There are several
-// because the platform stores values of at most a megabyte, and a fleet's accounts and
-// targets don't fit into one. An object that is larger than the limit gets a part of its
-// own, which exceeds it.
+// deterministic. A new process reads the parts instead of all notes. A baseline has
+// several parts because the platform stores values of at most a megabyte, and a fleet's
+// accounts and targets don't fit into one. An object that is larger than the limit gets a
+// part of its own, which exceeds it.
 func Baseline(s *State, limit yuccaid.Bytes) []Part {
 	groups := splitRecords(s.records(), limit-partOverhead)
 	digest := s.Digest()
@@ -44,10 +45,10 @@
 }
 
 // splitRecords splits records into consecutive groups of at most limit encoded bytes
-// each; a larger record forms a splitRecords of its own.
+// each; a record that is larger forms a group of its own.
 func splitRecords(records []record, limit yuccaid.Bytes) [][]record {
 	groups := [][]record{nil}
-	used := yuccaid.Bytes(0)
+	groupSize := yuccaid.Bytes(0)
 	for _, rec := range records {
 		raw, err := encode(rec)
 		if err != nil {
@@ -55,12 +56,12 @@
 		}
 		size := yuccaid.Bytes(len(raw))
 		last := len(groups) - 1
-		if used+size > limit && len(groups[last]) > 0 {
+		if groupSize+size > limit && len(groups[last]) > 0 {
 			groups = append(groups, nil)
-			last, used = last+1, 0
+			last, groupSize = last+1, 0
 		}
 		groups[last] = append(groups[last], rec)
-		used += size
+		groupSize += size
 	}
 	return groups
 }
@@ -81,15 +82,15 @@
 	if len(snaps) == 0 {
 		return nil, newRefusal(0, ErrParts, "", "publish the baseline's parts", "there are no parts")
 	}
-	whole := snaps[0]
-	whole.Records = nil
+	joined := snaps[0]
+	joined.Records = nil
 	for i, snap := range snaps {
-		if err := whole.checkPart(snap, i, len(snaps)); err != nil {
+		if err := joined.checkPart(snap, i, len(snaps)); err != nil {
 			return nil, err
 		}
-		whole.Records = append(whole.Records, snap.Records...)
+		joined.Records = append(joined.Records, snap.Records...)
 	}
-	return whole.state()
+	return joined.state()
 }
 
 // checkPart refuses a part that is of another baseline than snap, or that is not the part
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -10,18 +10,20 @@
 
 const (
 	// maxHeldNotes and maxHeldBytes bound the notes that wait for an earlier one. A watch
-	// delivers at most some dozens out of order; for more, a snapshot is cheaper.
+	// on the platform's store delivers at most some dozens of notes out of order; for
+	// more, a snapshot is cheaper.
 	maxHeldNotes               = 64
 	maxHeldBytes yuccaid.Bytes = 2 * NoteLimit
 	// maxKeptNotes and maxKeptBytes bound the texts of accepted notes that are kept for
 	// peers that were disconnected; a peer that lacks more notes fetches a snapshot.
 	maxKeptNotes yuccaid.ConfigNumber = 64
 	maxKeptBytes yuccaid.Bytes        = 4 * NoteLimit
-	// maxKeptDigests bounds the number of accepted notes whose digests are kept, by which
-	// a changed content of their keys is detected.
+	// maxKeptDigests bounds the number of accepted notes whose digests are kept in order
+	// to detect that the content of a note's key has changed.
 	maxKeptDigests yuccaid.ConfigNumber = 4096
-	// maxReported bounds the record of audit entries made, which prevents repeated ones.
-	maxReported = 1024
+	// maxAuditKeys bounds Chain.audited; above it, all keys are dropped, and an entry may
+	// be recorded once more.
+	maxAuditKeys = 1024
 )
 
 // VerdictKind is the outcome of offering a note or a snapshot to a chain.
@@ -65,18 +67,19 @@
 // that hold the other one refuse it because of its base, and then adopt the higher
 // configuration as a snapshot.
 type Chain struct {
-	state          *State
-	digest         yuccaid.Digest
-	accepted       map[yuccaid.ConfigNumber]acceptedNote
-	held           map[yuccaid.ConfigNumber]PublishedNote
-	planned        yuccaid.ConfigNumber // number of the next note, once PlanFetch listed it
-	plannedRefused yuccaid.ConfigNumber // number of the next note, once it was planned and refused
-	reported       map[reportKey]bool
+	state       *State
+	digest      yuccaid.Digest
+	accepted    map[yuccaid.ConfigNumber]acceptedNote
+	held        map[yuccaid.ConfigNumber]PublishedNote
+	plannedNext yuccaid.ConfigNumber // number after the current one when PlanFetch last listed notes
+	refusedNext yuccaid.ConfigNumber // number of the last refused note that was plannedNext
+	audited     map[auditKey]bool
 }
 
 // acceptedNote is what is kept of an accepted note: its text (raw) for peers that lack
-// it, and the digests by which another content of its number is detected: of the text,
-// of the note's canonical form and of the configuration after it.
+// it, and the digests by which another content under its number is detected: rawSum of
+// the text, noteDigest of the note's canonical form and configDigest of the configuration
+// after it.
 type acceptedNote struct {
 	raw          []byte
 	rawSum       sum
@@ -84,10 +87,10 @@
 	configDigest yuccaid.Digest
 }
 
-// reportKey identifies an audit entry that was made already, so that a service that
-// returns the same wrong note on every poll does not fill the audit trail. A refusal is
-// recorded again once the chain's number (current) has changed.
-type reportKey struct {
+// auditKey identifies a recorded refusal or alarm, so that it is not recorded again: the
+// platform's service may return the same invalid note on every poll, and would fill the
+// audit trail. A refusal is recorded again once the chain's number (current) has changed.
+type auditKey struct {
 	reason  string
 	number  yuccaid.ConfigNumber
 	content sum
@@ -102,7 +105,7 @@
 		digest:   empty.Digest(),
 		accepted: map[yuccaid.ConfigNumber]acceptedNote{},
 		held:     map[yuccaid.ConfigNumber]PublishedNote{},
-		reported: map[reportKey]bool{},
+		audited:  map[auditKey]bool{},
 	}
 }
 
@@ -175,7 +178,7 @@
 
 // offerPast compares a note with the one accepted under its number. A difference in
 // layout only is harmless. A difference in content raises an alarm, because daemons that
-// start now would read it instead of the note that the fleet has accepted.
+// start now would read the changed note instead of the one that the fleet has accepted.
 func (chain *Chain) offerPast(now time.Time, pub PublishedNote) (Verdict, error) {
 	kept := chain.accepted[pub.number]
 	if kept.noteDigest == "" {
@@ -190,17 +193,18 @@
 	return Verdict{Kind: VerdictAlarm, Number: pub.number, Entries: entries}, alarm
 }
 
-// recordRefusal returns the verdict for a note that was refused with err, and notes whether
-// PlanFetch had listed it.
+// recordRefusal returns the verdict for a note that was refused with err. If PlanFetch had
+// listed the note, the next plan is a snapshot.
 func (chain *Chain) recordRefusal(now time.Time, pub PublishedNote, err error) (Verdict, error) {
-	if pub.number > 0 && pub.number == chain.planned {
-		chain.plannedRefused = pub.number
+	if pub.number > 0 && pub.number == chain.plannedNext {
+		chain.refusedNext = pub.number
 	}
 	entries := chain.auditOnce(now, EntryRefused, pub.number, pub.note.Author, pub.rawSum, err)
 	return Verdict{Kind: VerdictRefused, Number: pub.number, Entries: entries}, err
 }
 
-// releaseHeld applies held notes until the next one is missing or refused.
+// releaseHeld applies the held notes in the order of their numbers, until the next one is
+// missing or refused.
 func (chain *Chain) releaseHeld(now time.Time) []Entry {
 	var entries []Entry
 	for {
@@ -243,20 +247,20 @@
 	return Entry{At: now, Kind: kind, By: by, Number: after.Number, Before: before, After: chain.digest}
 }
 
-// auditOnce returns an audit entry for a refusal or an alarm, or none if it was recorded
-// before.
+// auditOnce returns an audit entry for a refusal or an alarm, or none if the same
+// refusal or alarm was recorded before. content identifies what was refused.
 func (chain *Chain) auditOnce(now time.Time, kind EntryKind, number yuccaid.ConfigNumber, by string, content sum, err error) []Entry {
-	key := reportKey{reason: Reason(err), number: number, content: content}
+	key := auditKey{reason: Reason(err), number: number, content: content}
 	if kind == EntryRefused {
 		key.current = chain.Number()
 	}
-	if chain.reported[key] {
+	if chain.audited[key] {
 		return nil
 	}
-	if len(chain.reported) >= maxReported {
-		clear(chain.reported)
+	if len(chain.audited) >= maxAuditKeys {
+		clear(chain.audited)
 	}
-	chain.reported[key] = true
+	chain.audited[key] = true
 	return []Entry{{
 		At: now, Kind: kind, By: by, Number: number, Before: chain.digest, After: chain.digest,
 		Reason: key.reason, Detail: err.Error(),
@@ -264,8 +268,9 @@
 }
 
 // dropOld drops the texts, and later the digests, of old notes, so that the memory of a
-// daemon that runs for years does not grow with every note. It visits only the numbers
-// that may just have passed a limit.
+// daemon that runs for years does not grow with every note. It visits only the
+// notes that may have exceeded a limit since the previous call; age is how many numbers a
+// note is behind the newest.
 func (chain *Chain) dropOld() {
 	newest := chain.Number()
 	size := yuccaid.Bytes(0)
--- a/core/yuccastate/chain_test.go
+++ b/core/yuccastate/chain_test.go
@@ -12,6 +12,7 @@
 	"yuccacleat/core/yuccastate"
 )
 
+// noon is the time of all audit entries in these tests.
 var noon = time.Unix(1_800_000_000, 0)
 
 // mustOffer offers a note and fails the test if the chain returns an error.
@@ -22,20 +23,21 @@
 	return verdict
 }
 
-// chainWithNotes returns a chain with the first note of testdata, followed by the given number
-// of notes that set the goodput weight to 2, 3, 4 and so on.
+// chainWithNotes returns a chain with the first note of testdata, followed by the given
+// number of notes that set the goodput weight to 2, 3, 4 and so on.
 func chainWithNotes(more int) *yuccastate.Chain {
 	GinkgoHelper()
 	chain := yuccastate.NewChain()
-	key, raw := published(chain.State(), string(read("first.yaml")))
+	key, raw := nextPublished(chain.State(), string(readTestdata("first.yaml")))
 	mustOffer(chain, key, raw)
 	for i := range more {
-		key, raw := published(chain.State(), weightNote(i+2))
+		key, raw := nextPublished(chain.State(), weightNote(i+2))
 		mustOffer(chain, key, raw)
 	}
 	return chain
 }
 
+// weightNote returns a note that sets the goodput weight.
 func weightNote(weight int) string {
 	return fmt.Sprintf("changed: {policy: {goodputWeight: %d}}", weight)
 }
@@ -44,7 +46,7 @@
 	It("accepts a note once and records it in the audit trail", func() {
 		chain := yuccastate.NewChain()
 		before := chain.Digest()
-		key, raw := published(chain.State(), string(read("first.yaml")))
+		key, raw := nextPublished(chain.State(), string(readTestdata("first.yaml")))
 		Expect(mustOffer(chain, key, raw).Entries).To(ConsistOf(yuccastate.Entry{
 			At: noon, Kind: yuccastate.EntryAccepted, By: "anna", Number: 1, Before: before, After: chain.Digest(),
 		}))
@@ -55,7 +57,7 @@
 
 	It("holds notes that arrive before their predecessor and accepts them after it", func() {
 		// Pages from the platform's service and answers from peers may arrive in any
-		// order. If the later note were not held, it would be missing until the next fetch.
+		// order. A later note that is dropped would be missing until the next fetch.
 		source, chain := chainWithNotes(3), yuccastate.NewChain()
 		for _, number := range []yuccaid.ConfigNumber{3, 2, 4} {
 			raw, _ := source.Note(number)
@@ -70,7 +72,8 @@
 	})
 
 	It("holds and requests a bounded number of notes, those with the lowest numbers", func() {
-		// Notes with far too high numbers must not displace the notes that come next.
+		// Notes with numbers that are far too high must not displace the notes that are
+		// applied next.
 		source, chain := chainWithNotes(2), yuccastate.NewChain()
 		for number := yuccaid.ConfigNumber(1_000_000); number < 1_000_200; number++ {
 			mustOffer(chain, yuccastate.NoteKey(number), []byte("by: nobody"))
@@ -97,38 +100,39 @@
 			Expect(verdict.Kind).To(Equal(yuccastate.VerdictAlarm))
 			Expect(verdict.Entries).To(HaveExactElements(HaveField("Kind", yuccastate.EntryAlarm)))
 			Expect(verdict.Entries[0].By).To(Equal("mallory"))
-			again, err := chain.Offer(noon, yuccastate.NoteKey(2), []byte(raw))
+			repeated, err := chain.Offer(noon, yuccastate.NoteKey(2), []byte(raw))
 			Expect(err).To(MatchError(yuccastate.ErrContentChanged))
-			Expect(again.Entries).To(BeEmpty(), "recorded already")
+			Expect(repeated.Entries).To(BeEmpty(), "recorded already")
 		}
 		Expect(chain.Digest()).To(Equal(before))
 	})
 
 	It("refuses the second of two notes with one base, and records it once", func() {
-		// Two operators read configuration 1 and publish under the next free keys. If both
-		// notes were accepted, the result would be a mixture that neither of them has seen.
+		// Two operators read configuration 1 and publish their notes under the keys 2 and
+		// 3. If both notes were accepted, the result would be a configuration that neither
+		// of them has seen.
 		chain := chainWithNotes(0)
-		_, slower := published(chain.State(), weightNote(9))
-		key, faster := published(chain.State(), weightNote(2))
-		mustOffer(chain, key, faster)
-		late := []byte(strings.Replace(string(slower), "number: 2", "number: 3", 1))
-		verdict, err := chain.Offer(noon, yuccastate.NoteKey(3), late)
+		_, secondText := nextPublished(chain.State(), weightNote(9))
+		key, firstText := nextPublished(chain.State(), weightNote(2))
+		mustOffer(chain, key, firstText)
+		secondAsNote3 := []byte(strings.Replace(string(secondText), "number: 2", "number: 3", 1))
+		verdict, err := chain.Offer(noon, yuccastate.NoteKey(3), secondAsNote3)
 		Expect(err).To(MatchError(yuccastate.ErrBase))
 		Expect(verdict.Entries).To(HaveLen(1))
 		Expect(verdict.Entries[0].Reason).To(Equal("wrong base"))
 		Expect(verdict.Entries[0].By).To(Equal("anna"))
 		Expect(verdict.Entries[0].After).To(Equal(verdict.Entries[0].Before))
 		Expect(chain.PlanFetch(3).Snapshot).To(BeFalse(), "a note that all daemons refuse needs no snapshot")
-		verdict, _ = chain.Offer(noon, yuccastate.NoteKey(3), late)
+		verdict, _ = chain.Offer(noon, yuccastate.NoteKey(3), secondAsNote3)
 		Expect(verdict.Entries).To(BeEmpty())
-		key, mended := published(chain.State(), weightNote(9))
-		Expect(mustOffer(chain, key, mended).Kind).To(Equal(yuccastate.VerdictAccepted), "under the same key")
+		key, corrected := nextPublished(chain.State(), weightNote(9))
+		Expect(mustOffer(chain, key, corrected).Kind).To(Equal(yuccastate.VerdictAccepted), "under the same key")
 	})
 
 	DescribeTable("refuses what is published under a wrong key",
 		func(key string, number yuccaid.ConfigNumber) {
 			chain := chainWithNotes(0)
-			_, raw := published(chain.State(), weightNote(2))
+			_, raw := nextPublished(chain.State(), weightNote(2))
 			raw = []byte(strings.Replace(string(raw), "number: 2", fmt.Sprint("number: ", number), 1))
 			verdict, err := chain.Offer(noon, key, raw)
 			Expect(err).To(MatchError(yuccastate.ErrKey))
@@ -158,10 +162,11 @@
 var _ = Describe("two chains", func() {
 	It("keep different contents of one number, raise alarms, and converge with the next note", func() {
 		// An operator overwrites note 2 while two data centres are disconnected. One has
-		// accepted the first content, the other reads the second only. Neither may revert.
+		// accepted the first content, the other reads the second only. Neither may replace
+		// the content that it accepted.
 		east, west := chainWithNotes(0), chainWithNotes(0)
-		key, first := published(east.State(), weightNote(2))
-		_, second := published(east.State(), weightNote(9))
+		key, first := nextPublished(east.State(), weightNote(2))
+		_, second := nextPublished(east.State(), weightNote(9))
 		mustOffer(east, key, first)
 		mustOffer(west, key, second)
 		kept := west.Digest()
@@ -177,7 +182,7 @@
 		Expect(verdict.Kind).To(Equal(yuccastate.VerdictAlarm))
 		Expect(west.Digest()).To(Equal(kept))
 
-		key, third := published(east.State(), weightNote(5))
+		key, third := nextPublished(east.State(), weightNote(5))
 		mustOffer(east, key, third)
 		relation, _ := east.ComparePeer(noon, "west-1", west.Number(), west.Digest())
 		Expect(relation).To(Equal(yuccastate.RelationForked), "also while the peer is at a lower number")
@@ -190,13 +195,13 @@
 		Expect(verdict.Entries).To(ConsistOf(yuccastate.Entry{
 			At: noon, Kind: yuccastate.EntryAdopted, By: "east-1", Number: 3, Before: kept, After: east.Digest(),
 		}))
-		_, spread := west.Note(2)
-		Expect(spread).To(BeFalse(), "the text of the abandoned branch is no longer sent to peers")
+		_, stillKept := west.Note(2)
+		Expect(stillKept).To(BeFalse(), "the text of the abandoned branch is no longer sent to peers")
 	})
 
 	It("adopt a snapshot only if its number is higher and its digest is the announced one", func() {
-		// A peer that was paused offers an old configuration; a snapshot may also have
-		// another number than the heartbeat that announced it.
+		// A peer that was suspended offers an old configuration. A snapshot may also be of
+		// another configuration than the heartbeat that announced it.
 		old, chain := chainWithNotes(0), chainWithNotes(2)
 		before := chain.Digest()
 		_, err := chain.Adopt(noon, "peer", old.State(), old.Digest())
@@ -217,6 +222,8 @@
 	})
 
 	It("apply held notes after a snapshot", func() {
+		// A note that arrived before the snapshot would otherwise be missing until the
+		// next fetch.
 		source, chain := chainWithNotes(4), yuccastate.NewChain()
 		raw, _ := source.Note(5)
 		mustOffer(chain, yuccastate.NoteKey(5), raw)
--- a/core/yuccastate/check.go
+++ b/core/yuccastate/check.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// longestRunLimit bounds the time for which a lost request still occupies a slot of
-	// its target.
+	// longestRunLimit bounds a pool's LongestRun, which is how long a lost request still
+	// occupies a slot of its target.
 	longestRunLimit = 24 * time.Hour
 	// slotsLimit catches a mistyped number: an engine runs some hundred requests at once.
 	slotsLimit = 10_000
@@ -24,11 +24,13 @@
 	weightLimit = 1_000_000
 	// delayLimit catches a wrong unit: the longest links take a third of a second.
 	delayLimit = time.Minute
-	// wordLimit bounds names that are not defined by the configuration, such as those of
-	// models, in bytes.
-	wordLimit   = 200
+	// externalNameLimit bounds names that are not defined by the configuration, such as
+	// those of models, in bytes.
+	externalNameLimit = 200
+	// authorLimit bounds the author of a note, in bytes.
 	authorLimit = 100
 
+	// digestDigits is the length of a SHA-256 digest in hex.
 	digestDigits = 64
 	nameRemedy   = "use 1 to 63 lower-case letters, digits and hyphens, the first not a hyphen"
 )
@@ -58,9 +60,9 @@
 	}
 }
 
-// expect reports a bad value unless holds is true.
-func (bld *builder) expect(holds bool, key, remedy, detail string, args ...any) {
-	if !holds {
+// expect reports a bad value unless valid is true.
+func (bld *builder) expect(valid bool, key, remedy, detail string, args ...any) {
+	if !valid {
 		bld.problems = append(bld.problems, badValue(key, remedy, detail, args...))
 	}
 }
@@ -69,8 +71,8 @@
 	bld.expect(validAmount(amount), key, "write a number from 0 up", "is %v", amount)
 }
 
-// expectSet sorts items, and reports those that occur twice.
-func (bld *builder) expectSet(items []string, key string) {
+// expectDistinct reports items that occur twice; it sorts items in place.
+func (bld *builder) expectDistinct(items []string, key string) {
 	slices.Sort(items)
 	for i := 1; i < len(items); i++ {
 		if items[i] == items[i-1] {
@@ -108,13 +110,13 @@
 }
 
 func (bld *builder) checkSetup(key string, setup EngineSetup) {
-	bld.expect(validWord(string(setup.Model)), key+".model", wordRemedy(), "is %q", setup.Model)
-	bld.expect(validWord(setup.Version), key+".version", wordRemedy(), "is %q", setup.Version)
-	bld.expect(validWord(setup.Role), key+".role", wordRemedy(), "is %q", setup.Role)
+	bld.expect(validExternalName(string(setup.Model)), key+".model", externalNameRemedy(), "is %q", setup.Model)
+	bld.expect(validExternalName(setup.Version), key+".version", externalNameRemedy(), "is %q", setup.Version)
+	bld.expect(validExternalName(setup.Role), key+".role", externalNameRemedy(), "is %q", setup.Role)
 	for _, adapter := range setup.Adapters {
-		bld.expect(adapter != "" && validWord(string(adapter)), key+".adapters", wordRemedy(), "lists %q", adapter)
+		bld.expect(adapter != "" && validExternalName(string(adapter)), key+".adapters", externalNameRemedy(), "lists %q", adapter)
 	}
-	bld.expectSet(toStrings(setup.Adapters), key+".adapters")
+	bld.expectDistinct(toStrings(setup.Adapters), key+".adapters")
 }
 
 func (bld *builder) checkTarget(key string, tgt Target) {
@@ -136,9 +138,9 @@
 	bld.expect(validDigest(acc.Credential), key+".credential", "write the SHA-256 of the bearer secret in 64 lower-case hex digits", "is not a digest")
 	bld.expect(len(acc.Tiers) > 0, key+".tiers", "list the tiers that it may use", "is empty")
 	bld.expect(len(acc.Pools) > 0, key+".pools", "list the pools that it may use", "is empty")
-	bld.expectSet(toStrings(acc.Tiers), key+".tiers")
-	bld.expectSet(toStrings(acc.Pools), key+".pools")
-	bld.expectSet(toStrings(acc.Targets), key+".targets")
+	bld.expectDistinct(toStrings(acc.Tiers), key+".tiers")
+	bld.expectDistinct(toStrings(acc.Pools), key+".pools")
+	bld.expectDistinct(toStrings(acc.Targets), key+".targets")
 	inRange := acc.Weight > 0 && acc.Weight <= weightLimit
 	bld.expect(inRange, key+".weight", fmt.Sprintf("write its share against other accounts, 1 to %d", weightLimit), "is %d", acc.Weight)
 	bld.expectAmount(acc.Limits.RequestsPerSecond, key+".limits.requestsPerSecond")
@@ -157,19 +159,20 @@
 // would be counted twice, and with equal credentials a caller would belong to two client
 // accounts.
 func (bld *builder) checkUnique() {
-	add, change, drop, next := bld.note.Added, bld.note.Changed, bld.note.Withdrawn, bld.next
+	add, change, withdrawn, next := bld.note.Added, bld.note.Changed, bld.note.Withdrawn, bld.next
 	if len(add.Tiers)+len(change.Tiers) > 0 {
 		indexUnique(bld, KindTier, "rank", next.Tiers, add.Tiers, change.Tiers, func(tier Tier) int { return tier.Rank })
 	}
 	if len(add.Targets)+len(change.Targets) > 0 {
 		indexUnique(bld, KindTarget, "address", next.Targets, add.Targets, change.Targets, func(tgt Target) string { return tgt.Address })
 	}
-	if len(add.Accounts)+len(change.Accounts)+len(drop.Accounts) > 0 || next.credentials == nil {
+	if len(add.Accounts)+len(change.Accounts)+len(withdrawn.Accounts) > 0 || next.credentials == nil {
 		next.credentials = indexUnique(bld, KindAccount, "credential", next.Accounts, add.Accounts, change.Accounts, func(acc Account) yuccaid.Digest { return acc.Credential })
 	}
 }
 
-// indexUnique returns the objects' names by value, and reports values that occur twice.
+// indexUnique returns the name of the object that has each value of the field, and reports
+// values that occur twice.
 // Objects that the note does not mention are indexed first, so that the problem is always
 // reported at an object of the note.
 func indexUnique[K ~string, V any, I comparable](bld *builder, kind Kind, field string, objects, added, changed map[K]V, valueOf func(V) I) map[I]K {
@@ -201,6 +204,7 @@
 	return plain
 }
 
+// validAmount reports whether amount is finite and not negative.
 func validAmount(amount float64) bool {
 	return amount >= 0 && !math.IsInf(amount, 0)
 }
@@ -209,18 +213,19 @@
 	return len(digest) == digestDigits && strings.Trim(string(digest), "0123456789abcdef") == ""
 }
 
-func wordRemedy() string {
-	return fmt.Sprintf("use up to %d printable characters without spaces", wordLimit)
+func externalNameRemedy() string {
+	return fmt.Sprintf("use up to %d printable characters without spaces", externalNameLimit)
 }
 
-func validWord(word string) bool {
-	return len(word) <= wordLimit && printable(word) && !strings.ContainsRune(word, ' ')
+func validExternalName(name string) bool {
+	return len(name) <= externalNameLimit && printable(name) && !strings.ContainsRune(name, ' ')
 }
 
-func validAuthor(by string) bool {
-	return by != "" && len(by) <= authorLimit && printable(by)
+func validAuthor(author string) bool {
+	return author != "" && len(author) <= authorLimit && printable(author)
 }
 
+// printable reports whether text is valid UTF-8 and all its characters are printable.
 func printable(text string) bool {
 	return utf8.ValidString(text) && strings.IndexFunc(text, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
 }
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -16,15 +16,15 @@
 // another encoding refuses a snapshot instead of misreading it.
 const snapshotVersion = 1
 
-// record is one encoded object in a snapshot.
+// record is one object in a snapshot; Body is the object encoded as MessagePack.
 type record struct {
 	Kind Kind               `json:"kind"`
 	Name string             `json:"name"`
 	Body msgpack.RawMessage `json:"body"`
 }
 
-// snapshot is an encoded configuration, or one part (Index) of Count that together make
-// up a baseline. Form is the version of the encoding.
+// snapshot is an encoded configuration, or part number Index, from 0, of the Count parts
+// of a baseline. Form is the version of the encoding.
 type snapshot struct {
 	Form    int                  `json:"form"`
 	Number  yuccaid.ConfigNumber `json:"number"`
@@ -101,6 +101,7 @@
 	return all
 }
 
+// objectsOf decodes the objects in records.
 func objectsOf(records []record) (Objects, error) {
 	objs := Objects{
 		Centres: map[yuccaid.Centre]Centre{}, Links: map[yuccaid.Region]Link{}, Tiers: map[yuccaid.Tier]Tier{},
@@ -170,7 +171,7 @@
 }
 
 // decode refuses trailing bytes and unknown fields, because both mean that the sender
-// encoded something that would be dropped without notice.
+// encoded something that this daemon would drop without notice.
 func decode(raw []byte, into any) error {
 	if err := yuccapack.Check(raw); err != nil {
 		return err
--- a/core/yuccastate/codec_test.go
+++ b/core/yuccastate/codec_test.go
@@ -20,32 +20,33 @@
 		state := largeState()
 		raw, err := yuccastate.EncodeState(state)
 		Expect(err).NotTo(HaveOccurred())
-		back, err := yuccastate.DecodeState(raw)
+		decoded, err := yuccastate.DecodeState(raw)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(yuccastate.Diff(state, back)).To(BeEmpty())
-		Expect(back.Digest()).To(Equal(state.Digest()))
-		again, err := yuccastate.EncodeState(back)
+		Expect(yuccastate.Diff(state, decoded)).To(BeEmpty())
+		Expect(decoded.Digest()).To(Equal(state.Digest()))
+		again, err := yuccastate.EncodeState(decoded)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(again, raw)).To(BeTrue())
 	})
 
 	It("is refused when a single byte differs", func() {
 		// A damaged snapshot would put wrong addresses of all targets in force at once. A
-		// snapshot that announces billions of keys before a few bytes once ended the process
-		// by exhausting its memory, and with it all requests that it held.
+		// snapshot of a few bytes that announces billions of keys once exhausted the
+		// memory of the process and ended it, and with it all requests that it held.
 		raw, err := yuccastate.EncodeState(founded())
 		Expect(err).NotTo(HaveOccurred())
+		// The MessagePack codes for a map, an array and bytes with a length of 32 bits.
 		const map32, array32, bin32 = 0xdf, 0xdd, 0xc6
-		for at := range raw {
-			for _, code := range []byte{raw[at] ^ 1, map32, array32, bin32} {
+		for offset := range raw {
+			for _, newByte := range []byte{raw[offset] ^ 1, map32, array32, bin32} {
 				damaged := slices.Clone(raw)
-				damaged[at] = code
-				back, err := yuccastate.DecodeState(damaged)
-				if err == nil && back.Digest() != founded().Digest() || err != nil && yuccastate.Reason(err) == "" {
-					Fail(fmt.Sprintf("byte %d as %x: %v", at, code, err))
+				damaged[offset] = newByte
+				decoded, err := yuccastate.DecodeState(damaged)
+				if err == nil && decoded.Digest() != founded().Digest() || err != nil && yuccastate.Reason(err) == "" {
+					Fail(fmt.Sprintf("byte %d as %x: %v", offset, newByte, err))
 				}
 			}
-			_, err = yuccastate.DecodeState(raw[:at])
+			_, err = yuccastate.DecodeState(raw[:offset])
 			Expect(err).To(MatchError(yuccastate.ErrGarbled))
 		}
 		_, err = yuccastate.DecodeState(append(raw, 0))
@@ -70,13 +71,13 @@
 		}
 		Expect(len(parts)).To(BeNumerically(">=", 5))
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
-		back, err := yuccastate.JoinParts(parts)
+		decoded, err := yuccastate.JoinParts(parts)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back.Digest()).To(Equal(state.Digest()))
+		Expect(decoded.Digest()).To(Equal(state.Digest()))
 	})
 
-	// The keys of a baseline are published one by one. A daemon that reads them in between
-	// would start with half of the accounts unknown if JoinParts accepted what is there.
+	// The parts of a baseline are published one by one. If JoinParts accepted an incomplete
+	// set, a daemon that reads it in between would start without half of the accounts.
 	first, second := founded(), founded()
 	second.Number, second.Policy.GoodputWeight = 2, 9
 	parts := yuccastate.Baseline(first, 1000)
@@ -104,7 +105,7 @@
 	It("shares the maps that the note does not mention and never writes to the old state", func() {
 		before := largeState()
 		digest := before.Digest()
-		after, err := before.Apply(parsed(before, "withdrawn: {targets: [target-7]}"))
+		after, err := before.Apply(nextNote(before, "withdrawn: {targets: [target-7]}"))
 		Expect(err).NotTo(HaveOccurred())
 		pointer := func(of any) uintptr { return reflect.ValueOf(of).Pointer() }
 		Expect(pointer(after.Accounts)).To(Equal(pointer(before.Accounts)))
@@ -116,7 +117,7 @@
 })
 
 // FuzzDecodeState searches for bytes from a peer that make the decoder panic, and for
-// accepted ones that differ after being encoded and decoded again.
+// accepted bytes whose state differs after being encoded and decoded again.
 func FuzzDecodeState(f *testing.F) {
 	raw, _ := yuccastate.EncodeState(founded())
 	f.Add(raw)
@@ -126,9 +127,9 @@
 			return
 		}
 		again, _ := yuccastate.EncodeState(state) // if this fails, again is empty and the next line returns an error
-		back, err := yuccastate.DecodeState(again)
-		if err != nil || back.Digest() != state.Digest() {
-			t.Fatalf("%v: %s", err, yuccastate.Diff(state, back))
+		decoded, err := yuccastate.DecodeState(again)
+		if err != nil || decoded.Digest() != state.Digest() {
+			t.Fatalf("%v: %s", err, yuccastate.Diff(state, decoded))
 		}
 	})
 }
--- a/core/yuccastate/diff.go
+++ b/core/yuccastate/diff.go
@@ -32,18 +32,18 @@
 func diffKind[K ~string, V any](text *strings.Builder, kind Kind, a, b map[K]V) {
 	names := slices.Collect(maps.Keys(a))
 	for name := range b {
-		if _, both := a[name]; !both {
+		if _, inA := a[name]; !inA {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		before, had := a[name]
-		after, has := b[name]
+		before, inA := a[name]
+		after, inB := b[name]
 		switch {
-		case !had:
+		case !inA:
 			fmt.Fprintf(text, "+ %s.%s: %s\n", kind, name, objectLine(after))
-		case !has:
+		case !inB:
 			fmt.Fprintf(text, "- %s.%s\n", kind, name)
 		case string(canonical(before)) != string(canonical(after)):
 			fmt.Fprintf(text, "~ %s.%s\n", kind, name)
@@ -53,14 +53,14 @@
 }
 
 func diffFields(text *strings.Builder, before, after any) {
-	was, is := yuccayaml.Fields(before), yuccayaml.Fields(after)
+	fieldsBefore, fieldsAfter := yuccayaml.Fields(before), yuccayaml.Fields(after)
 	keys := []string{}
-	for _, field := range slices.Concat(was, is) {
+	for _, field := range slices.Concat(fieldsBefore, fieldsAfter) {
 		keys = append(keys, field.Key)
 	}
 	slices.Sort(keys)
 	for _, key := range slices.Compact(keys) {
-		if from, to := valueOrNone(was, key), valueOrNone(is, key); from != to {
+		if from, to := valueOrNone(fieldsBefore, key), valueOrNone(fieldsAfter, key); from != to {
 			fmt.Fprintf(text, "    %s: %s -> %s\n", key, from, to)
 		}
 	}
@@ -76,6 +76,7 @@
 	return "none"
 }
 
+// objectLine returns an object's fields on one line.
 func objectLine(object any) string {
 	var texts []string
 	for _, field := range yuccayaml.Fields(object) {
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -15,7 +15,7 @@
 // equal those of this one.
 const digestVersion = "yuccacleat configuration 1"
 
-// sum is a SHA-256 digest.
+// sum is a SHA-256 digest in binary form; yuccaid.Digest is the form in hex.
 type sum [sha256.Size]byte
 
 // kindSum holds the digest over all objects of a kind, and the digest of each by name. A
@@ -52,18 +52,20 @@
 	}
 }
 
-func sumTouched(before, now *State, names touchedNames) *sums {
+// sumTouched returns the digests of after, of which only the touched objects differ from
+// before.
+func sumTouched(before, after *State, touched touchedNames) *sums {
 	old := before.sums
 	if old == nil {
 		old = sumAll(before)
 	}
 	return &sums{
-		centres:  sumKind(now.Centres, names.centres, old.centres),
-		links:    sumKind(now.Links, names.links, old.links),
-		tiers:    sumKind(now.Tiers, names.tiers, old.tiers),
-		pools:    sumKind(now.Pools, names.pools, old.pools),
-		targets:  sumKind(now.Targets, names.targets, old.targets),
-		accounts: sumKind(now.Accounts, names.accounts, old.accounts),
+		centres:  sumKind(after.Centres, touched.centres, old.centres),
+		links:    sumKind(after.Links, touched.links, old.links),
+		tiers:    sumKind(after.Tiers, touched.tiers, old.tiers),
+		pools:    sumKind(after.Pools, touched.pools, old.pools),
+		targets:  sumKind(after.Targets, touched.targets, old.targets),
+		accounts: sumKind(after.Accounts, touched.accounts, old.accounts),
 	}
 }
 
@@ -73,21 +75,22 @@
 	if before.objects != nil && len(touched) == 0 {
 		return before
 	}
-	now := kindSum{objects: maps.Clone(before.objects)}
+	after := kindSum{objects: maps.Clone(before.objects)}
 	if before.objects == nil {
-		now.objects = make(map[string]sum, len(objects))
+		after.objects = make(map[string]sum, len(objects))
 		touched = slices.Collect(maps.Keys(objects))
 	}
 	for _, name := range touched {
-		delete(now.objects, string(name))
+		delete(after.objects, string(name))
 		if object, exists := objects[name]; exists {
-			now.objects[string(name)] = sha256.Sum256(canonical(object))
+			after.objects[string(name)] = sha256.Sum256(canonical(object))
 		}
 	}
-	now.all = sumObjects(now.objects)
-	return now
+	after.all = sumObjects(after.objects)
+	return after
 }
 
+// sumObjects returns the digest over the names and digests of objects, sorted by name.
 func sumObjects(objects map[string]sum) sum {
 	text := make([]byte, 0, len(objects)*2*sha256.Size)
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
@@ -113,13 +116,13 @@
 // Digest returns the digest of the number, the policy and all objects. Two states have
 // the same digest if and only if they are equal, whichever notes led to them.
 func (s *State) Digest() yuccaid.Digest {
-	parts := s.sums
-	if parts == nil {
-		parts = sumAll(s)
+	kindSums := s.sums
+	if kindSums == nil {
+		kindSums = sumAll(s)
 	}
 	hash := sha256.New()
 	fmt.Fprintf(hash, "%s\n%d\n%s\n", digestVersion, s.Number, canonical(s.Policy))
-	for _, kind := range []kindSum{parts.centres, parts.links, parts.tiers, parts.pools, parts.targets, parts.accounts} {
+	for _, kind := range []kindSum{kindSums.centres, kindSums.links, kindSums.tiers, kindSums.pools, kindSums.targets, kindSums.accounts} {
 		hash.Write(kind.all[:])
 	}
 	return yuccaid.Digest(hex.EncodeToString(hash.Sum(nil)))
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -8,6 +8,7 @@
 	"yuccacleat/core/yuccastate/yuccayaml"
 )
 
+// The sections of a note, by their keys.
 const (
 	sectionAdded     = "added"
 	sectionChanged   = "changed"
@@ -18,8 +19,9 @@
 // depends on s and the note only, so all daemons that hold the same configuration accept
 // the same notes and refuse the others for the same reasons.
 //
-// The note's base decides a race between two operators who wrote notes against the same
-// configuration: once one note is accepted, the base of the other is no longer current.
+// If two operators write notes against the same configuration, the note that is applied
+// first is accepted. The other is refused, because its base is no longer the current
+// digest.
 func (s *State) Apply(note Note) (*State, error) {
 	if note.Number != s.Number+1 {
 		remedy := fmt.Sprintf("number it %d", s.Number+1)
@@ -54,20 +56,20 @@
 	next := *s
 	next.Number = note.Number
 	bld := &builder{note: note, before: s, next: &next}
-	add, change, drop := note.Added, note.Changed, note.Withdrawn
-	var names touchedNames
-	next.Centres, names.centres = applyKind(bld, KindCentre, s.Centres, add.Centres, change.Centres, drop.Centres, identity)
-	next.Links, names.links = applyKind(bld, KindLink, s.Links, add.Links, change.Links, drop.Links, identity)
-	next.Tiers, names.tiers = applyKind(bld, KindTier, s.Tiers, add.Tiers, change.Tiers, drop.Tiers, identity)
-	next.Pools, names.pools = applyKind(bld, KindPool, s.Pools, add.Pools, change.Pools, drop.Pools, Pool.normalised)
-	next.Targets, names.targets = applyKind(bld, KindTarget, s.Targets, add.Targets, change.Targets, drop.Targets, Target.normalised)
-	next.Accounts, names.accounts = applyKind(bld, KindAccount, s.Accounts, add.Accounts, change.Accounts, drop.Accounts, Account.normalised)
+	add, change, withdrawn := note.Added, note.Changed, note.Withdrawn
+	var touched touchedNames
+	next.Centres, touched.centres = applyKind(bld, KindCentre, s.Centres, add.Centres, change.Centres, withdrawn.Centres, identity)
+	next.Links, touched.links = applyKind(bld, KindLink, s.Links, add.Links, change.Links, withdrawn.Links, identity)
+	next.Tiers, touched.tiers = applyKind(bld, KindTier, s.Tiers, add.Tiers, change.Tiers, withdrawn.Tiers, identity)
+	next.Pools, touched.pools = applyKind(bld, KindPool, s.Pools, add.Pools, change.Pools, withdrawn.Pools, Pool.normalised)
+	next.Targets, touched.targets = applyKind(bld, KindTarget, s.Targets, add.Targets, change.Targets, withdrawn.Targets, Target.normalised)
+	next.Accounts, touched.accounts = applyKind(bld, KindAccount, s.Accounts, add.Accounts, change.Accounts, withdrawn.Accounts, Account.normalised)
 	bld.applyPolicy()
 	bld.checkValues()
 	bld.checkUnique()
 	bld.checkReferences()
 	if len(bld.problems) == 0 {
-		next.sums = sumTouched(s, &next, names)
+		next.sums = sumTouched(s, &next, touched)
 	}
 	return &next, bld.problems
 }
@@ -84,7 +86,7 @@
 	objects := make(map[K]V, len(old)+len(added))
 	maps.Copy(objects, old)
 	seen := map[K]bool{}
-	mention := func(section string, name K, mustExist bool) {
+	checkName := func(section string, name K, mustExist bool) {
 		key := objectKey(section, kind, string(name))
 		_, exists := old[name]
 		switch {
@@ -98,15 +100,15 @@
 		seen[name] = true
 	}
 	for _, name := range withdrawn {
-		mention(sectionWithdrawn, name, true)
+		checkName(sectionWithdrawn, name, true)
 		delete(objects, name)
 	}
 	for name, object := range added {
-		mention(sectionAdded, name, false)
+		checkName(sectionAdded, name, false)
 		objects[name] = normalise(object)
 	}
 	for name, object := range changed {
-		mention(sectionChanged, name, true)
+		checkName(sectionChanged, name, true)
 		objects[name] = normalise(object)
 	}
 	return objects, slices.Collect(maps.Keys(seen))
@@ -130,11 +132,13 @@
 	return &yuccayaml.Problem{Kind: yuccayaml.ErrValue, Key: key, Detail: fmt.Sprintf(detail, args...), Remedy: remedy}
 }
 
+// objectKey returns the dotted key of an object in a note, such as "added.pools.drafts".
 func objectKey(section string, kind Kind, name string) string {
 	return section + "." + string(kind) + "." + name
 }
 
-// sectionOf returns the sectionOf of the note that holds the object, or "" if none does.
+// sectionOf returns the section of the note that holds the object, or "" if it is in
+// neither.
 func sectionOf[K ~string, V any](added, changed map[K]V, name K) string {
 	if _, found := added[name]; found {
 		return sectionAdded
--- a/core/yuccastate/fold_test.go
+++ b/core/yuccastate/fold_test.go
@@ -35,7 +35,7 @@
 var _ = Describe("Diff", func() {
 	It("lists what a note does, and what undoing it would do", func() {
 		first := founded()
-		second, err := first.Apply(parsed(first, string(read("second.yaml"))))
+		second, err := first.Apply(nextNote(first, string(readTestdata("second.yaml"))))
 		Expect(err).NotTo(HaveOccurred())
 		expectGolden("diff.golden", yuccastate.Diff(yuccastate.Empty(), first)+"\n"+
 			yuccastate.Diff(first, second)+"\n"+yuccastate.Diff(second, first))
--- a/core/yuccastate/key.go
+++ b/core/yuccastate/key.go
@@ -14,17 +14,18 @@
 	// BaselinePrefix is the prefix of the keys of baseline parts in that store.
 	BaselinePrefix = "baselines/"
 
-	numberDigits = 10
+	// keyNumberDigits is the width to which numbers in keys are padded with zeros.
+	keyNumberDigits = 10
 )
 
 // NoteKey returns the key under which a note is published.
 func NoteKey(number yuccaid.ConfigNumber) string {
-	return fmt.Sprintf("%s%0*d", NotePrefix, numberDigits, number)
+	return fmt.Sprintf("%s%0*d", NotePrefix, keyNumberDigits, number)
 }
 
 // PartKey returns the key under which a part of a baseline is published.
 func PartKey(number yuccaid.ConfigNumber, index int) string {
-	return fmt.Sprintf("%s%0*d/%04d", BaselinePrefix, numberDigits, number, index)
+	return fmt.Sprintf("%s%0*d/%04d", BaselinePrefix, keyNumberDigits, number, index)
 }
 
 // ParseNoteKey returns the number in a note's key; it accepts only what NoteKey returns.
--- a/core/yuccastate/large_test.go
+++ b/core/yuccastate/large_test.go
@@ -39,8 +39,9 @@
 	return text.String()
 })
 
+// largeState is the configuration after largeText.
 var largeState = sync.OnceValue(func() *yuccastate.State {
-	state, err := yuccastate.Empty().Apply(parsed(yuccastate.Empty(), largeText()))
+	state, err := yuccastate.Empty().Apply(nextNote(yuccastate.Empty(), largeText()))
 	if err != nil {
 		panic(err)
 	}
@@ -49,17 +50,17 @@
 
 // BenchmarkFold measures applying one note to the configuration of the largest fleet.
 func BenchmarkFold(b *testing.B) {
-	on := largeState()
+	current := largeState()
 	for _, edit := range []string{
 		"changed: {policy: {goodputWeight: 2}}",
 		"withdrawn: {targets: [target-7]}",
 		"withdrawn: {accounts: [account-7]}",
 	} {
-		note := parsed(on, edit)
+		note := nextNote(current, edit)
 		b.Run(edit, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				after, err := on.Apply(note)
+				after, err := current.Apply(note)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -73,15 +74,15 @@
 func BenchmarkParseNote(b *testing.B) {
 	b.SetBytes(int64(len(largeText())))
 	for b.Loop() {
-		parsed(yuccastate.Empty(), largeText())
+		nextNote(yuccastate.Empty(), largeText())
 	}
 }
 
 // BenchmarkAccountOf measures finding the account of a request by its bearer secret.
 func BenchmarkAccountOf(b *testing.B) {
-	on := largeState()
+	current := largeState()
 	for b.Loop() {
-		if _, known := on.AccountOf("7"); !known {
+		if _, known := current.AccountOf("7"); !known {
 			b.Fatal("unknown")
 		}
 	}
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -12,12 +12,13 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// daemon is a chain, the digests that it put in force by number (promised), the numbers
-// of its alarms, and the digests of the notes that it accepted.
+// daemon is a chain and what the test recorded of it by number: the digests of the
+// configurations that it put in force, its alarms, and the digests of the notes that it
+// accepted.
 type daemon struct {
 	name        string
 	chain       *yuccastate.Chain
-	promised    map[yuccaid.ConfigNumber]yuccaid.Digest
+	inForce     map[yuccaid.ConfigNumber]yuccaid.Digest
 	alarms      map[yuccaid.ConfigNumber]bool
 	noteDigests map[yuccaid.ConfigNumber]yuccaid.Digest
 }
@@ -37,33 +38,35 @@
 	for i := range size {
 		fleet.daemons = append(fleet.daemons, &daemon{
 			name: fmt.Sprint("daemon-", i), chain: yuccastate.NewChain(),
-			promised: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, noteDigests: map[yuccaid.ConfigNumber]yuccaid.Digest{},
+			inForce: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, noteDigests: map[yuccaid.ConfigNumber]yuccaid.Digest{},
 		})
 	}
 	return fleet
 }
 
-// audit checks that no entry contradicts an earlier one of the daemon.
-func (dmn *daemon) audit(t *rapid.T, entries []yuccastate.Entry) {
+// checkEntries records the audit entries, and fails if the daemon put two configurations
+// in force under one number or if a refusal changed the configuration.
+func (dmn *daemon) checkEntries(t *rapid.T, entries []yuccastate.Entry) {
 	for _, entry := range entries {
-		moved := entry.Kind == yuccastate.EntryAccepted || entry.Kind == yuccastate.EntryAdopted
+		advanced := entry.Kind == yuccastate.EntryAccepted || entry.Kind == yuccastate.EntryAdopted
 		switch {
 		case entry.Kind == yuccastate.EntryAlarm:
 			dmn.alarms[entry.Number] = true
-		case moved && (dmn.promised[entry.Number] != "" || entry.By == ""):
+		case advanced && (dmn.inForce[entry.Number] != "" || entry.By == ""):
 			t.Fatalf("%s put %d in force twice or without an author", dmn.name, entry.Number)
-		case moved:
-			dmn.promised[entry.Number] = entry.After
+		case advanced:
+			dmn.inForce[entry.Number] = entry.After
 		case entry.Before != entry.After || entry.Reason == "":
 			t.Fatalf("a refusal changed something or has no reason: %+v", entry)
 		}
 	}
 }
 
+// offer offers a note to the daemon's chain and compares the verdict with the oracle's.
 func (dmn *daemon) offer(t *rapid.T, number yuccaid.ConfigNumber, raw []byte) {
 	before, state := dmn.chain.Number(), dmn.chain.State()
 	verdict, err := dmn.chain.Offer(noon, yuccastate.NoteKey(number), raw)
-	dmn.audit(t, verdict.Entries)
+	dmn.checkEntries(t, verdict.Entries)
 	accepted := verdict.Kind == yuccastate.VerdictAccepted
 	note, parseErr := yuccastate.ParseNote(raw)
 	if parseErr != nil {
@@ -88,7 +91,7 @@
 func (fleet *fleet) exchange(t *rapid.T, dmn, peer *daemon) {
 	number, digest := peer.chain.Number(), peer.chain.Digest()
 	relation, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
-	dmn.audit(t, entries)
+	dmn.checkEntries(t, entries)
 	if number == dmn.chain.Number() && digest != dmn.chain.Digest() {
 		if relation != yuccastate.RelationForked || !dmn.alarms[number] {
 			t.Fatalf("%s and %s differ at %d without alarm", dmn.name, peer.name, number)
@@ -110,6 +113,7 @@
 	}
 }
 
+// adopt sends peer's configuration to dmn as a snapshot.
 func (fleet *fleet) adopt(t *rapid.T, dmn, peer *daemon) {
 	raw, err := yuccastate.EncodeState(peer.chain.State())
 	if err != nil {
@@ -120,9 +124,10 @@
 		t.Fatal(err)
 	}
 	verdict, _ := dmn.chain.Adopt(noon, peer.name, state, peer.chain.Digest())
-	dmn.audit(t, verdict.Entries)
+	dmn.checkEntries(t, verdict.Entries)
 }
 
+// publish adds a version of the note's key to the platform's service.
 func (fleet *fleet) publish(number yuccaid.ConfigNumber, note yuccastate.Note) {
 	raw := note.Canonical()
 	if fleet.noteDigests[number] == nil {
@@ -133,20 +138,22 @@
 	fleet.versions[number] = append(fleet.versions[number], raw)
 }
 
+// check fails if a daemon is not at the highest number that it put in force, with the same
+// digest as then, or if that digest is not the one of its content.
 func (fleet *fleet) check(t *rapid.T) {
 	for _, dmn := range fleet.daemons {
 		state := dmn.chain.State()
-		if number := slices.Max(append(slices.Collect(maps.Keys(dmn.promised)), 0)); number != state.Number {
+		if number := slices.Max(append(slices.Collect(maps.Keys(dmn.inForce)), 0)); number != state.Number {
 			t.Fatalf("%s put %d in force and is at %d", dmn.name, number, state.Number)
 		}
-		if promised, moved := dmn.promised[state.Number]; moved && promised != dmn.chain.Digest() {
+		if inForce, advanced := dmn.inForce[state.Number]; advanced && inForce != dmn.chain.Digest() {
 			t.Fatalf("%s changed what it holds at %d", dmn.name, state.Number)
 		}
-		afresh := &yuccastate.State{
+		recomputed := &yuccastate.State{
 			Number: state.Number, Centres: state.Centres, Links: state.Links, Tiers: state.Tiers,
 			Pools: state.Pools, Targets: state.Targets, Accounts: state.Accounts, Policy: state.Policy,
 		}
-		if afresh.Digest() != dmn.chain.Digest() {
+		if recomputed.Digest() != dmn.chain.Digest() {
 			t.Fatalf("%s carries a digest that its content doesn't have", dmn.name)
 		}
 	}
@@ -166,23 +173,24 @@
 	fleet.check(t)
 }
 
-// TestFleetNeverReverts guards against a daemon that goes back to withdrawn targets, and
-// against data centres that run different configurations without an alarm. Notes arrive
+// TestFleetNeverReverts guards against a daemon that reverts to an earlier configuration,
+// whose targets may have been withdrawn, and against data centres that run different
+// configurations without an alarm. Notes arrive
 // late, twice and out of order, a stale copy of the platform's service returns old
 // content, and two operators publish under one key while the fleet is partitioned.
 func TestFleetNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFleet(3)
 		pick := func(label string) *daemon { return rapid.SampledFrom(fleet.daemons).Draw(t, label) }
-		first := parsed(yuccastate.Empty(), string(read("first.yaml")))
+		first := nextNote(yuccastate.Empty(), string(readTestdata("first.yaml")))
 		fleet.publish(1, first)
 		fleet.daemons[0].offer(t, 1, first.Canonical())
 		t.Repeat(map[string]func(*rapid.T){
 			"": fleet.check,
 			"publish": func(t *rapid.T) {
-				on := pick("on").chain.State()
-				number := on.Number + yuccaid.ConfigNumber(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
-				note := drawNote(t, on)
+				current := pick("on").chain.State()
+				number := current.Number + yuccaid.ConfigNumber(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
+				note := drawNote(t, current)
 				note.Number = number
 				fleet.publish(number, note)
 				pick("to").offer(t, number, note.Canonical())
@@ -201,8 +209,8 @@
 			}
 		}
 		// The operators' next note resolves any fork.
-		on := fleet.daemons[0].chain.State()
-		last := parsed(on, "changed: {policy: {goodputWeight: 7}}")
+		current := fleet.daemons[0].chain.State()
+		last := nextNote(current, "changed: {policy: {goodputWeight: 7}}")
 		for _, dmn := range fleet.daemons {
 			dmn.offer(t, last.Number, last.Canonical())
 		}
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -32,16 +32,16 @@
 // ParseNote parses a note's YAML and refuses unknown keys and values of the wrong
 // type. Whether the note fits a configuration is checked by Apply.
 func ParseNote(raw []byte) (Note, error) {
-	note, err := readNote(raw)
+	note, err := parseNotePartial(raw)
 	if err != nil {
 		return Note{}, err
 	}
 	return note, nil
 }
 
-// readNote parses a note. With an error it returns the fields that could be read, so
-// that the audit entry of the refusal can name the note's author.
-func readNote(raw []byte) (Note, error) {
+// parseNotePartial parses a note. With an error it returns the fields that could be read,
+// so that the audit entry of the refusal can name the note's author.
+func parseNotePartial(raw []byte) (Note, error) {
 	if yuccaid.Bytes(len(raw)) > NoteLimit {
 		return Note{}, newRefusal(0, yuccayaml.ErrValue, "", "split it into several notes", "has %d bytes, more than %d", len(raw), NoteLimit)
 	}
@@ -56,7 +56,8 @@
 	return note, nil
 }
 
-// locate sets each problem's line to the line of its key in the note, and sorts them.
+// locate sets each problem's line to the line of its key in the note, and sorts the
+// problems.
 func (note Note) locate(ref *Refusal) *Refusal {
 	for _, prob := range ref.Problems {
 		prob.Line = note.lines.Of(prob.Key)
@@ -77,8 +78,8 @@
 	locateNames(note.lines, KindAccount, names.Accounts)
 }
 
-// locateNames sets the lines after the loop, because the name of one object may be equal to
-// the index of another.
+// locateNames reads all lines by index before it sets the lines by name (with defer),
+// because an object's name may be a number that equals the index of another.
 func locateNames[K ~string](lines yuccayaml.Lines, kind Kind, names []K) {
 	for i, name := range names {
 		line := lines.Of(objectKey(sectionWithdrawn, kind, strconv.Itoa(i)))
@@ -98,8 +99,8 @@
 // Digest returns the SHA-256 of the canonical form, which is the same for notes that
 // differ only in layout, order or comments.
 func (note Note) Digest() yuccaid.Digest {
-	sum := sha256.Sum256(note.Canonical())
-	return yuccaid.Digest(hex.EncodeToString(sum[:]))
+	digest := sha256.Sum256(note.Canonical())
+	return yuccaid.Digest(hex.EncodeToString(digest[:]))
 }
 
 // String returns the note's number and author, for logs.
--- a/core/yuccastate/note_test.go
+++ b/core/yuccastate/note_test.go
@@ -14,15 +14,15 @@
 
 var _ = Describe("a note's canonical form", func() {
 	It("is the same for all layouts of the same content", func() {
-		note := parsed(founded(), string(read("second.yaml")))
+		note := nextNote(founded(), string(readTestdata("second.yaml")))
 		expectGolden("canonical.golden", string(note.Canonical()))
-		back, err := yuccastate.ParseNote(note.Canonical())
+		decoded, err := yuccastate.ParseNote(note.Canonical())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back.Digest()).To(Equal(note.Digest()))
-		other := parsed(founded(), string(read("second.yaml"))+"# another layout\n")
-		Expect(other.Digest()).To(Equal(note.Digest()))
-		other.Author = "carla"
-		Expect(other.Digest()).NotTo(Equal(note.Digest()))
+		Expect(decoded.Digest()).To(Equal(note.Digest()))
+		reformatted := nextNote(founded(), string(readTestdata("second.yaml"))+"# another layout\n")
+		Expect(reformatted.Digest()).To(Equal(note.Digest()))
+		reformatted.Author = "carla"
+		Expect(reformatted.Digest()).NotTo(Equal(note.Digest()))
 	})
 
 	It("has a size that the platform's service can store", func() {
@@ -36,7 +36,7 @@
 func FuzzParseNote(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*/*.yaml")
 	for _, file := range append(files, "testdata/first.yaml", "testdata/second.yaml") {
-		f.Add(read(strings.TrimPrefix(file, "testdata/")))
+		f.Add(readTestdata(strings.TrimPrefix(file, "testdata/")))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		note, err := yuccastate.ParseNote(raw)
@@ -46,9 +46,9 @@
 			}
 			return
 		}
-		back, err := yuccastate.ParseNote(note.Canonical())
-		if err != nil || !bytes.Equal(back.Canonical(), note.Canonical()) {
-			t.Fatalf("%v\n%s\nbecomes\n%s", err, note.Canonical(), back.Canonical())
+		decoded, err := yuccastate.ParseNote(note.Canonical())
+		if err != nil || !bytes.Equal(decoded.Canonical(), note.Canonical()) {
+			t.Fatalf("%v\n%s\nbecomes\n%s", err, note.Canonical(), decoded.Canonical())
 		}
 		note.Base, note.Number = yuccastate.Empty().Digest(), 1
 		if _, err := yuccastate.Empty().Apply(note); err != nil && yuccastate.Reason(err) == "" {
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -35,7 +35,8 @@
 	Region yuccaid.Region `json:"region,omitempty"`
 }
 
-// Link holds the price and delay of traffic that leaves a region.
+// Link holds the price and delay of traffic that leaves a region; its name is the
+// region's.
 type Link struct {
 	PricePerGigabyte float64       `json:"pricePerGigabyte,omitempty"`
 	Delay            time.Duration `json:"delay,omitempty"`
@@ -72,7 +73,8 @@
 }
 
 // Target is one endpoint that serves requests. Prefill and Decode are prompt and answer
-// tokens per second, Cache is in tokens. Each field set in Setup overrides the pool's.
+// tokens per second, Cache is in tokens. Slots is how many requests it runs
+// at once. Each field set in Setup overrides the pool's.
 type Target struct {
 	Pool        yuccaid.Pool      `json:"pool,omitempty"`
 	Centre      yuccaid.Centre    `json:"centre,omitempty"`
@@ -86,7 +88,8 @@
 	Setup       EngineSetup       `json:"wish,omitzero"`
 }
 
-// Limits bounds what a client account may use; a field of 0 sets no limit.
+// Limits bounds what a client account may use; a field of 0 sets no limit. Running is the
+// number of its requests that may run at once.
 type Limits struct {
 	RequestsPerSecond float64           `json:"requestsPerSecond,omitempty"`
 	Running           int               `json:"running,omitempty"`
@@ -94,7 +97,8 @@
 }
 
 // Account is a client account. If Targets is empty, it may use all targets of its
-// pools. Weight is its share relative to other accounts.
+// pools. Weight is its share relative to other accounts. Credential is the SHA-256 of its
+// bearer secret in hex.
 type Account struct {
 	Credential yuccaid.Digest   `json:"credential,omitempty"`
 	Tiers      []yuccaid.Tier   `json:"tiers,omitempty"`
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -13,42 +13,44 @@
 
 // drawNote returns a note with one to three edits to a small configuration; many of the
 // notes are invalid.
-func drawNote(t *rapid.T, on *yuccastate.State) yuccastate.Note {
-	note := yuccastate.Note{Number: on.Number + 1, Base: on.Digest(), Author: rapid.SampledFrom([]string{"anna", "bruno"}).Draw(t, "by")}
+func drawNote(t *rapid.T, current *yuccastate.State) yuccastate.Note {
+	note := yuccastate.Note{Number: current.Number + 1, Base: current.Digest(), Author: rapid.SampledFrom([]string{"anna", "bruno"}).Draw(t, "by")}
 	note.Added.Pools, note.Changed.Pools = map[yuccaid.Pool]yuccastate.Pool{}, map[yuccaid.Pool]yuccastate.Pool{}
 	note.Added.Targets, note.Changed.Targets = map[yuccaid.Target]yuccastate.Target{}, map[yuccaid.Target]yuccastate.Target{}
 	note.Added.Accounts, note.Changed.Accounts = map[yuccaid.Account]yuccastate.Account{}, map[yuccaid.Account]yuccastate.Account{}
 	for range rapid.IntRange(1, 3).Draw(t, "edits") {
 		switch rapid.SampledFrom([]string{"pool", "target", "target", "account"}).Draw(t, "kind") {
 		case "pool":
-			edit(t, "pool", on.Pools, drawPool(t), note.Added.Pools, note.Changed.Pools, &note.Withdrawn.Pools)
+			drawEdit(t, "pool", current.Pools, drawPool(t), note.Added.Pools, note.Changed.Pools, &note.Withdrawn.Pools)
 		case "target":
-			edit(t, "target", on.Targets, drawTarget(t), note.Added.Targets, note.Changed.Targets, &note.Withdrawn.Targets)
+			drawEdit(t, "target", current.Targets, drawTarget(t), note.Added.Targets, note.Changed.Targets, &note.Withdrawn.Targets)
 		case "account":
-			edit(t, "account", on.Accounts, drawAccount(t), note.Added.Accounts, note.Changed.Accounts, &note.Withdrawn.Accounts)
+			drawEdit(t, "account", current.Accounts, drawAccount(t), note.Added.Accounts, note.Changed.Accounts, &note.Withdrawn.Accounts)
 		}
 	}
 	return note
 }
 
-// edit adds an object that does not exist, or changes or withdraws one that does; in one
-// of ten cases it does the opposite, which is a mistake.
-func edit[K ~string, V any](t *rapid.T, kind string, old map[K]V, object V, added, changed map[K]V, dropped *[]K) {
+// drawEdit adds to a note an edit of an object with a drawn name: it adds an object that
+// does not exist, or changes or withdraws one that does. In one of ten cases it does the
+// opposite, which Apply must refuse.
+func drawEdit[K ~string, V any](t *rapid.T, kind string, old map[K]V, object V, added, changed map[K]V, withdrawn *[]K) {
 	name := drawNames[K](t, kind, 1)[0]
 	_, exists := old[name]
-	wrong := rapid.IntRange(0, 9).Draw(t, "wrong") == 9
+	mistake := rapid.IntRange(0, 9).Draw(t, "wrong") == 9
 	switch {
-	case exists == wrong:
+	case exists == mistake:
 		added[name] = object
 	case rapid.Bool().Draw(t, "change"):
 		changed[name] = object
 	default:
-		*dropped = append(*dropped, name)
+		*withdrawn = append(*withdrawn, name)
 	}
 }
 
-func drawNames[K ~string](t *rapid.T, kind string, least int) []K {
-	indexes := rapid.SliceOfNDistinct(rapid.IntRange(0, 2), least, 2, rapid.ID[int]).Draw(t, kind)
+// drawNames returns minCount to 2 distinct names out of three for a kind.
+func drawNames[K ~string](t *rapid.T, kind string, minCount int) []K {
+	indexes := rapid.SliceOfNDistinct(rapid.IntRange(0, 2), minCount, 2, rapid.ID[int]).Draw(t, kind)
 	names := make([]K, len(indexes))
 	for i, index := range indexes {
 		names[i] = K(fmt.Sprint(kind, "-", index))
@@ -86,9 +88,9 @@
 	addresses, credentials := map[string]bool{}, map[yuccaid.Digest]bool{}
 	for _, tgt := range targets {
 		pool, known := pools[tgt.Pool]
-		_, placed := centres[tgt.Centre]
-		rated := tgt.Prefill > 0 && tgt.Decode > 0
-		ok = ok && known && placed && !addresses[tgt.Address] && (rated || pool.Kind != yuccastate.PoolModel)
+		_, centreKnown := centres[tgt.Centre]
+		hasRates := tgt.Prefill > 0 && tgt.Decode > 0
+		ok = ok && known && centreKnown && !addresses[tgt.Address] && (hasRates || pool.Kind != yuccastate.PoolModel)
 		addresses[tgt.Address] = true
 	}
 	for _, acc := range accounts {
@@ -110,27 +112,27 @@
 	return ok
 }
 
-// applyEdits returns the objects after the edits, and sets ok to false for an edit that does
-// not fit.
-func applyEdits[K ~string, V any](old, added, changed map[K]V, dropped []K, ok *bool) map[K]V {
-	now, mentions := map[K]V{}, map[K]int{}
-	maps.Copy(now, old)
-	mention := func(name K, must bool) {
+// applyEdits returns the objects after the edits, and sets ok to false for an edit that
+// does not fit.
+func applyEdits[K ~string, V any](old, added, changed map[K]V, withdrawn []K, ok *bool) map[K]V {
+	result, mentions := map[K]V{}, map[K]int{}
+	maps.Copy(result, old)
+	mention := func(name K, mustExist bool) {
 		_, exists := old[name]
 		mentions[name]++
-		*ok = *ok && exists == must && mentions[name] == 1
+		*ok = *ok && exists == mustExist && mentions[name] == 1
 	}
-	for _, name := range dropped {
+	for _, name := range withdrawn {
 		mention(name, true)
-		delete(now, name)
+		delete(result, name)
 	}
 	for name, object := range added {
 		mention(name, false)
-		now[name] = object
+		result[name] = object
 	}
 	for name, object := range changed {
 		mention(name, true)
-		now[name] = object
+		result[name] = object
 	}
-	return now
+	return result
 }
--- a/core/yuccastate/problem.go
+++ b/core/yuccastate/problem.go
@@ -27,7 +27,8 @@
 	ErrKey = errors.New("wrong key")
 	// ErrContentChanged means that the key of an accepted note now has another content.
 	ErrContentChanged = errors.New("content of an accepted note changed")
-	// ErrForked means that another daemon accepted another content under the same number.
+	// ErrForked means that this daemon and another one accepted different contents
+	// under the same number.
 	ErrForked = errors.New("two configurations with one number")
 	// ErrNotHigher means that a snapshot's number is lower than the accepted one.
 	ErrNotHigher = errors.New("snapshot is not higher")
@@ -39,8 +40,9 @@
 	ErrGarbled = errors.New("garbled")
 )
 
-// reasons lists the kinds of problem; if a refusal has several, Reason returns the first.
-var reasons = []error{
+// kindsByPrecedence lists the kinds of problem. If a refusal has several, Reason returns
+// the one that comes first here.
+var kindsByPrecedence = []error{
 	ErrContentChanged, ErrForked, ErrKey, ErrNumber, ErrBase, ErrNotHigher, ErrDigest, ErrParts, ErrGarbled,
 	yuccayaml.ErrSyntax, yuccayaml.ErrUnknownKey, yuccayaml.ErrTwice, yuccayaml.ErrUnit,
 	ErrDuplicate, ErrAbsent, ErrInUse, ErrReference, yuccayaml.ErrValue,
@@ -49,7 +51,7 @@
 // Reason returns the text of a refusal's kind for the audit trail, which is the same on
 // every daemon, or "" for errors of other packages.
 func Reason(err error) string {
-	for _, kind := range reasons {
+	for _, kind := range kindsByPrecedence {
 		if errors.Is(err, kind) {
 			return kind.Error()
 		}
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -31,7 +31,7 @@
 		pub.err = err
 		return pub
 	}
-	pub.note, pub.err = readNote(raw)
+	pub.note, pub.err = parseNotePartial(raw)
 	if pub.err != nil {
 		return pub
 	}
--- a/core/yuccastate/reference.go
+++ b/core/yuccastate/reference.go
@@ -7,8 +7,8 @@
 )
 
 // checkReferences checks the references between objects. A note that only adds objects
-// can't break existing references, so only its own objects are checked; after a note
-// that changes or withdraws objects, all are.
+// can't break existing references, so only its own objects are checked. After a note
+// that changes or withdraws objects, all objects are checked.
 func (bld *builder) checkReferences() {
 	all := bld.mayBreakReferences()
 	next, add, change := bld.next, bld.note.Added, bld.note.Changed
@@ -20,14 +20,14 @@
 // mayBreakReferences reports whether the note could break references of objects that
 // it does not mention.
 func (bld *builder) mayBreakReferences() bool {
-	change, drop := bld.note.Changed, bld.note.Withdrawn
+	change, withdrawn := bld.note.Changed, bld.note.Withdrawn
 	changes := len(change.Centres) + len(change.Pools) + len(change.Targets)
-	withdraws := len(drop.Centres) + len(drop.Tiers) + len(drop.Pools) + len(drop.Targets)
-	return changes+withdraws > 0
+	withdrawals := len(withdrawn.Centres) + len(withdrawn.Tiers) + len(withdrawn.Pools) + len(withdrawn.Targets)
+	return changes+withdrawals > 0
 }
 
-// checkEach calls check for the objects that the note adds or changes, or for all. The
-// section is empty for an object that the note does not mention.
+// checkEach calls check for the objects that the note adds or changes, or for all objects
+// if all is true. The section is empty for an object that the note does not mention.
 func checkEach[K ~string, V any](objects, added, changed map[K]V, all bool, check func(section string, name K, object V)) {
 	visit := func(section string, objectsOfSection map[K]V) {
 		for name := range objectsOfSection {
@@ -48,8 +48,8 @@
 	}
 }
 
-// referrer is an object that refers to others. Its section is that of the note, or empty
-// if the note does not mention it.
+// referrer is an object that refers to other objects. section is the section of the note
+// that holds it, or empty if the note does not mention it.
 type referrer struct {
 	section string
 	kind    Kind
--- a/core/yuccastate/refusal_test.go
+++ b/core/yuccastate/refusal_test.go
@@ -31,7 +31,7 @@
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".yaml")
 		It("is reported with line, key and remedy: "+name, func() {
-			text := strings.ReplaceAll(string(read("refused/"+name+".yaml")), "FOUNDED", string(founded().Digest()))
+			text := strings.ReplaceAll(string(readTestdata("refused/"+name+".yaml")), "FOUNDED", string(founded().Digest()))
 			refusal := applyToFounded([]byte(text))
 			Expect(refusal).To(HaveOccurred())
 			for range 20 { // Go's order of map iteration differs each time
--- a/core/yuccastate/state.go
+++ b/core/yuccastate/state.go
@@ -41,8 +41,8 @@
 // CredentialDigest returns the SHA-256 of a bearer secret in hex, as Account.Credential
 // holds it.
 func CredentialDigest(credential string) yuccaid.Digest {
-	sum := sha256.Sum256([]byte(credential))
-	return yuccaid.Digest(hex.EncodeToString(sum[:]))
+	digest := sha256.Sum256([]byte(credential))
+	return yuccaid.Digest(hex.EncodeToString(digest[:]))
 }
 
 // AccountOf returns the client account with the given bearer secret, and whether there
@@ -74,19 +74,19 @@
 }
 
 // Allowed reports whether the client account may use the target.
-func (s *State) Allowed(acc yuccaid.Account, tgt yuccaid.Target) bool {
-	account, known := s.Accounts[acc]
-	target, exists := s.Targets[tgt]
+func (s *State) Allowed(accountName yuccaid.Account, targetName yuccaid.Target) bool {
+	account, known := s.Accounts[accountName]
+	target, exists := s.Targets[targetName]
 	if !known || !exists || !slices.Contains(account.Pools, target.Pool) {
 		return false
 	}
-	return len(account.Targets) == 0 || slices.Contains(account.Targets, tgt)
+	return len(account.Targets) == 0 || slices.Contains(account.Targets, targetName)
 }
 
 // SetupOf returns what the target should have loaded: each field from the target's own
 // setup if it is set there, else from its pool's.
-func (s *State) SetupOf(tgt yuccaid.Target) EngineSetup {
-	target := s.Targets[tgt]
+func (s *State) SetupOf(name yuccaid.Target) EngineSetup {
+	target := s.Targets[name]
 	setup, poolSetup := target.Setup, s.Pools[target.Pool].Setup
 	if setup.Model == "" {
 		setup.Model = poolSetup.Model
--- a/core/yuccastate/suite_test.go
+++ b/core/yuccastate/suite_test.go
@@ -32,7 +32,8 @@
 	Expect(text).To(Equal(string(want)))
 }
 
-func read(name string) []byte {
+// readTestdata returns the content of a file under testdata.
+func readTestdata(name string) []byte {
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
 		panic(err)
@@ -40,13 +41,14 @@
 	return raw
 }
 
-// parsed parses a note and sets its number and base so that it follows on.
-func parsed(on *yuccastate.State, text string) yuccastate.Note {
+// nextNote parses a note and makes it the next one after the configuration current: it
+// sets the note's number and base, and an author if the text has none.
+func nextNote(current *yuccastate.State, text string) yuccastate.Note {
 	note, err := yuccastate.ParseNote([]byte(text))
 	if err != nil {
 		panic(err)
 	}
-	note.Number, note.Base = on.Number+1, on.Digest()
+	note.Number, note.Base = current.Number+1, current.Digest()
 	if note.Author == "" {
 		note.Author = "anna"
 	}
@@ -55,16 +57,16 @@
 
 // founded returns the configuration after the first note of testdata (first.yaml).
 func founded() *yuccastate.State {
-	state, err := yuccastate.Empty().Apply(parsed(yuccastate.Empty(), string(read("first.yaml"))))
+	state, err := yuccastate.Empty().Apply(nextNote(yuccastate.Empty(), string(readTestdata("first.yaml"))))
 	if err != nil {
 		panic(err)
 	}
 	return state
 }
 
-// published returns the key and the text under which an operator publishes a note that
-// follows on.
-func published(on *yuccastate.State, text string) (string, []byte) {
-	note := parsed(on, text)
+// nextPublished returns the key and the canonical text of a note that an operator
+// publishes as the next one after the configuration current.
+func nextPublished(current *yuccastate.State, text string) (string, []byte) {
+	note := nextNote(current, text)
 	return yuccastate.NoteKey(note.Number), note.Canonical()
 }
