--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -106,8 +106,8 @@
 // is higher than the current one and its digest is the one that was announced (digest). An
 // empty digest is not checked.
 //
-// The texts of earlier notes are dropped: after a fork they may belong to the
-// abandoned branch, and a peer that fetched them would apply notes of that branch.
+// The texts of earlier notes are dropped: after a fork they may belong to another branch
+// than the snapshot, and a peer that fetched them would apply notes of that branch.
 func (chain *Chain) Adopt(now time.Time, from string, state *State, digest yuccaid.Digest) (Verdict, error) {
 	number, actual := state.Number, state.Digest()
 	verdict := Verdict{Kind: VerdictRefused, Number: number}
@@ -130,9 +130,9 @@
 	}
 	verdict.Kind = VerdictAccepted
 	verdict.Entries = []Entry{chain.advance(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(accepted yuccaid.ConfigNumber, _ acceptedNote) bool { return accepted+maxKeptDigests <= number })
-	for accepted, kept := range chain.accepted {
-		chain.accepted[accepted] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
+	maps.DeleteFunc(chain.accepted, func(acceptedNumber yuccaid.ConfigNumber, _ acceptedNote) bool { return acceptedNumber+maxKeptDigests <= number })
+	for acceptedNumber, kept := range chain.accepted {
+		chain.accepted[acceptedNumber] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
 	}
 	chain.accepted[number] = acceptedNote{configDigest: actual}
 	chain.dropOld()
--- a/core/yuccastate/diff.go
+++ b/core/yuccastate/diff.go
@@ -32,7 +32,7 @@
 func diffKind[K ~string, V any](text *strings.Builder, kind Kind, a, b map[K]V) {
 	names := slices.Collect(maps.Keys(a))
 	for name := range b {
-		if _, inA := a[name]; !inA {
+		if _, alsoInA := a[name]; !alsoInA {
 			names = append(names, name)
 		}
 	}
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -72,9 +72,9 @@
 	Role     string          `json:"role,omitempty"`
 }
 
-// Target is one endpoint that serves requests. Prefill and Decode are prompt and answer
-// tokens per second, Cache is in tokens. Slots is how many requests it runs
-// at once. Each field set in Setup overrides the pool's.
+// Target is one endpoint that serves requests. Slots is how many requests it runs at once,
+// Prefill and Decode are prompt and answer tokens per second, and Cache is in tokens. Each
+// field set in Setup overrides the pool's.
 type Target struct {
 	Pool        yuccaid.Pool      `json:"pool,omitempty"`
 	Centre      yuccaid.Centre    `json:"centre,omitempty"`
--- a/core/yuccastate/problem.go
+++ b/core/yuccastate/problem.go
@@ -36,7 +36,7 @@
 	ErrDigest = errors.New("digest does not match")
 	// ErrParts means that the parts given are not all parts of one baseline, each once.
 	ErrParts = errors.New("baseline is incomplete")
-	// ErrGarbled means that the bytes of a snapshot can't be decoded.
+	// ErrGarbled means that a snapshot can't be decoded or is of another version.
 	ErrGarbled = errors.New("garbled")
 )
 
