--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -130,7 +130,9 @@
 	}
 	verdict.Kind = VerdictAccepted
 	verdict.Entries = []Entry{chain.advance(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(acceptedNumber yuccaid.ConfigNumber, _ acceptedNote) bool { return acceptedNumber+maxKeptDigests <= number })
+	maps.DeleteFunc(chain.accepted, func(acceptedNumber yuccaid.ConfigNumber, _ acceptedNote) bool {
+		return acceptedNumber+maxKeptDigests <= number
+	})
 	for acceptedNumber, kept := range chain.accepted {
 		chain.accepted[acceptedNumber] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
 	}
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -59,12 +59,12 @@
 // never decreases, whatever the platform's service or a peer sends later. It must be
 // used by one goroutine only.
 //
-// Forks: if an operator overwrites a note's key while data centres are disconnected,
-// some daemons may have accepted the first content and some the second. Neither has
-// precedence, and switching to the other would revert an accepted configuration. So each
-// daemon keeps the content that it accepted and raises an alarm. The operators resolve
-// the fork with the next note, which is written against one of the two contents: daemons
-// that hold the other one refuse it because of its base, and then adopt the higher
+// Forks: if an operator overwrites a note's key while data centres are disconnected, some
+// daemons may have accepted the first content and some the second. Neither has precedence,
+// and adopting the other content would revert an accepted configuration. So each daemon
+// keeps the content that it accepted and raises an alarm. The operators resolve the fork
+// with the next note, which is written against one of the two contents: daemons that hold
+// the other content refuse the note because of its base, and then adopt the higher
 // configuration as a snapshot.
 type Chain struct {
 	state       *State
--- a/core/yuccastate/chain_test.go
+++ b/core/yuccastate/chain_test.go
@@ -161,9 +161,9 @@
 
 var _ = Describe("two chains", func() {
 	It("keep different contents of one number, raise alarms, and converge with the next note", func() {
-		// An operator overwrites note 2 while two data centres are disconnected. One has
-		// accepted the first content, the other reads the second only. Neither may replace
-		// the content that it accepted.
+		// An operator overwrites note 2 while two data centres are disconnected. One data
+		// centre has accepted the first content, the other reads the second content only.
+		// Neither may replace the content that it accepted.
 		east, west := chainWithNotes(0), chainWithNotes(0)
 		key, first := nextPublished(east.State(), weightNote(2))
 		_, second := nextPublished(east.State(), weightNote(9))
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -20,7 +20,7 @@
 
 // kindSum holds the digest over all objects of a kind, and the digest of each by name. A
 // note concerns a few objects out of thousands: only those are encoded and hashed again,
-// and the digests of the others are reused.
+// and the digests of all other objects are reused.
 type kindSum struct {
 	objects map[string]sum
 	all     sum
@@ -69,8 +69,8 @@
 	}
 }
 
-// sumKind hashes the objects in touched, and takes the digests of the others from before.
-// If before is the zero value, it hashes all objects.
+// sumKind hashes the objects in touched, and takes the digests of all other objects
+// from before. If before is the zero value, it hashes all objects.
 func sumKind[K ~string, V any](objects map[K]V, touched []K, before kindSum) kindSum {
 	if before.objects != nil && len(touched) == 0 {
 		return before
--- a/core/yuccastate/doc.go
+++ b/core/yuccastate/doc.go
@@ -19,6 +19,6 @@
 //
 // Nothing is stored on disk. If every daemon that holds the newest note has stopped and
 // the platform's service still serves an older note, no process can find out that the
-// newer one existed. A daemon that adopted a snapshot has no digests of the notes before
-// it, so it can't tell whether the content of their keys has changed since.
+// newer note existed. A daemon that adopted a snapshot has no digests of the notes that
+// the snapshot replaced, so it can't detect that the content of their keys has changed.
 package yuccastate
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -17,7 +17,7 @@
 
 // Apply returns the configuration after the note, or a *Refusal as the error. The result
 // depends on s and the note only, so all daemons that hold the same configuration accept
-// the same notes and refuse the others for the same reasons.
+// the same notes, and refuse all other notes for the same reasons.
 //
 // If two operators write notes against the same configuration, the note that is applied
 // first is accepted. The other is refused, because its base is no longer the current
@@ -51,7 +51,7 @@
 }
 
 // build returns the configuration after the note, and the problems of the note apart from
-// its number, base and author. The configuration is incomplete if there are any.
+// its number, base and author. If there are problems, the configuration is incomplete.
 func (s *State) build(note Note) (*State, yuccayaml.Problems) {
 	next := *s
 	next.Number = note.Number
