--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -6,39 +6,40 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// stage is how far a request has come; it only ever grows.
+// stage is a request's progress; it only increases.
 type stage uint8
 
 const (
-	opened stage = iota
-	waiting
-	dispatched
-	closed
+	opened     stage = iota // issued, not submitted
+	waiting                 // submitted, not dispatched
+	dispatched              // sent to a target, or about to be
+	closed                  // outcome recorded
 )
 
-// fingerprint stands for what was submitted, in less memory than the parts.
+// fingerprint is a digest of a submission; it takes less memory than the submission.
 type fingerprint [16]byte
 
-// record is what the owner keeps of one request.
+// record is the stored state of one request.
 type record struct {
-	account yuccaid.Account
-	issued  int64  // Unix milliseconds on the owner's clock
-	counter uint64 // set once the record is overdue
-	next    uint64 // the same account's following record
-	claim   fingerprint
-	target  yuccaid.Target
-	outcome Outcome
-	stage   stage
-	known   bool // claim is set
+	account       yuccaid.Account
+	issued        int64  // Unix milliseconds on the owner's clock
+	counter       uint64 // set once the record is overdue
+	next          uint64 // counter of the same account's next record
+	submission    fingerprint
+	target        yuccaid.Target
+	outcome       Outcome
+	stage         stage
+	hasSubmission bool // whether submission is set
 }
 
+// close stores the outcome and clears the target, which isn't needed any more.
 func (rec *record) close(out Outcome) {
 	rec.outcome = out
 	rec.target = ""
 }
 
-// state returns what a caller may be told at present.
-func (rec *record) state() Outcome {
+// currentOutcome returns what may be reported to a caller at present.
+func (rec *record) currentOutcome() Outcome {
 	switch rec.stage {
 	case opened, waiting:
 		return Outcome{Run: RunWaiting}
@@ -49,9 +50,10 @@
 	}
 }
 
-// Claim is what a submit says of a request; Tier and Idempotent of the first submit
-// stand, since a second may come by a daemon with another configuration.
-type Claim struct {
+// Submission is a request as its caller submits it. Tier and Idempotent of the first
+// submission apply, even if a second submission under the same id differs in them,
+// since it may come through a daemon with another configuration.
+type Submission struct {
 	Account    yuccaid.Account
 	Pool       yuccaid.Pool
 	Operation  yuccaid.Operation
@@ -60,10 +62,10 @@
 	Idempotent bool
 }
 
-// fingerprint digests what must be the same in each submit under one id.
-func (claim Claim) fingerprint() fingerprint {
-	// The names hold no zero byte, so no two claims join to the same text.
-	joined := string(claim.Pool) + "\x00" + string(claim.Operation) + "\x00" + string(claim.Body)
+// fingerprint returns a digest of what must be equal in each submission under one id.
+func (submission Submission) fingerprint() fingerprint {
+	// The names contain no zero byte, so different submissions give different texts.
+	joined := string(submission.Pool) + "\x00" + string(submission.Operation) + "\x00" + string(submission.Body)
 	sum := sha256.Sum256([]byte(joined))
 	return fingerprint(sum[:len(fingerprint{})])
 }
--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -6,11 +6,12 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Kind says what an order changes.
+// Kind states what an order changes.
 type Kind string
 
-// The kinds of orders, in the sequence in which a target is brought up: nothing else
-// can be changed before the model is there.
+// The kinds of orders. Planner sends Load, Version, Adapter and Role in this sequence,
+// because nothing else can be changed before the model is loaded. It never sends
+// Unload.
 const (
 	Load    Kind = "load"
 	Version Kind = "version"
@@ -19,30 +20,31 @@
 	Unload  Kind = "unload"
 )
 
-// Order is one step towards the wished state; Expires is the time it may still be
-// obeyed after it was decided.
+// Order is one step towards a target's wish. Fence is the fencing number, and ValidFor
+// is how long after the decision the target may still obey the order.
 type Order struct {
-	Target  yuccaid.Target
-	Kind    Kind
-	Model   yuccaid.Model
-	Version string
-	Adapter yuccaid.Model
-	Role    string
-	Fence   yuccaid.ConfigNumber
-	Expires time.Duration
+	Target   yuccaid.Target
+	Kind     Kind
+	Model    yuccaid.Model
+	Version  string
+	Adapter  yuccaid.Model
+	Role     string
+	Fence    yuccaid.ConfigNumber
+	ValidFor time.Duration
 }
 
-// fetches reports whether the order makes the target read from the weight store.
-func (order Order) fetches() bool {
+// readsWeights reports whether the order makes the target read from the weight store.
+func (order Order) readsWeights() bool {
 	return order.Kind == Load || order.Kind == Version || order.Kind == Adapter
 }
 
-// Observed is what a target was seen to have.
-type Observed struct {
+// ObservedState is the state in which a target was observed.
+type ObservedState struct {
 	Model    yuccaid.Model
 	Version  string
 	Adapters []yuccaid.Model
 	Role     string
-	// Fence is the highest fencing number the target has seen, 0 if it checks none.
+	// Fence is the highest fencing number that the target has received, or 0 if it
+	// doesn't check fencing numbers.
 	Fence yuccaid.ConfigNumber
 }
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -7,284 +7,297 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Option changes a fleet at its construction.
-type Option func(*Fleet)
+// Option changes a setting of a Placer.
+type Option func(*Placer)
 
-// WithDepth sets how much prefill may wait in a target before it gets another request.
-func WithDepth(depth time.Duration) Option {
-	return func(fleet *Fleet) { fleet.depth = depth }
+// WithMaxPrefillWait sets the longest prefill time that may be queued in a target
+// before it gets no further requests.
+func WithMaxPrefillWait(maxPrefillWait time.Duration) Option {
+	return func(placer *Placer) { placer.maxPrefillWait = maxPrefillWait }
 }
 
-// WithSpare sets how many requests beyond its slots a target may hold.
-func WithSpare(spare int) Option {
-	return func(fleet *Fleet) { fleet.spare = spare }
+// WithExtraSlots sets how many requests beyond its slots a target may hold.
+func WithExtraSlots(extraSlots int) Option {
+	return func(placer *Placer) { placer.extraSlots = extraSlots }
 }
 
-// Fleet is the set of targets of one pool in one data centre.
-type Fleet struct {
-	policy    Policy
-	plain     bool
-	depth     time.Duration
-	spare     int
-	nodes     []*Node
-	byName    map[yuccaid.Target]*Node
-	prefixes  prefixes
-	stamp     uint64
-	sharing   *sharing
-	lengths   map[yuccaid.Operation]*length
-	typical   [meterRanks]typical
-	shortWork float64
-	allWork   float64
+// Placer chooses among the targets of one pool in one data centre.
+type Placer struct {
+	policy         Policy
+	plainService   bool
+	maxPrefillWait time.Duration
+	extraSlots     int
+	states         []*TargetState
+	byName         map[yuccaid.Target]*TargetState
+	prefixes       prefixIndex
+	generation     uint64 // increased before each markHeld; marks of earlier generations are void
+	interference   *interference
+	answerRatios   map[yuccaid.Operation]*answerRatio
+	typicalRequest [trackedRanks]typicalRequest // by rank
+	shortWork      float64                      // average work of an arrival in seconds, long prompts counted as 0
+	allWork        float64                      // average work of an arrival in seconds
 }
 
-// New returns a fleet without targets.
-func New(options ...Option) *Fleet {
-	fleet := &Fleet{
-		policy:   Policy{GoodputWeight: 1, WasteWeight: 1},
-		depth:    defaultDepth,
-		spare:    defaultSpare,
-		byName:   map[yuccaid.Target]*Node{},
-		sharing:  &sharing{crowding: crowdingGuess, prompts: promptsGuess},
-		lengths:  map[yuccaid.Operation]*length{},
-		prefixes: prefixes{holders: map[uint64][]*Node{}},
+// New returns a placer without targets.
+func New(options ...Option) *Placer {
+	placer := &Placer{
+		policy:         Policy{GoodputWeight: 1, WasteWeight: 1},
+		maxPrefillWait: defaultMaxPrefillWait,
+		extraSlots:     defaultExtraSlots,
+		byName:         map[yuccaid.Target]*TargetState{},
+		interference:   &interference{crowding: initialCrowding, promptFactor: initialPromptFactor},
+		answerRatios:   map[yuccaid.Operation]*answerRatio{},
+		prefixes:       prefixIndex{holders: map[uint64][]*TargetState{}},
 	}
 	for _, option := range options {
-		option(fleet)
+		option(placer)
 	}
-	return fleet
+	return placer
 }
 
-// Configure takes over the targets; what was learned of those that stay is kept.
-func (fleet *Fleet) Configure(policy Policy, plain bool, targets []Target) {
-	fleet.plain = plain
-	fleet.policy = Policy{
-		GoodputWeight: orElse(policy.GoodputWeight, 1),
-		WasteWeight:   orElse(policy.WasteWeight, 1),
+// Configure replaces the policy and the targets. What was learned about targets that
+// stay is kept.
+func (placer *Placer) Configure(policy Policy, plainService bool, targets []Target) {
+	placer.plainService = plainService
+	placer.policy = Policy{
+		GoodputWeight: positiveOr(policy.GoodputWeight, 1),
+		WasteWeight:   positiveOr(policy.WasteWeight, 1),
 	}
-	before := fleet.byName
-	fleet.byName = make(map[yuccaid.Target]*Node, len(targets))
-	fleet.nodes = fleet.nodes[:0]
-	for _, tgt := range targets {
-		node, found := before[tgt.Name]
+	before := placer.byName
+	placer.byName = make(map[yuccaid.Target]*TargetState, len(targets))
+	placer.states = placer.states[:0]
+	for _, target := range targets {
+		state, found := before[target.Name]
 		if !found {
-			node = newNode(tgt, fleet.sharing)
+			state = newTargetState(target, placer.interference)
 		}
-		fleet.update(node, tgt)
-		fleet.nodes = append(fleet.nodes, node)
-		fleet.byName[tgt.Name] = node
-		delete(before, tgt.Name)
+		placer.update(state, target)
+		placer.states = append(placer.states, state)
+		placer.byName[target.Name] = state
+		delete(before, target.Name)
 	}
-	for _, node := range before {
-		node.leaving = true
-		fleet.prefixes.clear(node)
+	for _, state := range before {
+		state.leaving = true
+		placer.prefixes.clear(state)
 	}
 }
 
-func (fleet *Fleet) update(node *Node, tgt Target) {
-	if tgt.Prefill != node.Target.Prefill || tgt.Decode != node.Target.Decode {
-		node.guess(tgt)
+func (placer *Placer) update(state *TargetState, target Target) {
+	if target.Prefill != state.Target.Prefill || target.Decode != state.Target.Decode {
+		state.resetRates(target)
 	}
-	resized := tgt.Cache != node.Target.Cache
-	node.Target = tgt
+	resized := target.Cache != state.Target.Cache
+	state.Target = target
 	if resized {
-		fleet.prefixes.clear(node)
+		placer.prefixes.clear(state)
 	}
 }
 
-// Nodes returns the targets in the order of the configuration.
-func (fleet *Fleet) Nodes() []*Node {
-	return fleet.nodes
+// TargetStates returns the states of all targets in the order of the configuration.
+func (placer *Placer) TargetStates() []*TargetState {
+	return placer.states
 }
 
-// Node returns a target by its name.
-func (fleet *Fleet) Node(name yuccaid.Target) (*Node, bool) {
-	node, found := fleet.byName[name]
-	return node, found
+// TargetState returns the state of the named target.
+func (placer *Placer) TargetState(name yuccaid.Target) (*TargetState, bool) {
+	state, found := placer.byName[name]
+	return state, found
 }
 
-// Leave notes a target's word, age ago, on whether it takes new work. An old report
-// that says it does can't undo a younger word that it leaves.
-func (fleet *Fleet) Leave(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
-	node, found := fleet.byName[name]
-	at := now.Add(-age)
-	if !found || at.Before(node.leftAt) {
+// SetLeaving applies a target's report, made the given age ago, on whether the target
+// is leaving, that is, takes no new work. A report older than the last one is ignored,
+// so an old one can't make a leaving target accept work again.
+func (placer *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
+	state, found := placer.byName[name]
+	reportedAt := now.Add(-age)
+	if !found || reportedAt.Before(state.leavingReportedAt) {
 		return
 	}
-	node.leaving = leaving
-	node.leftAt = at
+	state.leaving = leaving
+	state.leavingReportedAt = reportedAt
 }
 
-// Begin counts a run on a target and records its prompt as cached there.
-func (fleet *Fleet) Begin(now time.Time, node *Node, run *Run, hashes []uint64) {
-	node.begin(now, run)
-	fleet.prefixes.sent(node, hashes)
+// StartRun adds a run to a target and records its prompt as cached there.
+func (placer *Placer) StartRun(now time.Time, state *TargetState, run *Run, hashes []uint64) {
+	state.startRun(now, run)
+	placer.prefixes.recordPrompt(state, hashes)
 }
 
-// First notes the end of a run's prefill.
-func (fleet *Fleet) First(now time.Time, run *Run) {
+// FinishPrefill records the end of a run's prefill.
+func (placer *Placer) FinishPrefill(now time.Time, run *Run) {
 	if !run.Prefilling() {
 		return
 	}
-	run.node.prefilled(now, run)
-	run.First = now
+	run.state.endPrefill(now, run)
+	run.FirstTokenAt = now
 }
 
-// End gives back what a run held.
-func (fleet *Fleet) End(now time.Time, run *Run) {
-	run.node.end(now, run)
+// ReleaseRun removes a run from its target and so frees its slot.
+func (placer *Placer) ReleaseRun(now time.Time, run *Run) {
+	run.state.releaseRun(now, run)
 }
 
-// Observed is what an owner measured of a finished run.
-type Observed struct {
+// RunMeasurement is what the daemon that owns a request measured on its finished run:
+// numbers of tokens, and the durations of prefill and decoding.
+type RunMeasurement struct {
 	Prompt, Cached, Answer yuccaid.Tokens
 	Prefill, Decode        time.Duration
-	// Whole says that the answer came to its end.
-	Whole bool
+	// Complete means that the whole answer was received.
+	Complete bool
 }
 
-// Learn takes a finished run's speeds into the target's rates.
-func (fleet *Fleet) Learn(now time.Time, run *Run, seen Observed) {
-	node := run.node
-	node.newsAt = now
-	node.failing = false
+// LearnFromRun updates the target's learned rates from a finished run.
+func (placer *Placer) LearnFromRun(now time.Time, run *Run, measured RunMeasurement) {
+	state := run.state
+	state.observedAt = now
+	state.failing = false
 	weight := recentWeight
-	if node.probing {
+	if state.probing {
 		weight = probeWeight
 	}
-	if fleet.plain {
-		node.call.observe(1/max(now.Sub(run.Began).Seconds(), 0.001), weight)
-		node.judge(now)
+	if placer.plainService {
+		// A call counts as at least 1 ms long, which bounds the rate.
+		state.call.observe(1/max(now.Sub(run.StartedAt).Seconds(), 0.001), weight)
+		state.updateHealth(now)
 		return
 	}
-	node.meter.advance(now, node)
-	if work := seen.Prompt - seen.Cached; work >= minimalSample && seen.Prefill > 0 {
-		company, _ := run.atFirst.since(run.atBegin)
-		rate := float64(work) / seen.Prefill.Seconds()
-		node.prefill.observe(rate/node.promptPart(company), weight)
+	state.meter.advance(now, state)
+	if uncached := measured.Prompt - measured.Cached; uncached >= minPrefillSample && measured.Prefill > 0 {
+		others, _ := run.meterAtFirstToken.since(run.meterAtStart)
+		rate := float64(uncached) / measured.Prefill.Seconds()
+		state.prefill.observe(rate/state.prefillShare(others), weight)
 	}
-	if run.Answer > 0 && seen.Whole {
-		fleet.length(run.Operation).observe(float64(seen.Answer) / float64(run.Answer))
+	if run.Answer > 0 && measured.Complete {
+		placer.answerRatio(run.Operation).observe(float64(measured.Answer) / float64(run.Answer))
 	}
-	if seen.Answer > 1 && seen.Decode > 0 {
-		company, prompts := node.meter.since(run.atFirst)
-		company = max(company-1, 0)
-		rate := float64(seen.Answer) / seen.Decode.Seconds()
-		if !node.probing {
-			fleet.sharing.learn(node.decode.usual/rate, company/node.slots(), node.lost(company, prompts))
+	if measured.Answer > 1 && measured.Decode > 0 {
+		others, promptShare := state.meter.since(run.meterAtFirstToken)
+		// The meter counted this run's own answer too.
+		others = max(others-1, 0)
+		rate := float64(measured.Answer) / measured.Decode.Seconds()
+		if !state.probing {
+			placer.interference.learn(state.decode.usual/rate, others/state.slots(), state.promptLoss(others, promptShare))
 		}
-		node.decode.observe(rate*node.crowding(company)/node.answerPart(company, prompts), weight)
+		state.decode.observe(rate*state.crowdingFactor(others)/state.decodeShare(others, promptShare), weight)
 	}
 	if run.Cached > 0 {
-		hit := min(float64(seen.Cached)/float64(run.Cached), 1)
-		node.trust += trustWeight * (hit - node.trust)
+		hitRatio := min(float64(measured.Cached)/float64(run.Cached), 1)
+		state.cacheTrust += hitTrustWeight * (hitRatio - state.cacheTrust)
 	}
-	node.judge(now)
+	state.updateHealth(now)
 }
 
-// judge decides from the rates whether the target goes on, is left to probes, or is
-// taken back.
-func (node *Node) judge(now time.Time) {
-	slow := node.prefill.slow() || node.decode.slow() || node.call.slow()
+// updateHealth starts probing a target whose rates are slow, and returns a target under
+// probing to ordinary use once its rates are not.
+func (state *TargetState) updateHealth(now time.Time) {
+	slow := state.prefill.slow() || state.decode.slow() || state.call.slow()
 	switch {
 	case slow:
-		node.startProbing(now)
-	case node.probing:
-		node.probing = false
+		state.startProbing(now)
+	case state.probing:
+		state.probing = false
 	}
 }
 
-// Tick looks for targets that show no progress, and lets old news fade.
-func (fleet *Fleet) Tick(now time.Time) {
-	for _, node := range fleet.nodes {
-		ratio := node.overdue(now, fleet.plain)
+// Tick starts probing targets that show no progress, and moves the recent rates of all
+// other targets back towards their usual ones.
+func (placer *Placer) Tick(now time.Time) {
+	for _, state := range placer.states {
+		ratio := state.stallRatio(now, placer.plainService)
 		if ratio == 0 {
-			node.fade(now)
+			state.fadeRates(now)
 			continue
 		}
-		node.newsAt = now
-		node.failing = true
-		node.startProbing(now)
-		if fleet.plain {
-			node.call.atMost(node.call.usual / ratio)
+		state.observedAt = now
+		state.failing = true
+		state.startProbing(now)
+		if placer.plainService {
+			state.call.capRecent(state.call.usual / ratio)
 		} else {
-			node.prefill.atMost(node.prefill.usual / ratio)
+			state.prefill.capRecent(state.prefill.usual / ratio)
 		}
 	}
 }
 
-// fade forgets old news of a target in ordinary use; one left to probes stays there
-// until a probe shows that it is well.
-func (node *Node) fade(now time.Time) {
-	idle := now.Sub(node.newsAt)
-	if node.probing || idle < fadePause {
+// fadeRates moves the recent rates of a target in ordinary use back towards the usual
+// ones while nothing is observed. A target under probing keeps its recent rates until a
+// probe shows that it has recovered.
+func (state *TargetState) fadeRates(now time.Time) {
+	idle := now.Sub(state.observedAt)
+	if state.probing || idle < fadeInterval {
 		return
 	}
-	part := 1 - math.Exp2(-float64(fadePause)/float64(forgetHalf))
-	node.newsAt = now
-	node.prefill.forget(part)
-	node.decode.forget(part)
-	node.call.forget(part)
+	fraction := 1 - math.Exp2(-float64(fadeInterval)/float64(rateHalfLife))
+	state.observedAt = now
+	state.prefill.returnToUsual(fraction)
+	state.decode.returnToUsual(fraction)
+	state.call.returnToUsual(fraction)
 }
 
-// Load is a target's own report.
-type Load struct {
+// LoadReport is a target's own report of its load: how long ago it was made, and how
+// many requests waited in the target's queue and were running then.
+type LoadReport struct {
 	Age     time.Duration
 	Waiting int
 	Running int
 }
 
-// Report takes a load report. What it shows beyond the most that was granted around
-// its time is the work of others and occupies slots until the report is too old.
-func (fleet *Fleet) Report(now time.Time, name yuccaid.Target, load Load) {
-	node, found := fleet.byName[name]
-	if !found || load.Age >= foreignLife {
+// ApplyLoadReport applies a load report. Reported requests in excess of runPeak, the
+// largest number of this leader's runs around the report's time, belong to other
+// leaders and occupy slots until the report expires.
+func (placer *Placer) ApplyLoadReport(now time.Time, name yuccaid.Target, report LoadReport) {
+	state, found := placer.byName[name]
+	if !found || report.Age >= loadReportLifetime {
 		return
 	}
-	node.peak.note(now, len(node.runs))
-	node.foreign = max(load.Running+load.Waiting-node.peak.value(), 0)
-	node.foreignTil = now.Add(foreignLife - load.Age)
+	state.runPeak.add(now, len(state.runs))
+	state.foreignRuns = max(report.Running+report.Waiting-state.runPeak.value(), 0)
+	state.foreignUntil = now.Add(loadReportLifetime - report.Age)
 }
 
-// CacheEvent corrects the record of a target's prefix cache.
+// ApplyCacheEvent corrects the model of a target's prefix cache.
 //
-// After a gap nobody knows what was evicted. Dropping the record would send every
-// prompt through a full prefill again; keeping it whole would hold prompts back for a
-// cache that is gone. So the record stays and counts for less until hits confirm it.
-func (fleet *Fleet) CacheEvent(name yuccaid.Target, stored, evicted []uint64, gap bool) {
-	node, found := fleet.byName[name]
+// After lost events it is unknown which blocks were evicted. Dropping the model would
+// send every prompt through a full prefill again; keeping full trust in it would make
+// prompts wait for blocks that no longer exist. The model therefore stays, and its
+// trust falls until observed hits confirm it.
+func (placer *Placer) ApplyCacheEvent(name yuccaid.Target, stored, evicted []uint64, eventsLost bool) {
+	state, found := placer.byName[name]
 	if !found {
 		return
 	}
-	if gap {
-		node.trust *= gapTrust
+	if eventsLost {
+		state.cacheTrust *= lostEventsTrust
 	}
-	fleet.prefixes.evicted(node, evicted)
-	fleet.prefixes.stored(node, stored)
+	placer.prefixes.removeEvicted(state, evicted)
+	placer.prefixes.addStored(state, stored)
 }
 
-// Demand notes an arrival, from which the room kept for short requests and for higher
-// tiers follows.
-func (fleet *Fleet) Demand(now time.Time, shape *Shape, long bool, work time.Duration) {
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	fleet.arrived(now, shape, float64(shape.Prompt-cached))
-	fleet.allWork += demandWeight * (work.Seconds() - fleet.allWork)
+// RecordArrival updates the averages from which the capacity reserved for short
+// requests and for higher tiers is computed. longPrompt and work are the results of
+// EstimateWork.
+func (placer *Placer) RecordArrival(now time.Time, req *Request, longPrompt bool, work time.Duration) {
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	placer.updateTypical(now, req, float64(req.Prompt-cached))
+	placer.allWork += arrivalWeight * (work.Seconds() - placer.allWork)
 	short := work.Seconds()
-	if long {
+	if longPrompt {
 		short = 0
 	}
-	fleet.shortWork += demandWeight * (short - fleet.shortWork)
+	placer.shortWork += arrivalWeight * (short - placer.shortWork)
 }
 
-// reserve is how many of n targets are kept free of long prompts.
+// reserve returns how many of n targets are kept free of long prompts.
 //
-// A short lookup that arrives while every target works on a rulebook waits for
-// seconds, longer than its deadline. The room follows the share of short work in the
-// demand, so that it doesn't idle when there is little of it, and is never more than
-// half, so that long prompts aren't starved by it.
-func (fleet *Fleet) reserve(n int) int {
-	if n < 2 || fleet.shortWork <= 0 {
+// A short request that arrives while every target works on a long prompt waits for
+// seconds, longer than its deadline allows. The reserve follows the share of short work
+// in the demand, so that targets don't idle when there is little short work. It is at
+// most maxReservedShare of the targets, half of them, so that long prompts aren't
+// starved.
+func (placer *Placer) reserve(n int) int {
+	if n < 2 || placer.shortWork <= 0 {
 		return 0
 	}
-	part := int(math.Ceil(fleet.shortWork / fleet.allWork * float64(n)))
-	return min(part, int(longestReserve*float64(n)))
+	proportional := int(math.Ceil(placer.shortWork / placer.allWork * float64(n)))
+	return min(proportional, int(maxReservedShare*float64(n)))
 }
--- a/core/yuccaplace/length.go
+++ b/core/yuccaplace/length.go
@@ -2,38 +2,41 @@
 
 import "yuccacleat/core/yuccaid"
 
-// length is how the answers of one operation turn out against their owners' estimates.
+// answerRatio describes the ratio of actual to estimated answer lengths of one
+// operation by its mean and its 90th percentile.
 //
-// Nobody knows how long an answer gets. Placing by the mean makes a quarter of the
-// requests late that barely fit; the high value is what nine of ten stay below.
-type length struct {
-	mean, high float64
+// The length of an answer is unknown in advance. If requests were placed by the mean, a
+// quarter of those that only just fit would be late. They are therefore placed by the
+// 90th percentile, the length that nine of ten answers stay below.
+type answerRatio struct {
+	mean, p90 float64
 }
 
-func (fleet *Fleet) length(op yuccaid.Operation) *length {
-	len, found := fleet.lengths[op]
+func (placer *Placer) answerRatio(op yuccaid.Operation) *answerRatio {
+	stats, found := placer.answerRatios[op]
 	if !found {
-		len = &length{mean: 1, high: firstHigh}
-		fleet.lengths[op] = len
+		stats = &answerRatio{mean: 1, p90: initialP90}
+		placer.answerRatios[op] = stats
 	}
-	return len
+	return stats
 }
 
-// observe moves the mean by a weight and the high value by steps that balance when
-// one answer in ten is longer.
-func (len *length) observe(ratio float64) {
-	ratio = min(ratio, longestRatio)
-	len.mean += lengthWeight * (ratio - len.mean)
-	if ratio > len.high {
-		len.high += highStep * highPart
+// observe adds one answer's ratio. The percentile moves up by a large step or down by a
+// small one; the steps balance when one answer in ten is longer.
+func (stats *answerRatio) observe(ratio float64) {
+	ratio = min(ratio, maxAnswerRatio)
+	stats.mean += answerMeanWeight * (ratio - stats.mean)
+	if ratio > stats.p90 {
+		stats.p90 += p90Step * p90Quantile
 	} else {
-		len.high -= highStep * (1 - highPart)
+		stats.p90 -= p90Step * (1 - p90Quantile)
 	}
-	len.high = max(len.high, len.mean)
+	stats.p90 = max(stats.p90, stats.mean)
 }
 
-// Expect fills in how long the answer of a request of the operation may get.
-func (fleet *Fleet) Expect(op yuccaid.Operation, shape *Shape) {
-	len := fleet.length(op)
-	shape.High = yuccaid.Tokens(float64(shape.Answer) * len.high)
+// FillAnswerP90 sets the request's AnswerP90 from its Answer and from the ratios of the
+// operation's answers observed so far.
+func (placer *Placer) FillAnswerP90(op yuccaid.Operation, req *Request) {
+	stats := placer.answerRatio(op)
+	req.AnswerP90 = yuccaid.Tokens(float64(req.Answer) * stats.p90)
 }
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -8,129 +8,137 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Reach is a set of targets that some accounts may use, with the best rates in it.
-type Reach struct {
-	nodes   []*Node
-	prefill float64
-	decode  float64
-	call    float64
-	mean    float64
-	slowest rates
-	slots   int
-	usable  int
-	// relaxed says that no target is in ordinary use, so that slow ones have to do.
-	relaxed bool
+// TargetSet is a set of targets that some accounts may use, with the best, mean and
+// slowest rates of its targets.
+type TargetSet struct {
+	states      []*TargetState
+	bestPrefill float64 // tokens per second
+	bestDecode  float64 // tokens per second
+	bestCall    float64 // calls per second, of plain services
+	meanPrefill float64 // tokens per second
+	slowest     rates
+	slots       int // of the usable targets
+	usableCount int // targets that take ordinary requests
+	// allSlow means that every target of the set is leaving or under probing, so the
+	// slow targets get ordinary requests too.
+	allSlow bool
 }
 
 type rates struct {
 	prefill, decode float64
 }
 
-// NewReach returns the set of the named targets, or of all when none is named.
-func (fleet *Fleet) NewReach(names []yuccaid.Target) *Reach {
-	reach := &Reach{}
-	for _, node := range fleet.nodes {
-		if len(names) == 0 || slices.Contains(names, node.Target.Name) {
-			reach.nodes = append(reach.nodes, node)
+// NewTargetSet returns the set of the named targets, or of all targets if no name is
+// given.
+func (placer *Placer) NewTargetSet(names []yuccaid.Target) *TargetSet {
+	set := &TargetSet{}
+	for _, state := range placer.states {
+		if len(names) == 0 || slices.Contains(names, state.Target.Name) {
+			set.states = append(set.states, state)
 		}
 	}
-	reach.Refresh()
-	return reach
+	set.Refresh()
+	return set
 }
 
-// Has reports whether the set holds a target.
-func (reach *Reach) Has(node *Node) bool {
-	return slices.Contains(reach.nodes, node)
+// Has reports whether the set contains the target.
+func (set *TargetSet) Has(state *TargetState) bool {
+	return slices.Contains(set.states, state)
 }
 
-// Usable returns how many targets of the set take ordinary work.
-func (reach *Reach) Usable() int {
-	return reach.usable
+// UsableCount returns how many targets of the set take ordinary requests.
+func (set *TargetSet) UsableCount() int {
+	return set.usableCount
 }
 
-// Any reports whether a target of the set may ever take work.
-func (reach *Reach) Any() bool {
-	return slices.ContainsFunc(reach.nodes, func(node *Node) bool { return !node.Gone() })
+// AnyAccepting reports whether at least one target of the set isn't leaving.
+func (set *TargetSet) AnyAccepting() bool {
+	return slices.ContainsFunc(set.states, func(state *TargetState) bool { return !state.Leaving() })
 }
 
-// holds reports whether a target gets no ordinary work now. Probes are for finding out
-// whether a slow target is well again while others work. When all of a set are slow,
-// keeping requests from them would leave callers waiting before idle engines; only a
-// target that shows no progress at all is still left to probes.
-func (reach *Reach) holds(node *Node) bool {
-	return node.Gone() || node.probing && (node.failing || !reach.relaxed)
+// excludes reports whether a target gets no ordinary requests now. Probes find out
+// whether a slow target has recovered while other targets do the work. If all targets
+// of a set are slow, excluding them would leave callers waiting while engines are idle;
+// then only targets that are leaving or failing are excluded.
+func (set *TargetSet) excludes(state *TargetState) bool {
+	return state.Leaving() || state.probing && (state.failing || !set.allSlow)
 }
 
-// Refresh takes the learned rates into the set's best and mean ones.
-func (reach *Reach) Refresh() {
-	reach.prefill, reach.decode, reach.call, reach.mean = 0, 0, 0, 0
-	reach.slots, reach.usable = 0, 0
-	reach.relaxed = !slices.ContainsFunc(reach.nodes, func(node *Node) bool { return !node.Gone() && !node.probing })
-	reach.slowest = rates{prefill: math.Inf(1), decode: math.Inf(1)}
-	for _, node := range reach.nodes {
-		if reach.holds(node) {
+// Refresh recomputes the rates and counts of the set from its targets.
+func (set *TargetSet) Refresh() {
+	set.bestPrefill, set.bestDecode, set.bestCall, set.meanPrefill = 0, 0, 0, 0
+	set.slots, set.usableCount = 0, 0
+	set.allSlow = !slices.ContainsFunc(set.states, func(state *TargetState) bool { return !state.Leaving() && !state.probing })
+	set.slowest = rates{prefill: math.Inf(1), decode: math.Inf(1)}
+	for _, state := range set.states {
+		if set.excludes(state) {
 			continue
 		}
-		reach.usable++
-		reach.slots += node.Target.Slots
-		reach.prefill = max(reach.prefill, node.prefill.best)
-		reach.decode = max(reach.decode, node.decode.best)
-		reach.call = max(reach.call, node.call.recent)
-		reach.mean += node.prefill.recent
-		reach.slowest.prefill = min(reach.slowest.prefill, node.prefill.recent)
-		reach.slowest.decode = min(reach.slowest.decode, node.decode.recent)
+		set.usableCount++
+		set.slots += state.Target.Slots
+		set.bestPrefill = max(set.bestPrefill, state.prefill.best)
+		set.bestDecode = max(set.bestDecode, state.decode.best)
+		set.bestCall = max(set.bestCall, state.call.recent)
+		set.meanPrefill += state.prefill.recent
+		set.slowest.prefill = min(set.slowest.prefill, state.prefill.recent)
+		set.slowest.decode = min(set.slowest.decode, state.decode.recent)
 	}
-	reach.mean /= float64(max(reach.usable, 1))
+	set.meanPrefill /= float64(max(set.usableCount, 1))
 }
 
-// Shape is what the estimates need of a request.
-type Shape struct {
+// Request describes a request for the estimates: expected lengths in tokens, tier and
+// deadline.
+type Request struct {
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// High is what the answer may well get to; Expect fills it in.
-	High     yuccaid.Tokens
-	Prefixes []uint64
-	Rank     int
-	Long     bool
-	// Urgent says that this is the last moment: room kept for others doesn't count.
-	Urgent   bool
-	Deadline time.Time
+	// AnswerP90 is the 90th percentile of the answer's length; FillAnswerP90 sets it.
+	AnswerP90  yuccaid.Tokens
+	Prefixes   []uint64 // hashes of the prompt's blocks, first block first
+	Rank       int      // of the tier; 0 is the top tier
+	LongPrompt bool     // as returned by EstimateWork
+	// LastAttempt means that the request is rejected if it isn't placed now; capacity
+	// reserved for other requests is then ignored.
+	LastAttempt bool
+	Deadline    time.Time
 }
 
-// Quickest returns the shortest time in which an idle set could serve the request,
-// with the best rates and the deepest cached prefix, though no single target may
-// have all of them: a request is refused as hopeless only when it is.
-func (fleet *Fleet) Quickest(reach *Reach, shape *Shape) time.Duration {
-	if reach.usable == 0 || fleet.plain {
+// FastestTime returns a lower bound on the time in which the set could serve the
+// request. It combines the best rates with the longest cached prefix, even if no single
+// target has all of these, so that a request is rejected only if it cannot meet its
+// deadline on any target.
+func (placer *Placer) FastestTime(set *TargetSet, req *Request) time.Duration {
+	if set.usableCount == 0 || placer.plainService {
 		return 0
 	}
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	prefill := float64(shape.Prompt-cached) / reach.prefill
-	return seconds(prefill + float64(shape.Answer)/reach.decode)
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	prefill := float64(req.Prompt-cached) / set.bestPrefill
+	return seconds(prefill + float64(req.Answer)/set.bestDecode)
 }
 
-// Slowest returns how long the slowest target in ordinary use would take, idle and
-// without a cached prefix, for a long answer.
-func (fleet *Fleet) Slowest(reach *Reach, shape *Shape) time.Duration {
-	if reach.usable == 0 || fleet.plain {
+// SlowestTime returns how long the slowest target in ordinary use would take for a long
+// answer, idle and without a cached prefix.
+func (placer *Placer) SlowestTime(set *TargetSet, req *Request) time.Duration {
+	if set.usableCount == 0 || placer.plainService {
 		return 0
 	}
-	prefill := float64(shape.Prompt) / reach.slowest.prefill
-	return seconds(prefill + float64(max(shape.High, shape.Answer))/reach.slowest.decode)
+	prefill := float64(req.Prompt) / set.slowest.prefill
+	return seconds(prefill + float64(max(req.AnswerP90, req.Answer))/set.slowest.decode)
 }
 
-// Work returns the time that a request takes of one target of the set: its prefill,
-// and of its decoding the part of one slot, since answers are decoded side by side.
-func (fleet *Fleet) Work(reach *Reach, shape *Shape) (work time.Duration, long bool) {
-	if reach.usable == 0 {
+// EstimateWork returns how much time of one target of the set the request takes up, and
+// whether its prompt counts as long. The time is its prefill time plus its decoding
+// time divided by the slots of a target, since a target decodes that many answers side
+// by side.
+func (placer *Placer) EstimateWork(set *TargetSet, req *Request) (work time.Duration, longPrompt bool) {
+	if set.usableCount == 0 {
 		return 0, false
 	}
-	perTarget := float64(max(reach.slots, 1)) / float64(reach.usable)
-	if fleet.plain {
-		return seconds(1 / reach.call / perTarget), false
+	slotsPerTarget := float64(max(set.slots, 1)) / float64(set.usableCount)
+	if placer.plainService {
+		return seconds(1 / set.bestCall / slotsPerTarget), false
 	}
-	cached := min(fleet.prefixes.deepest(shape.Prefixes), shape.Prompt)
-	prefill := float64(shape.Prompt-cached) / reach.mean
-	decode := float64(shape.Answer) / reach.decode / perTarget
-	return seconds(prefill + decode), seconds(prefill) >= longPrefill
+	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	prefill := float64(req.Prompt-cached) / set.meanPrefill
+	decode := float64(req.Answer) / set.bestDecode / slotsPerTarget
+	return seconds(prefill + decode), seconds(prefill) >= longPrefillTime
 }
--- a/core/yuccaplace/run.go
+++ b/core/yuccaplace/run.go
@@ -6,52 +6,59 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Run is one granted request on its target. High is how long its answer may well get.
+// Run is one granted request on its target. Lengths are in tokens: Cached is the part
+// of the prompt that the target was expected to hold, Answer the expected length of the
+// answer, AnswerP90 the 90th percentile of that length, and Answered the number of
+// tokens received so far.
 type Run struct {
-	ID          yuccaid.RequestID
-	Operation   yuccaid.Operation
-	Rank        int
-	Cancellable bool
-	Long        bool
-	Prompt      yuccaid.Tokens
-	Cached      yuccaid.Tokens
-	Answer      yuccaid.Tokens
-	Answered    yuccaid.Tokens
-	High        yuccaid.Tokens
-	Deadline    time.Time
-	Began       time.Time
-	First       time.Time
-
-	node    *Node
-	atBegin reading
-	atFirst reading
+	ID           yuccaid.RequestID
+	Operation    yuccaid.Operation
+	Rank         int  // of the tier; 0 is the top tier
+	Cancellable  bool // may be cancelled for a request of a higher tier
+	LongPrompt   bool
+	Prompt       yuccaid.Tokens
+	Cached       yuccaid.Tokens
+	Answer       yuccaid.Tokens
+	Answered     yuccaid.Tokens
+	AnswerP90    yuccaid.Tokens
+	Deadline     time.Time
+	StartedAt    time.Time
+	FirstTokenAt time.Time
+
+	state             *TargetState
+	meterAtStart      meterReading
+	meterAtFirstToken meterReading
 }
 
-// Target returns where the run is.
+// Target returns the name of the target that the run is on.
 func (run *Run) Target() yuccaid.Target {
-	return run.node.Target.Name
+	return run.state.Target.Name
 }
 
-// Prefilling reports whether the target still works on the prompt or hasn't begun.
+// Prefilling reports whether the first token of the answer hasn't been received yet.
 func (run *Run) Prefilling() bool {
-	return run.First.IsZero()
+	return run.FirstTokenAt.IsZero()
 }
 
+// uncached returns how many prompt tokens the target has to compute, at least one.
 func (run *Run) uncached() yuccaid.Tokens {
 	return max(run.Prompt-run.Cached, 1)
 }
 
-// left is how many tokens of the answer may still have to come, at least one.
-func (run *Run) left(now time.Time) float64 {
+// tokensLeft returns how many tokens are still to be decoded if the answer has the
+// length AnswerP90, at least one. What is done is the larger of the tokens received and
+// those that the time since the first token predicts.
+func (run *Run) tokensLeft(now time.Time) float64 {
 	done := float64(run.Answered)
 	if !run.Prefilling() {
-		done = max(done, float64(run.Answer)*min(run.pace(now), 1))
+		done = max(done, float64(run.Answer)*min(run.decodeProgress(now), 1))
 	}
-	return max(float64(run.High)-done, 1)
+	return max(float64(run.AnswerP90)-done, 1)
 }
 
-// pace is the part of the expected decoding time that has passed.
-func (run *Run) pace(now time.Time) float64 {
-	expected := run.node.decodeTime(float64(run.Answer), float64(len(run.node.runs)-1))
-	return float64(now.Sub(run.First)) / float64(max(expected, time.Millisecond))
+// decodeProgress returns the time since the first token as a fraction of the expected
+// decoding time; it may exceed 1.
+func (run *Run) decodeProgress(now time.Time) float64 {
+	expected := run.state.decodeTime(float64(run.Answer), float64(len(run.state.runs)-1))
+	return float64(now.Sub(run.FirstTokenAt)) / float64(max(expected, time.Millisecond))
 }
--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -19,7 +19,7 @@
 	var dec Decisions
 	lead.config = config
 	lead.fleet.Configure(config.Policy, config.PlainService, config.Targets)
-	lead.targetSets = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.targetSets = []*yuccaplace.TargetSet{lead.fleet.NewTargetSet(nil)}
 	lead.configureAccounts(now, config)
 	lead.updateParams(now, &dec)
 	lead.serve(now, &dec)
@@ -58,7 +58,7 @@
 	if !found {
 		index = len(lead.targetSets)
 		indexByKey[key] = index
-		lead.targetSets = append(lead.targetSets, lead.fleet.NewReach(targets))
+		lead.targetSets = append(lead.targetSets, lead.fleet.NewTargetSet(targets))
 	}
 	return index
 }
@@ -70,7 +70,7 @@
 	lead.queue.ForEach(func(item *yuccaqueue.Item) { items = append(items, item) })
 	for _, item := range items {
 		acc := lead.account(item.Request.Account)
-		if !lead.gathering(now) && !lead.targetSets[acc.targetSet].Any() {
+		if !lead.gathering(now) && !lead.targetSets[acc.targetSet].AnyAccepting() {
 			lead.queue.Remove(item)
 			lead.addRefusal(dec, &item.Request, yuccaqueue.ReasonNoTarget, 0)
 			continue
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -24,7 +24,7 @@
 	}
 	shape := lead.shape(&req, now.Add(req.Remaining))
 	params := lead.params(now, acc, &shape)
-	lead.fleet.Demand(now, &shape, params.Long, params.Work)
+	lead.fleet.RecordArrival(now, &shape, params.Long, params.Work)
 	lead.push(now, req, params, &dec)
 	lead.serve(now, &dec)
 	return dec
@@ -52,7 +52,7 @@
 		return true
 	}
 	targetSet := lead.targetSets[acc.targetSet]
-	if !targetSet.Any() {
+	if !targetSet.AnyAccepting() {
 		lead.addRefusal(dec, req, yuccaqueue.ReasonNoTarget, 0)
 		return false
 	}
@@ -61,7 +61,7 @@
 		return false
 	}
 	shape := lead.shape(req, now.Add(req.Remaining))
-	if lead.fleet.Quickest(targetSet, &shape) > req.Remaining || req.Remaining <= 0 {
+	if lead.fleet.FastestTime(targetSet, &shape) > req.Remaining || req.Remaining <= 0 {
 		lead.addRefusal(dec, req, yuccaqueue.ReasonDeadline, 0)
 		return false
 	}
@@ -70,30 +70,30 @@
 }
 
 // shape returns the properties of a request from which the fleet estimates its times.
-func (lead *Leader) shape(req *Request, deadline time.Time) yuccaplace.Shape {
-	shape := yuccaplace.Shape{
+func (lead *Leader) shape(req *Request, deadline time.Time) yuccaplace.Request {
+	shape := yuccaplace.Request{
 		Prompt:   req.Prompt,
 		Answer:   req.Answer,
 		Prefixes: req.Prefixes,
 		Rank:     req.Rank,
 		Deadline: deadline,
 	}
-	lead.fleet.Expect(req.Operation, &shape)
+	lead.fleet.FillAnswerP90(req.Operation, &shape)
 	return shape
 }
 
 // params computes the scheduling parameters of a request: requests are ordered by
 // deadline, and each is checked shortly before the slowest target could no longer meet
 // its deadline, the earliest moment at which a slot may have to be freed for it.
-func (lead *Leader) params(_ time.Time, acc *account, shape *yuccaplace.Shape) yuccaqueue.Params {
+func (lead *Leader) params(_ time.Time, acc *account, shape *yuccaplace.Request) yuccaqueue.Params {
 	targetSet := lead.targetSets[acc.targetSet]
-	work, long := lead.fleet.Work(targetSet, shape)
+	work, long := lead.fleet.EstimateWork(targetSet, shape)
 	return yuccaqueue.Params{
 		TargetSet:   yuccaqueue.TargetSet(acc.targetSet),
 		Long:        long,
 		Key:         shape.Deadline,
-		LatestStart: shape.Deadline.Add(-lead.fleet.Quickest(targetSet, shape)),
-		CheckAt:     shape.Deadline.Add(-lead.fleet.Slowest(targetSet, shape) - evictionLead),
+		LatestStart: shape.Deadline.Add(-lead.fleet.FastestTime(targetSet, shape)),
+		CheckAt:     shape.Deadline.Add(-lead.fleet.SlowestTime(targetSet, shape) - evictionLead),
 		Work:        work,
 	}
 }
@@ -156,13 +156,13 @@
 // tryPlace grants a request the best free slot, if there is a suitable one.
 func (lead *Leader) tryPlace(now time.Time, item *yuccaqueue.Item, dec *Decisions) yuccaqueue.ServeResult {
 	shape := lead.shape(&item.Request, item.Deadline)
-	shape.Long = item.Params.Long
+	shape.LongPrompt = item.Params.Long
 	targetSet := lead.targetSets[item.Params.TargetSet]
 	choice, verdict := lead.fleet.Choose(now, targetSet, &shape)
 	switch verdict {
-	case yuccaplace.NoRoom:
+	case yuccaplace.NoFreeSlot:
 		return yuccaqueue.NoFreeSlot
-	case yuccaplace.Unsuited, yuccaplace.Better:
+	case yuccaplace.Unsuitable, yuccaplace.WaitForBetter:
 		return yuccaqueue.Unsuitable
 	default:
 		lead.addGrant(lead.startRun(now, item.Request, choice, item.Deadline), dec)
@@ -235,7 +235,7 @@
 		return false
 	}
 	shape := lead.shape(&item.Request, item.Deadline)
-	shape.Urgent = true
+	shape.LastAttempt = true
 	choice, verdict := lead.fleet.Choose(now, lead.targetSets[item.Params.TargetSet], &shape)
 	if verdict != yuccaplace.Found {
 		return false
@@ -253,7 +253,7 @@
 }
 
 // applyEviction cancels the runs of an eviction and grants the request the slot.
-func (lead *Leader) applyEviction(now time.Time, req *Request, deadline time.Time, eviction yuccaplace.Eviction, dec *Decisions) bool {
+func (lead *Leader) applyEviction(now time.Time, req *Request, deadline time.Time, eviction yuccaplace.Preemption, dec *Decisions) bool {
 	for _, victim := range eviction.Runs {
 		lead.cancel(now, lead.runs[victim.ID], dec)
 	}
@@ -263,21 +263,21 @@
 
 // eviction returns the runs to cancel so that a request can meet its deadline, or false
 // if no eviction helps or none is allowed.
-func (lead *Leader) eviction(now time.Time, req *Request, deadline time.Time) (yuccaplace.Eviction, bool) {
+func (lead *Leader) eviction(now time.Time, req *Request, deadline time.Time) (yuccaplace.Preemption, bool) {
 	acc := lead.account(req.Account)
 	if !lead.preempts || acc.atRunningLimit() {
-		return yuccaplace.Eviction{}, false
+		return yuccaplace.Preemption{}, false
 	}
 	shape := lead.shape(req, deadline)
-	eviction, found := lead.fleet.Evict(now, lead.targetSets[acc.targetSet], &shape)
+	eviction, found := lead.fleet.PlanPreemption(now, lead.targetSets[acc.targetSet], &shape)
 	if found {
 		return eviction, true
 	}
 	// No eviction lets a long answer meet the deadline, but an eviction may let an answer
 	// of ordinary length meet it. The request's chance to meet its deadline takes
 	// precedence over a run of a lower tier, so that eviction is tried too.
-	shape.Urgent = true
-	return lead.fleet.Evict(now, lead.targetSets[acc.targetSet], &shape)
+	shape.LastAttempt = true
+	return lead.fleet.PlanPreemption(now, lead.targetSets[acc.targetSet], &shape)
 }
 
 // cancel ends a run to free its slot. If dec still holds the run's grant, the grant has
@@ -330,7 +330,7 @@
 func (lead *Leader) retryAfter(now time.Time, req *Request) time.Duration {
 	targetSet := lead.targetSet(req.Account)
 	ahead := lead.queue.WorkAhead(now, req.Rank, now.Add(req.Remaining))
-	drain := max(ahead/time.Duration(max(targetSet.Usable(), 1)), minRetryAfter)
+	drain := max(ahead/time.Duration(max(targetSet.UsableCount(), 1)), minRetryAfter)
 	return drain + time.Duration(lead.rng.Float64()*retryJitter*float64(drain))
 }
 
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -46,9 +46,9 @@
 	config           PoolConfig
 	holdGrantsUntil  time.Time
 	preempts         bool
-	fleet            *yuccaplace.Fleet
+	fleet            *yuccaplace.Placer
 	queue            *yuccaqueue.Queue
-	targetSets       []*yuccaplace.Reach
+	targetSets       []*yuccaplace.TargetSet
 	accounts         map[yuccaid.Account]*account
 	runs             map[yuccaid.RequestID]*grantedRun
 	overdueCheckedAt time.Time
@@ -74,7 +74,7 @@
 	for _, option := range options {
 		option(lead)
 	}
-	lead.targetSets = []*yuccaplace.Reach{lead.fleet.NewReach(nil)}
+	lead.targetSets = []*yuccaplace.TargetSet{lead.fleet.NewTargetSet(nil)}
 	return lead
 }
 
@@ -96,17 +96,17 @@
 // AddRunning adds a run that its owner reports to a new leader. It ignores a run that the
 // leader already has and one on a target that is not in the configuration.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
-	node, found := lead.fleet.Node(running.Target)
+	node, found := lead.fleet.TargetState(running.Target)
 	if _, known := lead.runs[running.Request.ID]; known || !found {
 		return
 	}
 	if item, waiting := lead.queue.Get(running.Request.ID); waiting {
 		lead.queue.Remove(item)
 	}
-	run := lead.startRun(now, running.Request, yuccaplace.Choice{Node: node}, now.Add(running.Request.Remaining))
+	run := lead.startRun(now, running.Request, yuccaplace.Choice{TargetState: node}, now.Add(running.Request.Remaining))
 	run.dispatched = true
 	if running.Answered > 0 {
-		lead.fleet.First(now, &run.Run)
+		lead.fleet.FinishPrefill(now, &run.Run)
 		run.Answered = running.Answered
 	}
 }
@@ -121,7 +121,7 @@
 	run.dispatched = true
 	run.Answered = max(run.Answered, progress.Answered)
 	if (progress.FirstToken || progress.Answered > 0) && run.Prefilling() {
-		lead.fleet.First(now, &run.Run)
+		lead.fleet.FinishPrefill(now, &run.Run)
 		lead.unparkTarget(run.Target())
 		lead.serve(now, &dec)
 	}
@@ -133,11 +133,11 @@
 func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
-		lead.fleet.Leave(now, done.Target, true, 0)
+		lead.fleet.SetLeaving(now, done.Target, true, 0)
 		lead.refreshTargetSets()
 	}
 	if done.Failed || done.Refused {
-		lead.fleet.Failed(now, done.Target)
+		lead.fleet.RecordFailure(now, done.Target)
 	}
 	run, found := lead.runs[done.ID]
 	if !found {
@@ -145,9 +145,9 @@
 	}
 	lead.endRun(now, run)
 	if done.Ran {
-		lead.fleet.Learn(now, &run.Run, yuccaplace.Observed{
+		lead.fleet.LearnFromRun(now, &run.Run, yuccaplace.RunMeasurement{
 			Prompt: done.Prompt, Cached: done.Cached, Answer: done.Answer,
-			Prefill: done.Prefill, Decode: done.Decode, Whole: !done.Partial,
+			Prefill: done.Prefill, Decode: done.Decode, Complete: !done.Partial,
 		})
 	} else {
 		lead.account(run.req.Account).refund(&run.req)
@@ -183,9 +183,9 @@
 // ApplyReport applies a target's load report.
 func (lead *Leader) ApplyReport(now time.Time, report LoadReport) Decisions {
 	var dec Decisions
-	lead.fleet.Leave(now, report.Target, report.Leaving, report.Age)
+	lead.fleet.SetLeaving(now, report.Target, report.Leaving, report.Age)
 	lead.endOrphanedRuns(now, &report)
-	lead.fleet.Report(now, report.Target, yuccaplace.Load{
+	lead.fleet.ApplyLoadReport(now, report.Target, yuccaplace.LoadReport{
 		Age: report.Age, Waiting: report.Waiting, Running: report.Running,
 	})
 	lead.unparkTarget(report.Target)
@@ -201,7 +201,7 @@
 	var orphaned []*grantedRun
 	counted := 0
 	for _, run := range lead.runs {
-		if run.Target() != report.Target || run.Began.After(reportedAt) {
+		if run.Target() != report.Target || run.StartedAt.After(reportedAt) {
 			continue
 		}
 		counted++
@@ -217,7 +217,7 @@
 
 // ApplyCacheEvent applies changes of a target's prefix cache.
 func (lead *Leader) ApplyCacheEvent(_ time.Time, event CacheEvent) {
-	lead.fleet.CacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
+	lead.fleet.ApplyCacheEvent(event.Target, event.Stored, event.Evicted, event.EventsLost)
 }
 
 // Tick makes the decisions that follow from the passing of time. Call it at least every
@@ -255,7 +255,7 @@
 		longest = defaultLongestRun
 	}
 	for _, run := range lead.runs {
-		if now.Sub(run.Began) > longest+grantTTL {
+		if now.Sub(run.StartedAt) > longest+grantTTL {
 			lead.endRun(now, run)
 		}
 	}
@@ -274,10 +274,10 @@
 		Answer:      req.Answer,
 	}
 	shape := lead.shape(&req, deadline)
-	run.High, run.Deadline = shape.High, deadline
-	_, run.Long = lead.fleet.Work(lead.targetSet(req.Account), &shape)
+	run.AnswerP90, run.Deadline = shape.AnswerP90, deadline
+	_, run.LongPrompt = lead.fleet.EstimateWork(lead.targetSet(req.Account), &shape)
 	lead.runs[req.ID] = run
-	lead.fleet.Begin(now, choice.Node, &run.Run, req.Prefixes)
+	lead.fleet.StartRun(now, choice.TargetState, &run.Run, req.Prefixes)
 	acc := lead.account(req.Account)
 	acc.running++
 	lead.queue.SetBlocked(req.Account, acc.atRunningLimit())
@@ -287,7 +287,7 @@
 // endRun removes a run and frees its slot.
 func (lead *Leader) endRun(now time.Time, run *grantedRun) {
 	delete(lead.runs, run.req.ID)
-	lead.fleet.End(now, &run.Run)
+	lead.fleet.ReleaseRun(now, &run.Run)
 	acc := lead.account(run.req.Account)
 	acc.running--
 	lead.queue.SetBlocked(run.req.Account, acc.atRunningLimit())
@@ -296,7 +296,7 @@
 
 // unparkTarget lets the queue try all requests again that may use the target.
 func (lead *Leader) unparkTarget(name yuccaid.Target) {
-	node, found := lead.fleet.Node(name)
+	node, found := lead.fleet.TargetState(name)
 	if !found {
 		return
 	}
@@ -310,7 +310,7 @@
 	}
 }
 
-func (lead *Leader) targetSet(name yuccaid.Account) *yuccaplace.Reach {
+func (lead *Leader) targetSet(name yuccaid.Account) *yuccaplace.TargetSet {
 	return lead.targetSets[lead.account(name).targetSet]
 }
 
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -113,7 +113,7 @@
 
 // noSharing tells the leader that requests on one simulated engine do not slow each other
 // down.
-var noSharing = yuccapool.WithFleet(yuccaplace.WithSharing(0, 0))
+var noSharing = yuccapool.WithFleet(yuccaplace.WithInterference(0, 0))
 
 func newSimulation(config yuccapool.PoolConfig, options ...yuccapool.Option) *simulation {
 	sim := &simulation{
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -9,71 +9,83 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Standing is how a peer's configuration relates to one's own.
-type Standing string
+// PeerRelation is how the local configuration relates to a peer's.
+type PeerRelation string
 
 const (
-	// StandingSame says that both hold the same.
-	StandingSame Standing = "same"
-	// StandingBehind says that the peer holds a higher number: fetch what Plan says.
-	StandingBehind Standing = "behind"
-	// StandingAhead says that the peer holds a lower number and will fetch.
-	StandingAhead Standing = "ahead"
-	// StandingForked says that the peer accepted another content of the same number.
-	StandingForked Standing = "forked"
+	// RelationSame means that both configurations are the same.
+	RelationSame PeerRelation = "same"
+	// RelationLocalBehind means that the peer holds a higher number; PlanFetch returns
+	// what to fetch from it.
+	RelationLocalBehind PeerRelation = "behind"
+	// RelationLocalAhead means that the peer holds a lower number; it fetches the
+	// missing notes from this daemon.
+	RelationLocalAhead PeerRelation = "ahead"
+	// RelationForked means that the peer and this daemon accepted different contents
+	// under the same number.
+	RelationForked PeerRelation = "forked"
 )
 
-// Hear compares with the number and digest in a peer's heartbeat. A fork is an alarm,
-// told once for each peer and digest.
-func (chain *Chain) Hear(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (Standing, []Entry) {
+// ComparePeer compares the local configuration with the number and digest in a heartbeat
+// of the peer named from. On a fork it returns an alarm entry, once for each peer and
+// digest.
+func (chain *Chain) ComparePeer(now time.Time, from string, number yuccaid.ConfigNumber, digest yuccaid.Digest) (PeerRelation, []Entry) {
 	if number > chain.Number() {
-		return StandingBehind, nil
+		return RelationLocalBehind, nil
 	}
-	own := chain.accepted[number].after
+	localDigest := chain.accepted[number].configDigest
 	if number == chain.Number() {
-		own = chain.digest
+		localDigest = chain.digest
 	}
 	switch {
-	case own != "" && own != digest:
-		err := forked(number, digest, own)
-		return StandingForked, chain.told(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
+	case localDigest != "" && localDigest != digest:
+		err := forkRefusal(number, digest, localDigest)
+		return RelationForked, chain.auditOnce(now, EntryAlarm, number, from, sha256.Sum256([]byte(from+" "+string(digest))), err)
 	case number < chain.Number():
-		return StandingAhead, nil
+		return RelationLocalAhead, nil
 	}
-	return StandingSame, nil
+	return RelationSame, nil
 }
 
-func forked(number yuccaid.ConfigNumber, theirs, own yuccaid.Digest) *Refusal {
-	return refuse(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", theirs, own)
+// forkRefusal returns the refusal for a number under which the peer and this daemon have
+// accepted different contents.
+func forkRefusal(number yuccaid.ConfigNumber, peerDigest, localDigest yuccaid.Digest) *Refusal {
+	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", peerDigest, localDigest)
 }
 
-// Plan is what to fetch in order to reach a peer's number.
-type Plan struct {
+// FetchPlan is what to fetch from a peer in order to reach its number: the notes with
+// these numbers, or a snapshot.
+type FetchPlan struct {
 	Notes    []yuccaid.ConfigNumber
 	Snapshot bool
 }
 
-// Plan says what to fetch from a peer that holds the number: the missing notes, or a
-// snapshot if they are too many. If a note that was planned is refused, the plan after
-// it is a snapshot too: after a fork the peer's chain went on from another content, so
-// its notes can never fit here. A note that the platform alone published and that is
-// wrong for everybody doesn't count: mending it would else cost each daemon of the
-// fleet a snapshot. A peer that no longer has a note's text sends its snapshot.
-func (chain *Chain) Plan(number yuccaid.ConfigNumber) Plan {
+// PlanFetch returns what to fetch from a peer whose configuration has the given number:
+// the missing notes, or a snapshot if there are too many of them.
+//
+// If a note is refused after a plan listed it, the next plan is a snapshot as well: after
+// a fork the peer's later notes are based on the content that it accepted, so this daemon
+// can never apply them. A refused note that no plan listed does not cause a snapshot: it
+// came from the platform and is invalid for all daemons, and each of them would fetch a
+// snapshot once it is corrected. A peer that no longer keeps a note's text sends a
+// snapshot.
+func (chain *Chain) PlanFetch(number yuccaid.ConfigNumber) FetchPlan {
 	next := chain.Number() + 1
 	if number < next {
-		return Plan{}
+		return FetchPlan{}
 	}
-	if number-chain.Number() > keptNotes || chain.barred == next {
-		return Plan{Snapshot: true}
+	if number-chain.Number() > maxKeptNotes || chain.refusedNext == next {
+		return FetchPlan{Snapshot: true}
 	}
-	chain.asked = next
-	return Plan{Notes: chain.missingUpTo(number)}
+	chain.plannedNext = next
+	return FetchPlan{Notes: chain.missingUpTo(number)}
 }
 
+// missingUpTo returns the numbers after the current one, up to highest, whose notes are
+// not held; at most maxKeptNotes of them.
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
 	var missing []yuccaid.ConfigNumber
-	for number := chain.Number() + 1; number <= highest && len(missing) < int(keptNotes); number++ {
+	for number := chain.Number() + 1; number <= highest && len(missing) < int(maxKeptNotes); number++ {
 		if _, held := chain.held[number]; !held {
 			missing = append(missing, number)
 		}
@@ -81,7 +93,8 @@
 	return missing
 }
 
-// Missing returns the numbers of notes that held ones wait for.
+// Missing returns the numbers of the missing notes without which the held notes can't be
+// applied.
 func (chain *Chain) Missing() []yuccaid.ConfigNumber {
 	if len(chain.held) == 0 {
 		return nil
@@ -89,40 +102,42 @@
 	return chain.missingUpTo(slices.Max(slices.Collect(maps.Keys(chain.held))))
 }
 
-// Adopt puts a whole configuration in force, from a peer or a baseline, if it has the
-// digest that was announced and its number is higher than the accepted one. An empty
-// digest announces nothing.
+// Adopt puts a complete configuration from a peer or a baseline in force if its number
+// is higher than the current one and its digest is the one that was announced (digest). An
+// empty digest is not checked.
 //
-// Texts of earlier notes are dropped: they may be of another branch than the
-// snapshot, and a peer that fetched them would follow the wrong one.
+// The texts of earlier notes are dropped: after a fork they may belong to another branch
+// than the snapshot, and a peer that fetched them would apply notes of that branch.
 func (chain *Chain) Adopt(now time.Time, from string, state *State, digest yuccaid.Digest) (Verdict, error) {
-	number, found := state.Number, state.Digest()
+	number, actual := state.Number, state.Digest()
 	verdict := Verdict{Kind: VerdictRefused, Number: number}
-	content := sha256.Sum256([]byte(from + " " + string(found)))
+	content := sha256.Sum256([]byte(from + " " + string(actual)))
 	switch {
-	case digest != "" && digest != found:
-		err := refuse(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", found, digest)
-		verdict.Entries = chain.told(now, EntryRefused, number, from, content, err)
+	case digest != "" && digest != actual:
+		err := newRefusal(number, ErrDigest, "", "fetch it again from another peer", "snapshot has %s instead of %s", actual, digest)
+		verdict.Entries = chain.auditOnce(now, EntryRefused, number, from, content, err)
 		return verdict, err
-	case number == chain.Number() && found == chain.digest:
+	case number == chain.Number() && actual == chain.digest:
 		verdict.Kind = VerdictRepeated
 		return verdict, nil
 	case number == chain.Number():
-		err := forked(number, found, chain.digest)
+		err := forkRefusal(number, actual, chain.digest)
 		verdict.Kind = VerdictAlarm
-		verdict.Entries = chain.told(now, EntryAlarm, number, from, content, err)
+		verdict.Entries = chain.auditOnce(now, EntryAlarm, number, from, content, err)
 		return verdict, err
 	case number < chain.Number():
-		return verdict, refuse(number, ErrNotHigher, "", "keep the accepted one", "snapshot is %d after %d", number, chain.Number())
+		return verdict, newRefusal(number, ErrNotHigher, "", "keep the accepted one", "snapshot is %d after %d", number, chain.Number())
 	}
 	verdict.Kind = VerdictAccepted
-	verdict.Entries = []Entry{chain.move(now, EntryAdopted, from, state)}
-	maps.DeleteFunc(chain.accepted, func(earlier yuccaid.ConfigNumber, _ link) bool { return earlier+keptProofs <= number })
-	for earlier, kept := range chain.accepted {
-		chain.accepted[earlier] = link{content: kept.content, meaning: kept.meaning}
+	verdict.Entries = []Entry{chain.advance(now, EntryAdopted, from, state)}
+	maps.DeleteFunc(chain.accepted, func(acceptedNumber yuccaid.ConfigNumber, _ acceptedNote) bool {
+		return acceptedNumber+maxKeptDigests <= number
+	})
+	for acceptedNumber, kept := range chain.accepted {
+		chain.accepted[acceptedNumber] = acceptedNote{rawSum: kept.rawSum, noteDigest: kept.noteDigest}
 	}
-	chain.accepted[number] = link{after: found}
-	chain.forget()
-	verdict.Entries = append(verdict.Entries, chain.release(now)...)
+	chain.accepted[number] = acceptedNote{configDigest: actual}
+	chain.dropOld()
+	verdict.Entries = append(verdict.Entries, chain.releaseHeld(now)...)
 	return verdict, nil
 }
--- a/core/yuccastate/codec_test.go
+++ b/core/yuccastate/codec_test.go
@@ -16,36 +16,37 @@
 )
 
 var _ = Describe("a snapshot", func() {
-	It("survives the wire, always in the same bytes", func() {
+	It("decodes to the same state and encodes to the same bytes", func() {
 		state := largeState()
 		raw, err := yuccastate.EncodeState(state)
 		Expect(err).NotTo(HaveOccurred())
-		back, err := yuccastate.DecodeState(raw)
+		decoded, err := yuccastate.DecodeState(raw)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(yuccastate.Diff(state, back)).To(BeEmpty())
-		Expect(back.Digest()).To(Equal(state.Digest()))
-		again, err := yuccastate.EncodeState(back)
+		Expect(yuccastate.Diff(state, decoded)).To(BeEmpty())
+		Expect(decoded.Digest()).To(Equal(state.Digest()))
+		again, err := yuccastate.EncodeState(decoded)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(bytes.Equal(again, raw)).To(BeTrue())
 	})
 
 	It("is refused when a single byte differs", func() {
-		// A damaged snapshot would put a fleet's worth of wrong addresses in force at
-		// once. One that announces billions of keys where a few bytes follow ended the
-		// process for lack of memory, and with it every request that it held.
+		// A damaged snapshot would put wrong addresses of all targets in force at once. A
+		// snapshot of a few bytes that announces billions of keys once exhausted the
+		// memory of the process and ended it, and with it all requests that it held.
 		raw, err := yuccastate.EncodeState(founded())
 		Expect(err).NotTo(HaveOccurred())
+		// The MessagePack codes for a map, an array and bytes with a length of 32 bits.
 		const map32, array32, bin32 = 0xdf, 0xdd, 0xc6
-		for at := range raw {
-			for _, code := range []byte{raw[at] ^ 1, map32, array32, bin32} {
+		for offset := range raw {
+			for _, newByte := range []byte{raw[offset] ^ 1, map32, array32, bin32} {
 				damaged := slices.Clone(raw)
-				damaged[at] = code
-				back, err := yuccastate.DecodeState(damaged)
-				if err == nil && back.Digest() != founded().Digest() || err != nil && yuccastate.Reason(err) == "" {
-					Fail(fmt.Sprintf("byte %d as %x: %v", at, code, err))
+				damaged[offset] = newByte
+				decoded, err := yuccastate.DecodeState(damaged)
+				if err == nil && decoded.Digest() != founded().Digest() || err != nil && yuccastate.Reason(err) == "" {
+					Fail(fmt.Sprintf("byte %d as %x: %v", offset, newByte, err))
 				}
 			}
-			_, err = yuccastate.DecodeState(raw[:at])
+			_, err = yuccastate.DecodeState(raw[:offset])
 			Expect(err).To(MatchError(yuccastate.ErrGarbled))
 		}
 		_, err = yuccastate.DecodeState(append(raw, 0))
@@ -70,13 +71,13 @@
 		}
 		Expect(len(parts)).To(BeNumerically(">=", 5))
 		rand.New(rand.NewPCG(1, 2)).Shuffle(len(parts), func(i, j int) { parts[i], parts[j] = parts[j], parts[i] })
-		back, err := yuccastate.JoinParts(parts)
+		decoded, err := yuccastate.JoinParts(parts)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(back.Digest()).To(Equal(state.Digest()))
+		Expect(decoded.Digest()).To(Equal(state.Digest()))
 	})
 
-	// The keys of a baseline are published one by one, and a reader may come in
-	// between: it would start with half of the accounts unknown.
+	// The parts of a baseline are published one by one. If JoinParts accepted an incomplete
+	// set, a daemon that reads it in between would start without half of the accounts.
 	first, second := founded(), founded()
 	second.Number, second.Policy.GoodputWeight = 2, 9
 	parts := yuccastate.Baseline(first, 1000)
@@ -101,10 +102,10 @@
 })
 
 var _ = Describe("a fold", func() {
-	It("shares what the note leaves alone and never writes what it builds on", func() {
+	It("shares the maps that the note does not mention and never writes to the old state", func() {
 		before := largeState()
 		digest := before.Digest()
-		after, err := before.Apply(parsed(before, "withdrawn: {targets: [target-7]}"))
+		after, err := before.Apply(nextNote(before, "withdrawn: {targets: [target-7]}"))
 		Expect(err).NotTo(HaveOccurred())
 		pointer := func(of any) uintptr { return reflect.ValueOf(of).Pointer() }
 		Expect(pointer(after.Accounts)).To(Equal(pointer(before.Accounts)))
@@ -115,8 +116,8 @@
 	})
 })
 
-// FuzzDecodeState looks for bytes from a peer that end the process, and for accepted
-// ones that don't survive being sent on.
+// FuzzDecodeState searches for bytes from a peer that make the decoder panic, and for
+// accepted bytes whose state differs after being encoded and decoded again.
 func FuzzDecodeState(f *testing.F) {
 	raw, _ := yuccastate.EncodeState(founded())
 	f.Add(raw)
@@ -125,10 +126,10 @@
 		if err != nil {
 			return
 		}
-		again, _ := yuccastate.EncodeState(state) // what is empty can't be read below
-		back, err := yuccastate.DecodeState(again)
-		if err != nil || back.Digest() != state.Digest() {
-			t.Fatalf("%v: %s", err, yuccastate.Diff(state, back))
+		again, _ := yuccastate.EncodeState(state) // if this fails, again is empty and the next line returns an error
+		decoded, err := yuccastate.DecodeState(again)
+		if err != nil || decoded.Digest() != state.Digest() {
+			t.Fatalf("%v: %s", err, yuccastate.Diff(state, decoded))
 		}
 	})
 }
--- a/core/yuccastate/diff.go
+++ b/core/yuccastate/diff.go
@@ -9,8 +9,8 @@
 	"yuccacleat/core/yuccastate/yuccayaml"
 )
 
-// Diff lists what differs from a to b, one object or field a line, in a stable order:
-// "+" what b adds, "-" what it lacks, "~" what it changes.
+// Diff returns the differences from a to b, one object or field a line, in a stable
+// order: "+" for objects only in b, "-" for objects only in a, "~" for changed ones.
 func Diff(a, b *State) string {
 	var text strings.Builder
 	if a.Number != b.Number {
@@ -32,18 +32,18 @@
 func diffKind[K ~string, V any](text *strings.Builder, kind Kind, a, b map[K]V) {
 	names := slices.Collect(maps.Keys(a))
 	for name := range b {
-		if _, both := a[name]; !both {
+		if _, alsoInA := a[name]; !alsoInA {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		before, had := a[name]
-		after, has := b[name]
+		before, inA := a[name]
+		after, inB := b[name]
 		switch {
-		case !had:
-			fmt.Fprintf(text, "+ %s.%s: %s\n", kind, name, line(after))
-		case !has:
+		case !inA:
+			fmt.Fprintf(text, "+ %s.%s: %s\n", kind, name, objectLine(after))
+		case !inB:
 			fmt.Fprintf(text, "- %s.%s\n", kind, name)
 		case string(canonical(before)) != string(canonical(after)):
 			fmt.Fprintf(text, "~ %s.%s\n", kind, name)
@@ -53,21 +53,21 @@
 }
 
 func diffFields(text *strings.Builder, before, after any) {
-	was, is := yuccayaml.Fields(before), yuccayaml.Fields(after)
+	fieldsBefore, fieldsAfter := yuccayaml.Fields(before), yuccayaml.Fields(after)
 	keys := []string{}
-	for _, field := range slices.Concat(was, is) {
+	for _, field := range slices.Concat(fieldsBefore, fieldsAfter) {
 		keys = append(keys, field.Key)
 	}
 	slices.Sort(keys)
 	for _, key := range slices.Compact(keys) {
-		if from, to := shown(was, key), shown(is, key); from != to {
+		if from, to := valueOrNone(fieldsBefore, key), valueOrNone(fieldsAfter, key); from != to {
 			fmt.Fprintf(text, "    %s: %s -> %s\n", key, from, to)
 		}
 	}
 }
 
-// shown returns a field's value, or "none" for a field that is not written.
-func shown(fields []yuccayaml.Field, key string) string {
+// valueOrNone returns the value of the field with the key, or "none" if there is none.
+func valueOrNone(fields []yuccayaml.Field, key string) string {
 	for _, field := range fields {
 		if field.Key == key {
 			return field.Value
@@ -76,7 +76,8 @@
 	return "none"
 }
 
-func line(object any) string {
+// objectLine returns an object's fields on one line.
+func objectLine(object any) string {
 	var texts []string
 	for _, field := range yuccayaml.Fields(object) {
 		texts = append(texts, field.Key+": "+field.Value)
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -11,26 +11,28 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// digestForm is hashed first, so that a later form of the digest can't agree with
-// this one by accident.
-const digestForm = "yuccacleat configuration 1"
+// digestVersion is hashed first, so that digests computed by a later method can never
+// equal those of this one.
+const digestVersion = "yuccacleat configuration 1"
 
+// sum is a SHA-256 digest in binary form; yuccaid.Digest is the form in hex.
 type sum [sha256.Size]byte
 
-// kindSum is the digest over all objects of a kind, with the digest of each. A note
-// touches a few objects out of thousands: only those are written out and hashed
-// again, the others' digests are carried over.
+// kindSum holds the digest over all objects of a kind, and the digest of each by name. A
+// note concerns a few objects out of thousands: only those are encoded and hashed again,
+// and the digests of all other objects are reused.
 type kindSum struct {
 	objects map[string]sum
 	all     sum
 }
 
+// sums holds the digests of a State by kind of object.
 type sums struct {
 	centres, links, tiers, pools, targets, accounts kindSum
 }
 
-// touched lists the objects that a note adds, changes or withdraws.
-type touched struct {
+// touchedNames holds the names of the objects that a note adds, changes or withdraws.
+type touchedNames struct {
 	centres  []yuccaid.Centre
 	links    []yuccaid.Region
 	tiers    []yuccaid.Tier
@@ -50,74 +52,77 @@
 	}
 }
 
-func sumTouched(before, now *State, names touched) *sums {
+// sumTouched returns the digests of after, of which only the touched objects differ from
+// before.
+func sumTouched(before, after *State, touched touchedNames) *sums {
 	old := before.sums
 	if old == nil {
 		old = sumAll(before)
 	}
 	return &sums{
-		centres:  sumKind(now.Centres, names.centres, old.centres),
-		links:    sumKind(now.Links, names.links, old.links),
-		tiers:    sumKind(now.Tiers, names.tiers, old.tiers),
-		pools:    sumKind(now.Pools, names.pools, old.pools),
-		targets:  sumKind(now.Targets, names.targets, old.targets),
-		accounts: sumKind(now.Accounts, names.accounts, old.accounts),
+		centres:  sumKind(after.Centres, touched.centres, old.centres),
+		links:    sumKind(after.Links, touched.links, old.links),
+		tiers:    sumKind(after.Tiers, touched.tiers, old.tiers),
+		pools:    sumKind(after.Pools, touched.pools, old.pools),
+		targets:  sumKind(after.Targets, touched.targets, old.targets),
+		accounts: sumKind(after.Accounts, touched.accounts, old.accounts),
 	}
 }
 
-// sumKind hashes the objects in touched, and takes the others' digests from before;
-// with an empty before it hashes them all.
+// sumKind hashes the objects in touched, and takes the digests of all other objects
+// from before. If before is the zero value, it hashes all objects.
 func sumKind[K ~string, V any](objects map[K]V, touched []K, before kindSum) kindSum {
 	if before.objects != nil && len(touched) == 0 {
 		return before
 	}
-	now := kindSum{objects: maps.Clone(before.objects)}
+	after := kindSum{objects: maps.Clone(before.objects)}
 	if before.objects == nil {
-		now.objects = make(map[string]sum, len(objects))
+		after.objects = make(map[string]sum, len(objects))
 		touched = slices.Collect(maps.Keys(objects))
 	}
 	for _, name := range touched {
-		delete(now.objects, string(name))
+		delete(after.objects, string(name))
 		if object, exists := objects[name]; exists {
-			now.objects[string(name)] = sha256.Sum256(canonical(object))
+			after.objects[string(name)] = sha256.Sum256(canonical(object))
 		}
 	}
-	now.all = sumObjects(now.objects)
-	return now
+	after.all = sumObjects(after.objects)
+	return after
 }
 
+// sumObjects returns the digest over the names and digests of objects, sorted by name.
 func sumObjects(objects map[string]sum) sum {
 	text := make([]byte, 0, len(objects)*2*sha256.Size)
 	for _, name := range slices.Sorted(maps.Keys(objects)) {
-		one := objects[name]
+		objectSum := objects[name]
 		text = append(text, name...)
 		text = append(text, 0)
-		text = append(text, one[:]...)
+		text = append(text, objectSum[:]...)
 	}
 	return sha256.Sum256(text)
 }
 
-// canonical writes an object in one form only: JSON with the fields in the order of
-// their struct and maps sorted by key.
+// canonical encodes an object as JSON with fields in the order of the struct and maps
+// sorted by key, so that equal objects give equal bytes.
 func canonical(object any) []byte {
 	text, err := json.Marshal(object)
 	if err != nil {
-		// Only a float that is not finite can't be written, and the fold lets none in.
+		// Only a float that is not finite can't be encoded, and Apply refuses those.
 		panic(fmt.Sprintf("yuccastate: %v", err))
 	}
 	return text
 }
 
-// Digest returns the digest over the number and everything configured; two states
-// have the same if and only if they are equal, in whatever order they were built.
+// Digest returns the digest of the number, the policy and all objects. Two states have
+// the same digest if and only if they are equal, whichever notes led to them.
 func (s *State) Digest() yuccaid.Digest {
-	parts := s.sums
-	if parts == nil {
-		parts = sumAll(s)
+	kindSums := s.sums
+	if kindSums == nil {
+		kindSums = sumAll(s)
 	}
 	hash := sha256.New()
-	fmt.Fprintf(hash, "%s\n%d\n%s\n", digestForm, s.Number, canonical(s.Policy))
-	for _, kind := range []kindSum{parts.centres, parts.links, parts.tiers, parts.pools, parts.targets, parts.accounts} {
+	fmt.Fprintf(hash, "%s\n%d\n%s\n", digestVersion, s.Number, canonical(s.Policy))
+	for _, kind := range []kindSum{kindSums.centres, kindSums.links, kindSums.tiers, kindSums.pools, kindSums.targets, kindSums.accounts} {
 		hash.Write(kind.all[:])
 	}
 	return yuccaid.Digest(hex.EncodeToString(hash.Sum(nil)))
--- a/core/yuccastate/large_test.go
+++ b/core/yuccastate/large_test.go
@@ -9,7 +9,7 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// The fleet that the configuration has to be cheap for.
+// The numbers of accounts and targets of the largest fleet to be supported.
 const (
 	largeAccounts = 1600
 	largeTargets  = 1800
@@ -39,27 +39,28 @@
 	return text.String()
 })
 
+// largeState is the configuration after largeText.
 var largeState = sync.OnceValue(func() *yuccastate.State {
-	state, err := yuccastate.Empty().Apply(parsed(yuccastate.Empty(), largeText()))
+	state, err := yuccastate.Empty().Apply(nextNote(yuccastate.Empty(), largeText()))
 	if err != nil {
 		panic(err)
 	}
 	return state
 })
 
-// BenchmarkFold measures what one note costs each daemon of the largest fleet.
+// BenchmarkFold measures applying one note to the configuration of the largest fleet.
 func BenchmarkFold(b *testing.B) {
-	on := largeState()
+	current := largeState()
 	for _, edit := range []string{
 		"changed: {policy: {goodputWeight: 2}}",
 		"withdrawn: {targets: [target-7]}",
 		"withdrawn: {accounts: [account-7]}",
 	} {
-		note := parsed(on, edit)
+		note := nextNote(current, edit)
 		b.Run(edit, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				after, err := on.Apply(note)
+				after, err := current.Apply(note)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -69,25 +70,25 @@
 	}
 }
 
-// BenchmarkParseNote measures reading the largest fleet's first note.
+// BenchmarkParseNote measures parsing the first note of the largest fleet.
 func BenchmarkParseNote(b *testing.B) {
 	b.SetBytes(int64(len(largeText())))
 	for b.Loop() {
-		parsed(yuccastate.Empty(), largeText())
+		nextNote(yuccastate.Empty(), largeText())
 	}
 }
 
-// BenchmarkAccountOf measures what recognising a caller costs each request.
+// BenchmarkAccountOf measures finding the account of a request by its bearer secret.
 func BenchmarkAccountOf(b *testing.B) {
-	on := largeState()
+	current := largeState()
 	for b.Loop() {
-		if _, known := on.AccountOf("7"); !known {
+		if _, known := current.AccountOf("7"); !known {
 			b.Fatal("unknown")
 		}
 	}
 }
 
-// BenchmarkDecodeState measures what a new process pays for its first configuration.
+// BenchmarkDecodeState measures decoding the snapshot that a new process starts with.
 func BenchmarkDecodeState(b *testing.B) {
 	raw, err := yuccastate.EncodeState(largeState())
 	if err != nil {
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -12,90 +12,95 @@
 	"yuccacleat/core/yuccastate"
 )
 
-// daemon is a chain and what it has promised so far.
+// daemon is a chain and what the test recorded of it by number: the digests of the
+// configurations that it put in force, its alarms, and the digests of the notes that it
+// accepted.
 type daemon struct {
-	name     string
-	chain    *yuccastate.Chain
-	promised map[yuccaid.ConfigNumber]yuccaid.Digest
-	alarms   map[yuccaid.ConfigNumber]bool
-	meanings map[yuccaid.ConfigNumber]yuccaid.Digest
+	name        string
+	chain       *yuccastate.Chain
+	inForce     map[yuccaid.ConfigNumber]yuccaid.Digest
+	alarms      map[yuccaid.ConfigNumber]bool
+	noteDigests map[yuccaid.ConfigNumber]yuccaid.Digest
 }
 
-// fleet is several daemons and a platform's service that shows any version of a key
-// that was ever published, in any order.
+// fleet is several daemons and a platform's service that may return any version of a
+// key that was ever published, in any order. It is contested once two notes with
+// different contents were published under one number.
 type fleet struct {
-	daemons   []*daemon
-	versions  map[yuccaid.ConfigNumber][][]byte
-	meanings  map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool
-	contested bool
+	daemons     []*daemon
+	versions    map[yuccaid.ConfigNumber][][]byte
+	noteDigests map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool
+	contested   bool
 }
 
 func newFleet(size int) *fleet {
-	fleet := &fleet{versions: map[yuccaid.ConfigNumber][][]byte{}, meanings: map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool{}}
+	fleet := &fleet{versions: map[yuccaid.ConfigNumber][][]byte{}, noteDigests: map[yuccaid.ConfigNumber]map[yuccaid.Digest]bool{}}
 	for i := range size {
 		fleet.daemons = append(fleet.daemons, &daemon{
 			name: fmt.Sprint("daemon-", i), chain: yuccastate.NewChain(),
-			promised: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, meanings: map[yuccaid.ConfigNumber]yuccaid.Digest{},
+			inForce: map[yuccaid.ConfigNumber]yuccaid.Digest{}, alarms: map[yuccaid.ConfigNumber]bool{}, noteDigests: map[yuccaid.ConfigNumber]yuccaid.Digest{},
 		})
 	}
 	return fleet
 }
 
-// audit checks the entries against what the daemon promised before.
-func (dmn *daemon) audit(t *rapid.T, entries []yuccastate.Entry) {
+// checkEntries records the audit entries, and fails if the daemon put two configurations
+// in force under one number or if a refusal changed the configuration.
+func (dmn *daemon) checkEntries(t *rapid.T, entries []yuccastate.Entry) {
 	for _, entry := range entries {
-		moved := entry.Kind == yuccastate.EntryAccepted || entry.Kind == yuccastate.EntryAdopted
+		advanced := entry.Kind == yuccastate.EntryAccepted || entry.Kind == yuccastate.EntryAdopted
 		switch {
 		case entry.Kind == yuccastate.EntryAlarm:
 			dmn.alarms[entry.Number] = true
-		case moved && (dmn.promised[entry.Number] != "" || entry.By == ""):
-			t.Fatalf("%s moved to %d twice or by nobody", dmn.name, entry.Number)
-		case moved:
-			dmn.promised[entry.Number] = entry.After
+		case advanced && (dmn.inForce[entry.Number] != "" || entry.By == ""):
+			t.Fatalf("%s put %d in force twice or without an author", dmn.name, entry.Number)
+		case advanced:
+			dmn.inForce[entry.Number] = entry.After
 		case entry.Before != entry.After || entry.Reason == "":
 			t.Fatalf("a refusal changed something or has no reason: %+v", entry)
 		}
 	}
 }
 
+// offer offers a note to the daemon's chain and compares the verdict with the oracle's.
 func (dmn *daemon) offer(t *rapid.T, number yuccaid.ConfigNumber, raw []byte) {
 	before, state := dmn.chain.Number(), dmn.chain.State()
 	verdict, err := dmn.chain.Offer(noon, yuccastate.NoteKey(number), raw)
-	dmn.audit(t, verdict.Entries)
+	dmn.checkEntries(t, verdict.Entries)
 	accepted := verdict.Kind == yuccastate.VerdictAccepted
 	note, parseErr := yuccastate.ParseNote(raw)
 	if parseErr != nil {
 		t.Fatalf("published notes parse: %v", parseErr)
 	}
 	if accepted {
-		dmn.meanings[number] = note.Digest()
+		dmn.noteDigests[number] = note.Digest()
 	}
 	if number == before+1 {
 		want := note.Base == state.Digest() && oracle(state, note)
 		if accepted != want || (err == nil) != want {
 			t.Fatalf("accepted %v, the oracle says %v: %v\n%s", accepted, want, err, raw)
 		}
-	} else if kept := dmn.meanings[number]; kept != "" && (kept != note.Digest()) != (verdict.Kind == yuccastate.VerdictAlarm) {
-		t.Fatalf("another content of note %d gives %s", number, verdict.Kind)
+	} else if kept := dmn.noteDigests[number]; kept != "" && (kept != note.Digest()) != (verdict.Kind == yuccastate.VerdictAlarm) {
+		t.Fatalf("another content of note %d gives verdict %s", number, verdict.Kind)
 	} else if accepted || dmn.chain.Number() != before {
-		t.Fatalf("note %d was taken at %d", number, before)
+		t.Fatalf("note %d was accepted at %d", number, before)
 	}
 }
 
-// exchange lets one daemon hear another and fetch what it lacks.
+// exchange sends a heartbeat from peer to dmn, which then fetches what it lacks.
 func (fleet *fleet) exchange(t *rapid.T, dmn, peer *daemon) {
 	number, digest := peer.chain.Number(), peer.chain.Digest()
-	standing, entries := dmn.chain.Hear(noon, peer.name, number, digest)
-	dmn.audit(t, entries)
+	relation, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
+	dmn.checkEntries(t, entries)
 	if number == dmn.chain.Number() && digest != dmn.chain.Digest() {
-		if standing != yuccastate.StandingForked || !dmn.alarms[number] {
+		if relation != yuccastate.RelationForked || !dmn.alarms[number] {
 			t.Fatalf("%s and %s differ at %d without alarm", dmn.name, peer.name, number)
 		}
 		if !fleet.contested {
-			t.Fatalf("a fork without a key that was overwritten")
+			t.Fatalf("a fork although no key was overwritten")
 		}
 	}
-	plan := dmn.chain.Plan(number)
+	plan := dmn.chain.PlanFetch(number)
 	for _, missing := range plan.Notes {
 		raw, kept := peer.chain.Note(missing)
 		plan.Snapshot = plan.Snapshot || !kept
@@ -108,6 +113,7 @@
 	}
 }
 
+// adopt sends peer's configuration to dmn as a snapshot.
 func (fleet *fleet) adopt(t *rapid.T, dmn, peer *daemon) {
 	raw, err := yuccastate.EncodeState(peer.chain.State())
 	if err != nil {
@@ -118,44 +124,47 @@
 		t.Fatal(err)
 	}
 	verdict, _ := dmn.chain.Adopt(noon, peer.name, state, peer.chain.Digest())
-	dmn.audit(t, verdict.Entries)
+	dmn.checkEntries(t, verdict.Entries)
 }
 
+// publish adds a version of the note's key to the platform's service.
 func (fleet *fleet) publish(number yuccaid.ConfigNumber, note yuccastate.Note) {
 	raw := note.Canonical()
-	if fleet.meanings[number] == nil {
-		fleet.meanings[number] = map[yuccaid.Digest]bool{}
+	if fleet.noteDigests[number] == nil {
+		fleet.noteDigests[number] = map[yuccaid.Digest]bool{}
 	}
-	fleet.meanings[number][note.Digest()] = true
-	fleet.contested = fleet.contested || len(fleet.meanings[number]) > 1
+	fleet.noteDigests[number][note.Digest()] = true
+	fleet.contested = fleet.contested || len(fleet.noteDigests[number]) > 1
 	fleet.versions[number] = append(fleet.versions[number], raw)
 }
 
+// check fails if a daemon is not at the highest number that it put in force, with the same
+// digest as then, or if that digest is not the one of its content.
 func (fleet *fleet) check(t *rapid.T) {
 	for _, dmn := range fleet.daemons {
 		state := dmn.chain.State()
-		if number := slices.Max(append(slices.Collect(maps.Keys(dmn.promised)), 0)); number != state.Number {
-			t.Fatalf("%s promised %d and is at %d", dmn.name, number, state.Number)
+		if number := slices.Max(append(slices.Collect(maps.Keys(dmn.inForce)), 0)); number != state.Number {
+			t.Fatalf("%s put %d in force and is at %d", dmn.name, number, state.Number)
 		}
-		if promised, moved := dmn.promised[state.Number]; moved && promised != dmn.chain.Digest() {
+		if inForce, advanced := dmn.inForce[state.Number]; advanced && inForce != dmn.chain.Digest() {
 			t.Fatalf("%s changed what it holds at %d", dmn.name, state.Number)
 		}
-		afresh := &yuccastate.State{
+		recomputed := &yuccastate.State{
 			Number: state.Number, Centres: state.Centres, Links: state.Links, Tiers: state.Tiers,
 			Pools: state.Pools, Targets: state.Targets, Accounts: state.Accounts, Policy: state.Policy,
 		}
-		if afresh.Digest() != dmn.chain.Digest() {
+		if recomputed.Digest() != dmn.chain.Digest() {
 			t.Fatalf("%s carries a digest that its content doesn't have", dmn.name)
 		}
 	}
 }
 
-// settle exchanges until nothing changes any more.
+// settle repeats exchanges between all daemons until all changes have spread.
 func (fleet *fleet) settle(t *rapid.T) {
 	for range 2 * len(fleet.daemons) {
 		for _, dmn := range fleet.daemons {
 			for _, peer := range fleet.daemons {
-				// A fetch that is refused is followed by one of the snapshot.
+				// If a fetched note is refused, the second exchange fetches a snapshot.
 				fleet.exchange(t, dmn, peer)
 				fleet.exchange(t, dmn, peer)
 			}
@@ -164,23 +173,24 @@
 	fleet.check(t)
 }
 
-// Notes reach daemons late, twice and out of order, a stale copy of the service shows
-// old content again, and two operators publish under one key while the fleet is cut.
-// A user would notice a daemon that falls back to withdrawn targets, or two data
-// centres that serve by different rules with nobody told.
+// TestFleetNeverReverts guards against a daemon that reverts to an earlier configuration,
+// whose targets may have been withdrawn, and against data centres that run different
+// configurations without an alarm. Notes arrive
+// late, twice and out of order, a stale copy of the platform's service returns old
+// content, and two operators publish under one key while the fleet is partitioned.
 func TestFleetNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newFleet(3)
 		pick := func(label string) *daemon { return rapid.SampledFrom(fleet.daemons).Draw(t, label) }
-		first := parsed(yuccastate.Empty(), string(read("first.yaml")))
+		first := nextNote(yuccastate.Empty(), string(readTestdata("first.yaml")))
 		fleet.publish(1, first)
 		fleet.daemons[0].offer(t, 1, first.Canonical())
 		t.Repeat(map[string]func(*rapid.T){
 			"": fleet.check,
 			"publish": func(t *rapid.T) {
-				on := pick("on").chain.State()
-				number := on.Number + yuccaid.ConfigNumber(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
-				note := drawNote(t, on)
+				current := pick("on").chain.State()
+				number := current.Number + yuccaid.ConfigNumber(rapid.SampledFrom([]int{1, 1, 1, 2}).Draw(t, "skip"))
+				note := drawNote(t, current)
 				note.Number = number
 				fleet.publish(number, note)
 				pick("to").offer(t, number, note.Canonical())
@@ -198,9 +208,9 @@
 				t.Fatalf("%s stays at %d, %s at %d", dmn.name, dmn.chain.Number(), other.name, other.chain.Number())
 			}
 		}
-		// Whatever has forked, the operators' next note settles it.
-		on := fleet.daemons[0].chain.State()
-		last := parsed(on, "changed: {policy: {goodputWeight: 7}}")
+		// The operators' next note resolves any fork.
+		current := fleet.daemons[0].chain.State()
+		last := nextNote(current, "changed: {policy: {goodputWeight: 7}}")
 		for _, dmn := range fleet.daemons {
 			dmn.offer(t, last.Number, last.Canonical())
 		}
