--- a/cmd/yuccacleat/note.go
+++ b/cmd/yuccacleat/note.go
@@ -95,7 +95,7 @@
 				return err
 			}
 			encoder := json.NewEncoder(command.OutOrStdout())
-			for _, part := range yuccastate.Baseline(state, partLimit) {
+			for _, part := range yuccastate.EncodeBaseline(state, partLimit) {
 				line := publishedPart{Key: part.Key(), Value: part.Value}
 				if err := encoder.Encode(line); err != nil {
 					return err
--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -73,7 +73,7 @@
 // until a request is dispatched.
 type StageError struct {
 	ID    yuccaid.RequestID
-	Stage Run
+	State Run
 }
 
 // Error states the order in which a request is submitted, dispatched and finished.
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -104,7 +104,7 @@
 	}
 	switch rec.stage {
 	case opened:
-		return &StageError{ID: id, Stage: RunWaiting}
+		return &StageError{ID: id, State: RunWaiting}
 	case dispatched:
 		return &DispatchedError{ID: id, Target: rec.target}
 	case closed:
@@ -138,7 +138,7 @@
 	}
 	switch rec.stage {
 	case opened, waiting:
-		return rec.currentOutcome(), &StageError{ID: id, Stage: RunWaiting}
+		return rec.currentOutcome(), &StageError{ID: id, State: RunWaiting}
 	case closed:
 		return rec.outcome, &ClosedError{ID: id, Outcome: rec.outcome}
 	}
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -89,7 +89,7 @@
 
 // NextOrder compares a target with its wish and returns the order to send now, or the
 // reason for sending none.
-func (plan *Planner) NextOrder(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.Wish, observed ObservedState) (Order, HoldReason) {
+func (plan *Planner) NextOrder(now time.Time, number yuccaid.ConfigNumber, name yuccaid.Target, target yuccastate.Target, wish yuccastate.EngineSetup, observed ObservedState) (Order, HoldReason) {
 	order, differs := firstDifference(wish, observed)
 	if !differs {
 		delete(plan.lastOrders, name)
@@ -132,7 +132,7 @@
 // firstDifference returns the order for the first difference between the wish and the
 // target's state. An empty field of the wish matches every state, so a target without a
 // configured wish is left as it is.
-func firstDifference(wish yuccastate.Wish, observed ObservedState) (Order, bool) {
+func firstDifference(wish yuccastate.EngineSetup, observed ObservedState) (Order, bool) {
 	if wish.Model != "" && wish.Model != observed.Model {
 		return Order{Kind: Load, Model: wish.Model, Version: wish.Version}, true
 	}
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -43,8 +43,8 @@
 	return true
 }
 
-func wishFor(number yuccaid.ConfigNumber) yuccastate.Wish {
-	return yuccastate.Wish{Model: "draft", Version: string(rune('a' + number)), Role: "decode"}
+func wishFor(number yuccaid.ConfigNumber) yuccastate.EngineSetup {
+	return yuccastate.EngineSetup{Model: "draft", Version: string(rune('a' + number)), Role: "decode"}
 }
 
 var _ = Describe("orders to targets", func() {
--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -31,7 +31,7 @@
 type Choice struct {
 	TargetState *TargetState
 	Cached      yuccaid.Tokens
-	Wait        time.Duration
+	PrefillWait time.Duration
 	Finish      time.Duration
 	finishP90   time.Duration // Finish for an answer of the 90th percentile's length
 	cost        float64       // in weighted seconds; see Choose
@@ -47,7 +47,7 @@
 // target only until waiting there costs more than computing the prefix again.
 func (placer *Placer) Choose(now time.Time, set *TargetSet, req *Request) (Choice, Verdict) {
 	placer.generation++
-	longestCached := min(placer.prefixes.markHeld(placer.generation, req.Prefixes), req.Prompt)
+	longestCached := min(placer.prefixes.markHeld(placer.generation, req.BlockHashes), req.Prompt)
 	best := Choice{cost: math.Inf(1)}
 	verdict := NoFreeSlot
 	confined := placer.longPromptsConfined(req)
@@ -259,7 +259,7 @@
 		cached = yuccaid.Tokens(float64(min(state.heldPrefix, req.Prompt)) * state.cacheTrust)
 	}
 	firstToken := load.prefillWait + state.prefillTimeBeside(req.Prompt-cached, load.decoding)
-	choice := Choice{TargetState: state, Cached: cached, Wait: load.prefillWait}
+	choice := Choice{TargetState: state, Cached: cached, PrefillWait: load.prefillWait}
 	choice.Finish = firstToken + state.decodeTimeBeside(float64(req.Answer)*answerMargin, load.running, load.promptShare)
 	finishP90 := firstToken + state.decodeTimeBeside(float64(max(req.AnswerP90, req.Answer)), load.running, load.promptShare)
 	// recomputed is in seconds of prefill: what another target's cache would have saved
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -277,7 +277,7 @@
 // requests and for higher tiers is computed. longPrompt and work are the results of
 // EstimateWork.
 func (placer *Placer) RecordArrival(now time.Time, req *Request, longPrompt bool, work time.Duration) {
-	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	cached := min(placer.prefixes.longestHeld(req.BlockHashes), req.Prompt)
 	placer.updateTypical(now, req, float64(req.Prompt-cached))
 	placer.allWork += arrivalWeight * (work.Seconds() - placer.allWork)
 	short := work.Seconds()
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -29,7 +29,7 @@
 }
 
 func request(prompt yuccaid.Tokens, hashes ...uint64) *yuccaplace.Request {
-	return &yuccaplace.Request{Prompt: prompt, Answer: 50, Prefixes: hashes, Deadline: epoch.Add(time.Minute)}
+	return &yuccaplace.Request{Prompt: prompt, Answer: 50, BlockHashes: hashes, Deadline: epoch.Add(time.Minute)}
 }
 
 func chosen(placer *yuccaplace.Placer, set *yuccaplace.TargetSet, req *yuccaplace.Request) yuccaid.Target {
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -30,7 +30,7 @@
 // those with the least prefill done; no more runs are cancelled than needed.
 func (placer *Placer) PlanPreemption(now time.Time, set *TargetSet, req *Request) (Preemption, bool) {
 	placer.generation++
-	longestCached := min(placer.prefixes.markHeld(placer.generation, req.Prefixes), req.Prompt)
+	longestCached := min(placer.prefixes.markHeld(placer.generation, req.BlockHashes), req.Prompt)
 	var best Preemption
 	found := false
 	slack := time.Duration(0)
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -41,8 +41,8 @@
 	return set
 }
 
-// Has reports whether the set contains the target.
-func (set *TargetSet) Has(state *TargetState) bool {
+// Contains reports whether the set contains the target.
+func (set *TargetSet) Contains(state *TargetState) bool {
 	return slices.Contains(set.states, state)
 }
 
@@ -92,10 +92,10 @@
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
 	// AnswerP90 is the 90th percentile of the answer's length; FillAnswerP90 sets it.
-	AnswerP90  yuccaid.Tokens
-	Prefixes   []uint64 // hashes of the prompt's blocks, first block first
-	Rank       int      // of the tier; 0 is the top tier
-	LongPrompt bool     // as returned by EstimateWork
+	AnswerP90   yuccaid.Tokens
+	BlockHashes []uint64 // hashes of the prompt's blocks, first block first
+	Rank        int      // of the tier; 0 is the top tier
+	LongPrompt  bool     // as returned by EstimateWork
 	// LastAttempt means that the request is rejected if it isn't placed now; capacity
 	// reserved for other requests is then ignored.
 	LastAttempt bool
@@ -110,7 +110,7 @@
 	if set.usableCount == 0 || placer.plainService {
 		return 0
 	}
-	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	cached := min(placer.prefixes.longestHeld(req.BlockHashes), req.Prompt)
 	prefill := float64(req.Prompt-cached) / set.bestPrefill
 	return seconds(prefill + float64(req.Answer)/set.bestDecode)
 }
@@ -137,7 +137,7 @@
 	if placer.plainService {
 		return seconds(1 / set.bestCall / slotsPerTarget), false
 	}
-	cached := min(placer.prefixes.longestHeld(req.Prefixes), req.Prompt)
+	cached := min(placer.prefixes.longestHeld(req.BlockHashes), req.Prompt)
 	prefill := float64(req.Prompt-cached) / set.meanPrefill
 	decode := float64(req.Answer) / set.bestDecode / slotsPerTarget
 	return seconds(prefill + decode), seconds(prefill) >= longPrefillTime
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -72,11 +72,11 @@
 // shape returns the properties of a request from which the fleet estimates its times.
 func (lead *Leader) shape(req *Request, deadline time.Time) yuccaplace.Request {
 	shape := yuccaplace.Request{
-		Prompt:   req.Prompt,
-		Answer:   req.Answer,
-		Prefixes: req.Prefixes,
-		Rank:     req.Rank,
-		Deadline: deadline,
+		Prompt:      req.Prompt,
+		Answer:      req.Answer,
+		BlockHashes: req.Prefixes,
+		Rank:        req.Rank,
+		Deadline:    deadline,
 	}
 	lead.fleet.FillAnswerP90(req.Operation, &shape)
 	return shape
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -300,7 +300,7 @@
 	if !found {
 		return
 	}
-	lead.queue.Unpark(func(set yuccaqueue.TargetSet) bool { return lead.targetSets[set].Has(node) })
+	lead.queue.Unpark(func(set yuccaqueue.TargetSet) bool { return lead.targetSets[set].Contains(node) })
 }
 
 // refreshTargetSets updates the combined rates of all target sets.
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -24,12 +24,12 @@
 	return PartKey(part.Number, part.Index)
 }
 
-// Baseline encodes a configuration in parts of at most limit bytes each; the result is
+// EncodeBaseline encodes a configuration in parts of at most limit bytes each; the result is
 // deterministic. A new process reads the parts instead of all notes. A baseline has
 // several parts because the platform stores values of at most a megabyte, and a fleet's
 // accounts and targets don't fit into one. An object that is larger than the limit gets a
 // part of its own, which exceeds it.
-func Baseline(s *State, limit yuccaid.Bytes) []Part {
+func EncodeBaseline(s *State, limit yuccaid.Bytes) []Part {
 	groups := splitRecords(s.records(), limit-partOverhead)
 	digest := s.Digest()
 	parts := make([]Part, len(groups))
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -140,7 +140,7 @@
 // published. Notes may arrive late, repeatedly or out of order. The error gives the
 // reason why a note was refused.
 func (chain *Chain) Offer(now time.Time, key string, raw []byte) (Verdict, error) {
-	return chain.OfferPublished(now, ReadNote(key, raw))
+	return chain.OfferPublished(now, ParsePublished(key, raw))
 }
 
 // OfferPublished is like Offer, for a note that ReadNote has parsed.
--- a/core/yuccastate/codec.go
+++ b/core/yuccastate/codec.go
@@ -54,10 +54,10 @@
 func decodeSnapshot(raw []byte) (snapshot, error) {
 	var snap snapshot
 	if err := decode(raw, &snap); err != nil {
-		return snapshot{}, newRefusal(0, ErrGarbled, "", "fetch it again", "snapshot can't be read: %v", err)
+		return snapshot{}, newRefusal(0, ErrUndecodable, "", "fetch it again", "snapshot can't be read: %v", err)
 	}
 	if snap.Form != snapshotVersion {
-		return snapshot{}, newRefusal(snap.Number, ErrGarbled, "form", "run one version on both sides", "is %d instead of %d", snap.Form, snapshotVersion)
+		return snapshot{}, newRefusal(snap.Number, ErrUndecodable, "form", "run one version on both sides", "is %d instead of %d", snap.Form, snapshotVersion)
 	}
 	return snap, nil
 }
@@ -109,7 +109,7 @@
 	}
 	for _, rec := range records {
 		if err := objs.add(rec); err != nil {
-			return Objects{}, newRefusal(0, ErrGarbled, string(rec.Kind)+"."+rec.Name, "fetch it again", "can't be read: %v", err)
+			return Objects{}, newRefusal(0, ErrUndecodable, string(rec.Kind)+"."+rec.Name, "fetch it again", "can't be read: %v", err)
 		}
 	}
 	return objs, nil
--- a/core/yuccastate/codec_test.go
+++ b/core/yuccastate/codec_test.go
@@ -47,10 +47,10 @@
 				}
 			}
 			_, err = yuccastate.DecodeState(raw[:offset])
-			Expect(err).To(MatchError(yuccastate.ErrGarbled))
+			Expect(err).To(MatchError(yuccastate.ErrUndecodable))
 		}
 		_, err = yuccastate.DecodeState(append(raw, 0))
-		Expect(err).To(MatchError(yuccastate.ErrGarbled))
+		Expect(err).To(MatchError(yuccastate.ErrUndecodable))
 	})
 })
 
@@ -61,7 +61,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		var parts []yuccastate.Part
 		for _, limit := range []yuccaid.Bytes{1 << 20, yuccaid.Bytes(len(raw) / 5)} {
-			parts = yuccastate.Baseline(state, limit)
+			parts = yuccastate.EncodeBaseline(state, limit)
 			for i, part := range parts {
 				Expect(yuccaid.Bytes(len(part.Value))).To(BeNumerically("<=", limit))
 				number, index, err := yuccastate.ParsePartKey(part.Key())
@@ -80,10 +80,10 @@
 	// set, a daemon that reads it in between would start without half of the accounts.
 	first, second := founded(), founded()
 	second.Number, second.Policy.GoodputWeight = 2, 9
-	parts := yuccastate.Baseline(first, 1000)
-	other := yuccastate.Baseline(second, 1000)
+	parts := yuccastate.EncodeBaseline(first, 1000)
+	other := yuccastate.EncodeBaseline(second, 1000)
 	second.Number = first.Number
-	fork := yuccastate.Baseline(second, 1000)
+	fork := yuccastate.EncodeBaseline(second, 1000)
 	garbled := slices.Clone(parts)
 	garbled[0].Value = []byte("?")
 	DescribeTable("is refused unless it is whole",
@@ -97,7 +97,7 @@
 		Entry("one twice", append(slices.Clone(parts), parts[0]), yuccastate.ErrParts),
 		Entry("one of another", append(slices.Clone(parts[:1]), other[1:]...), yuccastate.ErrParts),
 		Entry("one of a fork", append(slices.Clone(parts[:1]), fork[1:]...), yuccastate.ErrParts),
-		Entry("garbled", garbled, yuccastate.ErrGarbled),
+		Entry("garbled", garbled, yuccastate.ErrUndecodable),
 	)
 })
 
--- a/core/yuccastate/problem.go
+++ b/core/yuccastate/problem.go
@@ -36,14 +36,14 @@
 	ErrDigest = errors.New("digest does not match")
 	// ErrParts means that the parts given are not all parts of one baseline, each once.
 	ErrParts = errors.New("baseline is incomplete")
-	// ErrGarbled means that a snapshot can't be decoded or is of another version.
-	ErrGarbled = errors.New("garbled")
+	// ErrUndecodable means that a snapshot can't be decoded or is of another version.
+	ErrUndecodable = errors.New("garbled")
 )
 
 // kindsByPrecedence lists the kinds of problem. If a refusal has several, Reason returns
 // the one that comes first here.
 var kindsByPrecedence = []error{
-	ErrContentChanged, ErrForked, ErrKey, ErrNumber, ErrBase, ErrNotHigher, ErrDigest, ErrParts, ErrGarbled,
+	ErrContentChanged, ErrForked, ErrKey, ErrNumber, ErrBase, ErrNotHigher, ErrDigest, ErrParts, ErrUndecodable,
 	yuccayaml.ErrSyntax, yuccayaml.ErrUnknownKey, yuccayaml.ErrTwice, yuccayaml.ErrUnit,
 	ErrDuplicate, ErrAbsent, ErrInUse, ErrReference, yuccayaml.ErrValue,
 }
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -22,9 +22,9 @@
 	err        error
 }
 
-// ReadNote parses a note that was published under a key. An error is kept in the result
+// ParsePublished parses a note that was published under a key. An error is kept in the result
 // and returned by OfferPublished.
-func ReadNote(key string, raw []byte) PublishedNote {
+func ParsePublished(key string, raw []byte) PublishedNote {
 	number, err := ParseNoteKey(key)
 	pub := PublishedNote{number: number, raw: slices.Clone(raw), rawSum: sha256.Sum256(raw)}
 	if err != nil {
--- a/io/yuccadaemon/config.go
+++ b/io/yuccadaemon/config.go
@@ -34,7 +34,7 @@
 		d.metrics.platformHeard.Store(time.Now().UnixNano())
 		notes := make([]yuccastate.PublishedNote, 0, len(page.Entries))
 		for _, entry := range page.Entries {
-			notes = append(notes, yuccastate.ReadNote(entry.Key, entry.Value))
+			notes = append(notes, yuccastate.ParsePublished(entry.Key, entry.Value))
 		}
 		d.control.Post(func(now time.Time) {
 			for _, note := range notes {
@@ -134,7 +134,7 @@
 func (d *Daemon) readNotes(message yuccawire.Notes) {
 	notes := make([]yuccastate.PublishedNote, 0, len(message.Notes))
 	for _, note := range message.Notes {
-		notes = append(notes, yuccastate.ReadNote(yuccastate.NoteKey(note.Number), note.Raw))
+		notes = append(notes, yuccastate.ParsePublished(yuccastate.NoteKey(note.Number), note.Raw))
 	}
 	d.control.Post(func(now time.Time) {
 		for _, note := range notes {
--- a/io/yuccameasure/state.go
+++ b/io/yuccameasure/state.go
@@ -117,12 +117,12 @@
 	if err != nil {
 		return eris.Wrap(err, "decoding a configuration")
 	}
-	parts := yuccastate.Baseline(whole, yuccastate.NoteLimit)
+	parts := yuccastate.EncodeBaseline(whole, yuccastate.NoteLimit)
 	row.Parts = len(parts)
 	for _, part := range parts {
 		row.LargestPart = max(row.LargestPart, len(part.Value))
 	}
-	row.BaseMillis, _ = timed(plan.Repeat, func() { yuccastate.Baseline(whole, yuccastate.NoteLimit) })
+	row.BaseMillis, _ = timed(plan.Repeat, func() { yuccastate.EncodeBaseline(whole, yuccastate.NoteLimit) })
 	row.JoinMillis, _ = timed(plan.Repeat, func() { _, err = yuccastate.JoinParts(parts) })
 	if err != nil {
 		return eris.Wrap(err, "joining a baseline")
