--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -261,7 +261,7 @@
 	return dec
 }
 
-// ClearOtherCentreLoads clears the numbers of runs that were set by SetRemoteLoads.
+// ClearOtherCentreLoads clears the numbers of runs that were set by SetOtherCentreLoads.
 func (lead *Leader) ClearOtherCentreLoads() {
 	for _, tgt := range lead.targets {
 		tgt.otherCentreRuns = 0
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -143,7 +143,7 @@
 	return chain.OfferPublished(now, ParsePublished(key, raw))
 }
 
-// OfferPublished is like Offer, for a note that ReadNote has parsed.
+// OfferPublished is like Offer, for a note that ParsePublished has parsed.
 func (chain *Chain) OfferPublished(now time.Time, pub PublishedNote) (Verdict, error) {
 	switch {
 	case pub.number == 0:
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -11,7 +11,7 @@
 // chain.
 //
 // Parsing a note of a megabyte takes some hundred milliseconds. On the goroutine that
-// owns the chain it would delay every decision of the daemon by that time. ReadNote may
+// owns the chain it would delay every decision of the daemon by that time. ParsePublished may
 // therefore run on any goroutine, and only OfferPublished needs the chain.
 type PublishedNote struct {
 	number     yuccaid.ConfigNumber
