--- a/core/yuccagrant/ask.go
+++ b/core/yuccagrant/ask.go
@@ -13,9 +13,9 @@
 	Number uint64
 }
 
-// Class identifies the requests of one account on one route, as a hash of both. The actual
-// lengths of their prompts and answers are assumed to deviate from the announced lengths by
-// similar factors.
+// Class identifies the requests of one account on one route, as a hash of the account and the
+// route. The actual lengths of the prompts and answers of one class are assumed to deviate from the
+// announced lengths by similar factors.
 type Class uint32
 
 // Request describes a caller's request that is to be sent to a target of the pool.
@@ -34,8 +34,8 @@
 	// its answer, zero if it announces none.
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
-	// SoftDeadline is until when the first event is on time, and Deadline is when the caller
-	// stops waiting for it.
+	// The first event is on time if it comes no later than SoftDeadline. The caller stops waiting
+	// for the first event at Deadline.
 	SoftDeadline time.Time
 	Deadline     time.Time
 	// MaxGap is the longest time between two events of an answer that is on time. It is zero
@@ -45,8 +45,8 @@
 	FailedTargets []yuccaid.Target
 }
 
-// effectiveRank returns the rank that the request is scheduled by: its own, made less urgent by
-// overQuotaRanks if its account is over its quota.
+// effectiveRank returns the rank that the request is scheduled by: Rank, limited to the range from
+// 0 to maxRank, and made less urgent by overQuotaRanks if the account is over its quota.
 func (req *Request) effectiveRank() int {
 	effectiveRank := min(max(req.Rank, 0), maxRank)
 	if req.OverQuota {
@@ -84,9 +84,9 @@
 	ID         ID
 	Reason     Reason
 	RetryAfter time.Duration
-	// QueueLength is the number of requests that were waiting, FreeSlots the number of free
-	// slots in the pool, and EstimatedWait how long the request would have waited for a slot;
-	// all are logged.
+	// QueueLength is the number of other requests that were waiting. FreeSlots is the number of
+	// free slots on the targets that were not backing off. EstimatedWait is how long the refused
+	// request would have waited for a slot. All three are logged.
 	QueueLength   int
 	FreeSlots     int
 	EstimatedWait time.Duration
@@ -137,8 +137,8 @@
 	Outcome Outcome
 	// TimeToFirst is the time from sending to the first event, zero if there was none.
 	TimeToFirst time.Duration
-	// Events counts the events, Span is the time from the first to the last event, and
-	// LongestGap the longest time between two of them.
+	// Events is the number of events, Span the time from the first to the last event, and
+	// LongestGap the longest time between two successive events.
 	Events     int
 	Span       time.Duration
 	LongestGap time.Duration
--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// choice is a target considered for a request, with the estimates for it. suitable reports that
-// the target is expected to serve the request on time. targetState is nil if no target was found.
+// choice is a target considered for a request, with the estimates for that request on that target.
+// suitable reports that the target is expected to serve the request on time. targetState is nil if
+// no target was found.
 type choice struct {
 	targetState         *targetState
 	expectedTimeToFirst time.Duration
@@ -34,9 +35,9 @@
 
 // remoteBound is a lower bound on the cost of targets in other regions.
 //
-// Without it the leader of a large pool would evaluate the targets of all regions for each
-// request, and almost always choose one of its own region. The bound is derived from the cost
-// function, so the choice is the same with and without it.
+// Without this bound the leader of a large pool would evaluate the targets of all regions for each
+// request, although it almost always chooses a target of its own region. The bound is derived from
+// the cost function, so the choice is the same with and without the bound.
 type remoteBound struct {
 	// localCount is the number of targets in this region, which come first in Leader.targets.
 	localCount int
@@ -60,9 +61,9 @@
 	}
 }
 
-// chooseTarget returns the target with the lowest cost among those that may be sent the request.
-// A suitable target is preferred to any that is not suitable. The choice has no target if none
-// may be sent the request.
+// chooseTarget returns the target with the lowest cost among those that may be sent the request. A
+// suitable target is preferred to any target that is not suitable. The returned choice has no
+// target if the request may be sent to none.
 //
 // The cost makes targets of different pace in several data centres comparable. It is the
 // expected time to the first event plus penalties for a busy target, for long gaps and failures
@@ -87,7 +88,7 @@
 }
 
 // estimate returns the estimates for a request on one target. If all slots of the target are
-// occupied, the wait for one of them is part of the time to the first event.
+// occupied, the time to the first event includes the wait for a slot to become free.
 func (lead *Leader) estimate(now time.Time, tgt *targetState, req *Request, base *baseline) choice {
 	firstWithoutWait := time.Duration(tgt.pace * float64(base.expectedTimeToFirst))
 	busySlots := tgt.busySlots(now)
@@ -128,11 +129,10 @@
 	return sum
 }
 
-// slotCapacity returns the capacity of the targets that are not backing off, as a number of
-// slots of the fastest target: a slot of another target counts for 1/pace. Only the share that
-// corresponds to this leader's share of the runs is returned, because the leaders of other data
-// centres use the rest. Both numbers of runs start at 1, so that the share is defined while
-// there are no runs.
+// slotCapacity returns the capacity of the targets that are not backing off, as a number of slots
+// of the fastest target: a slot of another target counts for 1/pace. The result is the sum times
+// this leader's share of all runs on these targets, because the leaders of other data centres use
+// the rest. ownRuns and allRuns start at 1, so that the share is defined while there are no runs.
 func (lead *Leader) slotCapacity(now time.Time) float64 {
 	sum, ownRuns, allRuns := 0.0, 1, 1
 	for _, tgt := range lead.targets {
--- a/core/yuccagrant/choose_test.go
+++ b/core/yuccagrant/choose_test.go
@@ -12,10 +12,10 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// A leader does not look at the targets of other regions once a suitable target of its own region
-// costs at most as much as remoteBound says a target of another region costs at least. If this
-// bound were too high, requests would wait in a full region while targets in other regions are
-// idle.
+// A leader does not look at the targets of other regions once it has found a suitable target of its
+// own region whose cost does not exceed remoteBound, the lower bound on the cost of targets in
+// other regions. If this bound were too high, requests would wait in a full region while targets in
+// other regions are idle.
 func TestTheBoundNeverChangesTheChoice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
--- a/core/yuccagrant/data.go
+++ b/core/yuccagrant/data.go
@@ -10,8 +10,8 @@
 	defaultPerPromptToken = 20 * time.Microsecond
 	defaultEventGap       = 15 * time.Millisecond
 
-	// latencyWeight is the weight of one answer in the pool's latency model; the first few weigh
-	// more. Latencies change with the load of the pool, so the model follows them over about
+	// latencyWeight is the weight of one answer in the pool's latency model; the first few answers
+	// weigh more. Latencies change with the load of the pool, so the model follows them over about
 	// forty answers.
 	latencyWeight = 0.05
 	// streamPaceWeight is the weight of one answer of several events in the pace of its target.
@@ -41,8 +41,9 @@
 	// lateGapCost is the cost of a target all of whose answers have a gap longer than MaxGap.
 	// It is high because such a gap makes the whole answer late.
 	lateGapCost = 2 * time.Second
-	// crowdingShare is the share of the expected time to the first event that a full target
-	// adds to its cost. It spreads work over targets of the same pace, because each run slows
+	// crowdingShare is the share of the expected time to the first event that is added to the cost
+	// of a target whose slots are all occupied. For other targets the added share is proportional
+	// to the occupied slots. It spreads work over targets of the same pace, because each run slows
 	// the others on its target.
 	crowdingShare = 0.5
 	// biasShare bounds targetState.bias, a random share of the expected time to the first event
@@ -75,8 +76,8 @@
 	// unaccountedTTL is how long a target's report of more runs than the leaders know of is
 	// taken into account.
 	unaccountedTTL = 500 * time.Millisecond
-	// unaccountedSlack is the number of runs that a target may report beyond those known before
-	// the difference is taken into account.
+	// unaccountedSlack is the number of runs that a target may report beyond the runs that the
+	// leaders know of. Only runs in excess of unaccountedSlack are taken into account.
 	unaccountedSlack = 2
 
 	// A target with n slots is sent up to n/overcommitDivisor requests, rounded up, beyond its
@@ -91,15 +92,15 @@
 	// overQuotaRanks is the number of ranks by which a request is less urgent if its account is
 	// over its quota.
 	overQuotaRanks = 2
-	// starvationShare is the share of the time to its deadline during which a request may be
-	// overtaken by less urgent ones.
+	// starvationShare is the share of the time to its deadline during which less urgent requests
+	// may overtake the request.
 	starvationShare = 0.5
 
 	// maxQueued bounds the queue of one pool, because requests in a longer queue could not be
 	// served in time.
 	maxQueued = 2000
 	// maxMisses is the number of requests that may fail to get a target in one pass over a tier
-	// before the pass ends, because the requests behind them in the queue seldom get a target
+	// before the pass ends, because the requests further back in the queue seldom get a target
 	// then.
 	maxMisses = 6
 	// defaultHold is the time that a run is assumed to occupy its slot before any run has
--- a/core/yuccagrant/leader.go
+++ b/core/yuccagrant/leader.go
@@ -32,7 +32,7 @@
 	withoutTargetsSince time.Time
 }
 
-// New returns a leader without targets; they are set by Configure.
+// New returns a leader without targets. SetTargets sets them.
 func New(rng *rand.Rand) *Leader {
 	return &Leader{rng: rng, leaderCount: 1, runs: make(map[ID]*activeRun), queue: newQueue(), lengthModel: newLengthModel(), sizeStats: newSizeStats()}
 }
@@ -81,8 +81,8 @@
 	return 1
 }
 
-// SetLeaderCount sets the number of leaders, at least 1, that decide on the same targets
-// without knowing of one another's runs. Each uses its share of the slots.
+// SetLeaderCount sets the number of leaders, at least 1, that decide on the same targets without
+// knowing of one another's runs. Each leader uses an equal share of each target's slots.
 func (lead *Leader) SetLeaderCount(now time.Time, leaderCount int) Decisions {
 	var dec Decisions
 	if leaderCount == lead.leaderCount {
@@ -161,8 +161,8 @@
 	return dec
 }
 
-// RunStarted records a run's first event, which came the given time after sending, and the load
-// that its target reported with it.
+// RunStarted records the first event of a run. took is the time from sending to that event, and
+// load is what the target reported with the event.
 func (lead *Leader) RunStarted(now time.Time, id ID, took time.Duration, load ReportedLoad) Decisions {
 	var dec Decisions
 	run, found := lead.runs[id]
@@ -195,8 +195,9 @@
 	return dec
 }
 
-// AddRunning adds a run that was granted by another leader, and removes the request from the
-// queue if it was waiting here.
+// AddRunning adds a run that was granted by another leader, and removes its request from the queue
+// if the request was waiting here. The run isn't counted if its target is not one of this leader's
+// targets.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
 	if _, found := lead.runs[running.Request.ID]; found {
 		return
@@ -211,8 +212,8 @@
 	run.started = running.Started
 }
 
-// DropOwner removes the waiting and running requests of a daemon that is no longer a peer.
-// Targets abort a request when its connection closes, so the slots of its runs become free.
+// DropOwner removes the waiting and running requests of a daemon that is no longer a peer. Targets
+// abort a request when its connection closes, so the slots of the daemon's runs become free.
 func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	for id, entry := range lead.queue.byID {
@@ -302,7 +303,8 @@
 
 // Tick makes the decisions that depend on the time that has passed: it forgets runs older than
 // maxRunAge, grants slots of targets whose backoff has passed, and refuses requests that can no
-// longer be served in time. Call it every few tens of milliseconds while requests are waiting.
+// longer be served in time. It also normalises the paces and updates the length model's median
+// ratio. Call it every few tens of milliseconds while requests are waiting.
 func (lead *Leader) Tick(now time.Time) Decisions {
 	var dec Decisions
 	for _, run := range lead.runs {
--- a/core/yuccagrant/learn.go
+++ b/core/yuccagrant/learn.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// learnTimeToFirst includes the time to a run's first event in the pool's latency model, and in
-// the target's pace if the answer has a single event. A time is left out of the latency model if
-// the class of the request announces wrong prompt lengths. The pace is first learned from the
-// second sample, because the first only defines the latency model.
+// learnTimeToFirst includes the time to a run's first event in the pool's latency model, and in the
+// target's pace if the answer has a single event. The latency model leaves out the times of answers
+// of several events whose class announces wrong prompt lengths. The pace isn't learned until the
+// latency model includes two times, because the first time only defines the model.
 func (lead *Leader) learnTimeToFirst(run *activeRun, took time.Duration) {
 	targetTime := max(took-run.targetState.RoundTrip, time.Millisecond).Seconds()
 	expected := max(lead.latencyModel.expectedTimeToFirst(run.request.Prompt), time.Millisecond).Seconds()
--- a/core/yuccagrant/length.go
+++ b/core/yuccagrant/length.go
@@ -34,9 +34,9 @@
 
 // classLengths are the decaying sums over the answers of one class.
 type classLengths struct {
-	// weight is the decaying number of answers, and events the sum of their events. Of the
-	// answers with an announced length only, announcedEvents is the sum of the events and
-	// announcedTokens the sum of the announced tokens.
+	// weight is the decaying number of answers, and events the sum of their events. announcedEvents
+	// and announcedTokens include only the answers whose length was announced: the sum of their
+	// events, and the sum of their announced tokens.
 	weight, events                   float64
 	announcedEvents, announcedTokens float64
 	// meanTimeToFirstRatio is the mean ratio of actual to expected times to the first event, over
@@ -65,8 +65,9 @@
 	return 0, false
 }
 
-// timeToFirstRatio returns the factor by which the time to a class's first events differs from
-// the time expected for its announced prompt lengths. It is 1 while these are reliable.
+// timeToFirstRatio returns the factor by which the time to a class's first events differs from the
+// time expected for its announced prompt lengths. The factor is 1 while the announced prompt
+// lengths of the class are reliable.
 func (lm *lengthModel) timeToFirstRatio(class Class) float64 {
 	cls := lm.classes[class]
 	if cls == nil || cls.promptsReliable() {
@@ -113,8 +114,9 @@
 	lm.medianRatio = ratios[len(ratios)/2]
 }
 
-// forClass returns the lengths of a class for updating. If there are too many classes, an
-// arbitrary one is deleted to make space.
+// forClass returns the lengths of a class for updating, and stores new ones if the class is
+// unknown. If maxClasses classes are stored already, an arbitrary class is deleted to make space
+// for a new one.
 func (lm *lengthModel) forClass(class Class) *classLengths {
 	if cls := lm.classes[class]; cls != nil {
 		return cls
@@ -131,7 +133,8 @@
 }
 
 // promptsReliable reports whether the announced prompt lengths of the class are correct to within
-// maxPromptError, judging by its times to the first event. It is true for too few answers.
+// maxPromptError, judging by its times to the first event. A class with fewer than minLengthSamples
+// such times counts as reliable.
 func (cls *classLengths) promptsReliable() bool {
 	return cls.firstSamples < minLengthSamples || cls.meanTimeToFirstRatio > 1/maxPromptError && cls.meanTimeToFirstRatio < maxPromptError
 }
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -30,8 +30,8 @@
 		}
 		req := Request{Class: 1, Prompt: 1000, Answer: yuccaid.Tokens(rapid.IntRange(0, 2000).Draw(rt, "asked"))}
 		want, _ := undisturbed.expectedEvents(&req)
-		// A class that has never announced an answer length uses the median over all classes for
-		// an announced one, which class 2 affects.
+		// If a class has never announced an answer length before, the estimate for its first
+		// announced length uses the median over all classes, which class 2 affects.
 		if got, _ := disturbed.expectedEvents(&req); got != want && !(req.Answer > 0 && undisturbed.classes[1].announcedTokens == 0) {
 			rt.Fatalf("expected %v events, and %v beside a class with wrong announcements", want, got)
 		}
@@ -41,8 +41,9 @@
 	})
 }
 
-// A caller makes up an unlimited number of routes or keys, each of which is a new class. The
-// lengths stored for them must not exhaust memory.
+// A caller makes up an unlimited number of routes or accounts, and each new
+// pair of account and route is a new class. The lengths stored for the classes must not exhaust
+// memory.
 func TestClassesAreBounded(t *testing.T) {
 	model := newLengthModel()
 	for class := range Class(3 * maxClasses) {
--- a/core/yuccagrant/load_test.go
+++ b/core/yuccagrant/load_test.go
@@ -116,9 +116,9 @@
 		Expect(sim.tally("long").onTimeShare()).To(BeNumerically(">=", 0.95))
 	})
 
-	// One of four engines fails all requests for ten seconds. An engine that fails requests at
-	// once looks idle, and one that hangs holds each request until its deadline; either could
-	// attract request after request. After the ten seconds it works again.
+	// One of four engines fails all requests for ten seconds. An engine that fails requests at once
+	// looks idle. An engine that hangs holds each request until its deadline. Either could attract
+	// request after request. After the ten seconds the engine works again.
 	DescribeTable("whose target fails lose little more than the requests that were there",
 		func(outcome yuccagrant.Outcome, maxLostShare float64) {
 			engines := newEngines(6, 1, 1, 1, 1)
--- a/core/yuccagrant/model.go
+++ b/core/yuccagrant/model.go
@@ -28,9 +28,10 @@
 	return seconds(base + slope*float64(prompt))
 }
 
-// fitLine returns the intercept of the line in seconds, and its slope in seconds per token.
-// The slope stays at its default until three prompts of clearly different lengths were seen. It
-// is never negative, because a longer prompt takes no less time.
+// fitLine returns the intercept of the line in seconds, and its slope in seconds per token. The
+// slope stays at its default until at least three prompts, of clearly different lengths, were seen.
+// While all prompts had length 0, the slope is 0. It is never negative, because a longer prompt
+// takes no less time.
 func (mod *latencyModel) fitLine() (base, slope float64) {
 	if mod.weight == 0 {
 		return defaultTimeToFirst.Seconds(), defaultPerPromptToken.Seconds()
@@ -96,7 +97,7 @@
 	mod.meanGap *= factor
 }
 
-// seconds converts a number of seconds to a duration. It is bounded so that the conversion
+// seconds converts a number of seconds to a duration. The number is bounded so that the conversion
 // cannot overflow.
 func seconds(value float64) time.Duration {
 	return time.Duration(math.Min(value, math.MaxInt32) * float64(time.Second))
--- a/core/yuccagrant/node.go
+++ b/core/yuccagrant/node.go
@@ -25,21 +25,24 @@
 	// backoffUntil is the time before which the target gets no requests because of a failure.
 	backoffUntil        time.Time
 	consecutiveFailures int
-	// unaccounted is the number of runs that the target reported beyond those that the leaders
-	// know of. It is counted as occupied slots until unaccountedUntil.
+	// unaccounted is the number of runs that the target reported beyond the runs that the leaders
+	// know of, reduced by unaccountedSlack. These runs count as occupied slots until
+	// unaccountedUntil.
 	unaccounted      int
 	unaccountedUntil time.Time
 	// otherCentreRuns is the number of runs on this target that the leaders of other data
 	// centres reported.
 	otherCentreRuns int
 	// bias is a small random number that differs from leader to leader. The target's cost is
-	// increased by this share of the expected time to the first event. Otherwise all leaders
-	// that have not learned anything yet would send their first requests to the same target.
+	// increased by bias times the expected time to the first event without a wait for a slot.
+	// Otherwise all leaders that have not learned anything yet would send their first requests to
+	// the same target.
 	bias float64
 }
 
-// activeRun is a request that was sent to a target and has not finished. started reports that
-// its first event has come, and dueAfter is the expected time from sending to the first event.
+// activeRun is a request that was sent to a target and has not finished. started reports that the
+// first event of its answer has come. dueAfter is the time from sending to the first event that was
+// expected when the request was sent.
 type activeRun struct {
 	request     Request
 	targetState *targetState
@@ -79,16 +82,17 @@
 	return max(tgt.Slots-tgt.busySlots(now), 0)
 }
 
-// grantableSlots returns how many more requests the target may be sent. A few may wait there
-// beyond its slots, so that a slot that becomes free is not idle until the leader learns of it.
-// More than a few would wait in the target's own queue, which ignores ranks.
+// grantableSlots returns how many more requests may be sent to the target. A few requests beyond
+// the target's slots may wait in the target's own queue, so that a slot that becomes free is not
+// idle until the leader learns of it. More requests must not wait there, because the target's queue
+// ignores ranks.
 func (tgt *targetState) grantableSlots(now time.Time) int {
 	return max(tgt.Slots+(tgt.Slots+overcommitDivisor-1)/overcommitDivisor-tgt.busySlots(now), 0)
 }
 
-// recordReport compares the load that the target reported with the runs that the leaders know
-// of. What the leaders of other data centres reported is slightly older than the target's own
-// report, so a difference of one or two runs is ignored.
+// recordReport compares the load that the target reported with the runs that the leaders know of.
+// What the leaders of other data centres reported is slightly older than the target's own report,
+// so unaccountedSlack runs of the difference are ignored.
 func (tgt *targetState) recordReport(now time.Time, load ReportedLoad) {
 	if !load.Known {
 		return
@@ -99,11 +103,11 @@
 
 // backingOff reports whether the target gets no requests at present.
 //
-// A target that hangs or drops requests fails each one after a long time, and a target that
-// refuses connections fails each one at once and so always looks idle. Either would attract
-// request after request. One failure causes a short backoff and consecutive failures cause
-// longer ones. While a run is overdue, its target gets no other requests until the first event
-// of the run or until the run finishes.
+// A target that hangs or drops requests fails each request only after a long time. A target that
+// refuses connections fails each request at once, and so always looks idle. Either target would
+// attract request after request. One failure causes a short backoff and consecutive failures cause
+// longer ones. While a run is overdue, its target gets no other requests until the first event of
+// the run or until the run finishes.
 func (tgt *targetState) backingOff(now time.Time) bool {
 	return now.Before(tgt.backoffUntil) || tgt.hasOverdueRun(now)
 }
@@ -143,8 +147,8 @@
 	tgt.pace += max(weight, 1/float64(tgt.paceSamples)) * (ratio - tgt.pace)
 }
 
-// adoptPace sets the pace to the given pace, which another leader has learned, and reports
-// whether it did. It does nothing if this leader has enough samples of its own, or if the given
+// adoptPace sets the target's pace to a pace that another leader has learned, and reports whether
+// the pace was set. It is not set if this leader has enough samples of its own, or if the given
 // pace is zero, which means unknown.
 func (tgt *targetState) adoptPace(pace float64) bool {
 	if tgt.paceSamples >= minPaceSamples || pace <= 0 {
--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -82,9 +82,9 @@
 		}
 	})
 
-	// Enough short, less urgent requests arrive to fill all slots. Because they are shorter by
-	// more than rankFactor for each rank between them, they could overtake a long urgent
-	// request until its caller stops waiting.
+	// Enough short, less urgent requests arrive to fill all slots. Their work is smaller than that
+	// of a long urgent request by more than rankFactor for each rank between them, so they could
+	// overtake the urgent request until its caller stops waiting.
 	It("lets no less urgent request overtake one that has waited for half of the time to its deadline", func() {
 		lead, now := leaderWithHistory(shortClass, longClass)
 		// Eight requests occupy the slots and two more wait in the target's own queue.
@@ -106,10 +106,10 @@
 		}
 	})
 
-	// One account sends six times its usual load to engines that are nearly full without it.
-	// Four of five of its requests are over its quota, though still below the limit up to which
-	// operators tolerate that, so they reach the leader. If they were as urgent as requests
-	// within the quota, they would take the slots of accounts that keep to theirs.
+	// One account sends six times its usual load to engines that are nearly full without it. Four
+	// of five of its requests are over its quota, though still below the limit up to which
+	// operators tolerate that, so they reach the leader. If these requests were as urgent as
+	// requests within a quota, they would take the slots of accounts that keep to their quotas.
 	It("serves accounts within their quotas while another one exceeds its own", func() {
 		othersServedShare := func(overQuota bool) float64 {
 			var others tally
@@ -135,9 +135,10 @@
 		Expect(othersServedShare(true)).To(BeNumerically(">=", othersServedShare(false)+0.05))
 	})
 
-	// While the engines are full, one account announces lengths that are far too small or far
-	// too large, such as one token for each of its long answers. If announcements were believed,
-	// its requests would go before those of other accounts, or distort what is expected of them.
+	// While the engines are full, one account announces lengths that are far too small or far too
+	// large, such as one token for each of its long answers. If announcements were believed, its
+	// requests would go before those of other accounts, or distort the lengths that are expected of
+	// those other requests.
 	DescribeTable("gives an account that announces wrong lengths no more than one that announces none",
 		func(misannounce func(req *yuccagrant.Request)) {
 			Expect(othersServedShareBeside(misannounce)).To(BeNumerically(">=", othersServedShareBeside(func(req *yuccagrant.Request) { req.Prompt, req.Answer = 0, 0 })-0.02))
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -10,10 +10,10 @@
 // cannotMeetDeadline reports whether a waiting request should be refused now because its first
 // event is expected too late.
 //
-// Under overload a queue that accepts all requests makes all of them late. A caller who is
-// refused at once and told when to retry loses nothing. But while less urgent requests run, their
-// slots will become free soon, so a more urgent request may then wait longer, as lateStartShare
-// says.
+// Under overload a queue that accepts all requests makes all of them late. A caller who is refused
+// at once and told when to retry loses nothing. But while less urgent requests than the waiting one
+// run, the waiting request may wait longer (see lateStartShare), because the slots of the less
+// urgent requests will become free soon.
 func (lead *Leader) cannotMeetDeadline(now time.Time, entry *queueEntry) bool {
 	if lead.latencyModel.holdSamples < minHoldSamples {
 		// Too few runs have finished to estimate waiting times.
@@ -40,8 +40,9 @@
 	return false
 }
 
-// refuseExpired refuses the waiting requests that are past their deadline, and those past their
-// soft deadline whose first event is expected too late.
+// refuseExpired refuses the waiting requests that are past their deadline, and the waiting requests
+// that are past their soft deadline and whose first event is expected too late.
+// refuseWithoutTargets does so for a pool without targets.
 func (lead *Leader) refuseExpired(now time.Time, dec *Decisions) {
 	if len(lead.targets) == 0 {
 		lead.refuseWithoutTargets(now, dec)
@@ -56,8 +57,8 @@
 	lead.refuseAll(now, expired, ReasonLate, dec)
 }
 
-// refuseWithoutTargets refuses waiting requests of a pool without targets: those past their
-// soft deadline, or all of them if no target is expected soon.
+// refuseWithoutTargets refuses waiting requests of a pool without targets: the requests past their
+// soft deadline, or all waiting requests if no target is expected soon.
 func (lead *Leader) refuseWithoutTargets(now time.Time, dec *Decisions) {
 	var expired []*queueEntry
 	for _, entry := range lead.queue.byID {
@@ -87,8 +88,9 @@
 	})
 }
 
-// retryAfter returns the time after which a refused caller should retry: the estimated time in
-// which the requests waiting in its tier and in more urgent tiers are served. A random part is
+// retryAfter returns the time after which a refused caller should retry: the estimated time to
+// serve one more request and all requests that wait in the refused request's tier or in more urgent
+// tiers. It is limited to the range from minRetryAfter to maxRetryAfter. Then a random part is
 // added, because callers that are refused together would otherwise retry in one burst.
 func (lead *Leader) retryAfter(now time.Time, tier int) time.Duration {
 	wait := lead.estimatedWait(now, lead.queue.workAhead(tier, math.Inf(1))+lead.latencyModel.expectedHold())
--- a/core/yuccagrant/serve.go
+++ b/core/yuccagrant/serve.go
@@ -7,11 +7,11 @@
 
 // grantSlots grants slots to waiting requests, the most urgent tier first.
 //
-// Within a tier requests are ordered by expected work: a request that occupies its slot briefly
-// goes before a longer one, and before one of a more urgent rank if it is shorter by more than
-// rankFactor for each rank between them. Requests that can still be on time go before late ones. Once a
-// request is starved, those of its tier that are at least as urgent are all granted slots before
-// the less urgent ones.
+// Within a tier, requests of the same rank are ordered by expected work, the least first. A less
+// urgent request goes before a more urgent request only if its expected work is less by more than a
+// factor of rankFactor for each rank between them. Requests that can still be on time go before
+// requests that are late. Once a request is starved, all requests of its tier with its rank or a
+// more urgent rank go before the less urgent requests of the tier.
 func (lead *Leader) grantSlots(now time.Time, dec *Decisions) {
 	for _, tier := range lead.queue.tiers {
 		starvedRank, found := tier.mostUrgentStarved(now)
@@ -26,9 +26,10 @@
 
 func anyRank(*queueEntry) bool { return true }
 
-// grantTier grants slots to the eligible requests of one tier: first to those that can still be
-// on time, then to late ones. A granted request leaves tier.entries, so at then already points to
-// the next one.
+// grantTier grants slots to the eligible requests of one tier: first to the requests that can still
+// be on time, then to the late requests. Each of these two passes ends after maxMisses requests
+// that got no target. A granted request is removed from tier.entries, so the index at then already
+// refers to the next request.
 func (lead *Leader) grantTier(now time.Time, tier *tierQueue, eligible func(*queueEntry) bool, dec *Decisions) {
 	for _, onTime := range []bool{true, false} {
 		missed := 0
@@ -87,8 +88,8 @@
 }
 
 // estimatedWait returns how long the targets take for the given work, which is in seconds of one
-// slot of the fastest target. At least half a slot is assumed, so that the result is defined
-// while no target can be used.
+// slot of the fastest target. The targets are assumed to have a capacity of at least half such a
+// slot, so that the result is defined while no target can be used.
 func (lead *Leader) estimatedWait(now time.Time, work float64) time.Duration {
 	return seconds(work / max(lead.slotCapacity(now), 0.5))
 }
--- a/core/yuccagrant/sizes.go
+++ b/core/yuccagrant/sizes.go
@@ -4,8 +4,8 @@
 	// A request is large if its expected work is more than largeFactor times the mean expected
 	// work of its rank.
 	largeFactor = 2.0
-	// Large requests are moved forward in the queue while the share of them that is served is
-	// below minServedRatio times the served share of all requests of their rank.
+	// Large requests of a rank are moved forward in the queue while their served share is below
+	// minServedRatio times the served share of all requests of that rank.
 	minServedRatio = 0.6
 	// A large request that is moved forward is ordered as if its work were the mean work of its
 	// rank divided by priorityDivisor.
@@ -26,8 +26,9 @@
 	ranks map[int]*rankStats
 }
 
-// rankStats holds the mean expected work of the requests of one rank, in seconds of one slot of
-// the fastest target, the share of them that is served, and the served share of the large ones.
+// rankStats holds the mean expected work of the requests of one rank, in seconds of one slot of the
+// fastest target, the served share of these requests, and the served share of the large requests
+// among them.
 type rankStats struct {
 	meanWork                      float64
 	servedShare, largeServedShare float64
@@ -37,8 +38,9 @@
 	return sizeStats{ranks: make(map[int]*rankStats)}
 }
 
-// orderingWork returns the work that a request is ordered by: its own expected work, or a
-// fraction of the mean of its rank if it is large and large requests are served too seldom.
+// orderingWork returns the work that a request is ordered by: its own expected work, or the mean
+// work of its rank divided by priorityDivisor if the request is large and the large requests of its
+// rank are served too seldom.
 func (ss *sizeStats) orderingWork(rank int, work float64) float64 {
 	stats := ss.ranks[rank]
 	if stats == nil || work <= largeFactor*stats.meanWork || stats.largeServedShare >= minServedRatio*stats.servedShare {
@@ -47,7 +49,8 @@
 	return stats.meanWork / priorityDivisor
 }
 
-// learn records whether a request was served, which means granted a slot, or refused.
+// learn records that a request was served, which means that it was granted a slot, or that it was
+// refused.
 func (ss *sizeStats) learn(rank int, work float64, served bool) {
 	stats := ss.ranks[rank]
 	if stats == nil {
--- a/core/yuccagrant/waiting.go
+++ b/core/yuccagrant/waiting.go
@@ -89,8 +89,9 @@
 
 func (q *queue) len() int { return len(q.byID) }
 
-// workAhead returns the expected work of all waiting requests that go before a request of the
-// given tier and sortKey, or share its sortKey, in seconds of one slot of the fastest target.
+// workAhead returns the expected work of all waiting requests that go before a request of the given
+// tier and sortKey, in seconds of one slot of the fastest target. Waiting requests with the same
+// tier and sortKey are included.
 func (q *queue) workAhead(tier int, sortKey float64) float64 {
 	sum := 0.0
 	for _, tq := range q.tiers {
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -57,8 +57,9 @@
 	first   time.Time
 	ends    time.Time
 	outcome yuccagrant.Outcome
-	// refused to done are what the caller saw: retryAfter is set for a refused request, onTime
-	// reports that no event so far was late, and done that the answer is complete.
+	// The fields from refused to done are what the caller saw: retryAfter is set for a refused
+	// request, onTime reports that no event so far was late, and done reports that the answer is
+	// complete.
 	refused    bool
 	retryAfter time.Duration
 	onTime     bool
@@ -334,7 +335,7 @@
 	}
 }
 
-// tally tallies the requests of a kind, or all if kind is empty.
+// tally counts the outcomes of the requests of a kind, or of all requests if kind is empty.
 func (sim *simulation) tally(kind string) tally {
 	var tl tally
 	for _, jb := range sim.jobsOf(kind) {
@@ -354,7 +355,7 @@
 	return tl
 }
 
-// jobsOf returns the requests of a kind, or all if kind is empty.
+// jobsOf returns the requests of a kind, or all requests if kind is empty.
 func (sim *simulation) jobsOf(kind string) []*job {
 	var jobs []*job
 	for _, jb := range sim.all {
