--- a/core/yuccabudget/budget.go
+++ b/core/yuccabudget/budget.go
@@ -8,12 +8,12 @@
 )
 
 // safetyShare is the share of the limit that a Budget uses. The rest is a margin, because the limit
-// is checked outside this package, over windows that begin at other times and count requests by when
-// they arrive.
+// is also checked outside this package. That check uses windows that begin at other times than the
+// windows of a Budget, and counts requests by when they arrive.
 const safetyShare = 0.8
 
-// Bounds is the limit on resends over all daemons: within any Window, at most Ratio times the
-// requests plus Allowance.
+// Bounds is the limit on the resends of one pool over all daemons: within any Window, at most Ratio
+// times the requests plus Allowance.
 type Bounds struct {
 	Window time.Duration
 	// Ratio is in resends per request, and Allowance in resends.
@@ -46,8 +46,8 @@
 	bud.countsOf(now, pool).requests.Add(1)
 }
 
-// AllowResend reports whether the limit allows one more resend, and counts it if so. The
-// allowance is divided evenly among the given number of daemons.
+// AllowResend reports whether the limit allows one more resend for the pool, and counts the resend
+// if so. The allowance is divided evenly among the given number of daemons.
 func (bud *Budget) AllowResend(now time.Time, pool yuccaid.Pool, daemons int) bool {
 	counts := bud.countsOf(now, pool)
 	allowed := safetyShare * (bud.bounds.Ratio*float64(counts.requests.Total()) + bud.bounds.Allowance/float64(max(daemons, 1)))
@@ -66,8 +66,9 @@
 		bud.pools[pool] = counts
 	}
 	counts.requests.Advance(now, bud.bounds.Window)
-	// Resends are counted over a longer window, because the oldest bucket of a Sum expires before
-	// its window ends, and because resends reach the targets later than they are counted here.
+	// Resends are counted over a window that is longer by an eighth, because a Sum drops its oldest
+	// bucket before all amounts in that bucket are as old as the window, and because resends reach
+	// the targets later than they are counted here.
 	counts.resends.Advance(now, bud.bounds.Window+bud.bounds.Window/8)
 	return counts
 }
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -41,9 +41,8 @@
 	})
 }
 
-// A caller makes up an unlimited number of routes or accounts, and each new
-// pair of account and route is a new class. The lengths stored for the classes must not exhaust
-// memory.
+// A caller makes up an unlimited number of routes or accounts, and each new pair of account and
+// route is a new class. The lengths stored for the classes must not exhaust memory.
 func TestClassesAreBounded(t *testing.T) {
 	model := newLengthModel()
 	for class := range Class(3 * maxClasses) {
--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -11,27 +11,29 @@
 )
 
 const (
-	// reportDelayStep is the step to which SetFleet rounds the report delay, the time until all daemons
-	// have received a report of usage. Without rounding, each small change of the delay would empty
-	// the sums over it.
+	// reportDelayStep is the step to which SetFleet rounds the report delay, the time until all
+	// daemons have received a report of usage. Without rounding, each small change of the report
+	// delay would empty the sums of the usage admitted within the report delay.
 	reportDelayStep = 100 * time.Millisecond
 	// defaultReportDelay is the report delay before SetFleet has been called.
 	defaultReportDelay = 200 * time.Millisecond
 	// defaultWindow is the window if Tolerance.Window is zero.
 	defaultWindow = 8 * time.Second
-	// reserveSeconds and reserveBurstShare define the reserve, which is the part of the tolerated limit
-	// (see toleratedLimit) that requests may not use: the usage of reserveSeconds at the account's rate
-	// plus reserveBurstShare of its burst. The reserve covers what is admitted before all daemons have
-	// received the reports of it, and what is admitted a second time after all daemons have lost their
-	// usage history. It is at least minReserveShare of the tolerated limit, because for an account with
-	// a low rate the excess depends on the size of its requests, not on its rate.
+	// reserveSeconds and reserveBurstShare define the reserve, which is the part of the tolerated
+	// limit (see toleratedLimit) that requests may not use: the usage of reserveSeconds at the
+	// account's rate plus reserveBurstShare of its burst. The reserve covers the usage that is
+	// admitted before all daemons have received the reports of earlier usage, and the usage that is
+	// admitted a second time after all daemons have lost their usage history. It is at least
+	// minReserveShare of the tolerated limit, because for an account with a low rate the excess
+	// depends on the size of its requests, not on its rate.
 	reserveSeconds    = 1.6
 	reserveBurstShare = 0.8
 	minReserveShare   = 0.1
 	// rankReserve is the share of the limit that each rank leaves to the more urgent ranks, counted
 	// for at most maxReservedRanks ranks. When an account has used most of its quota, its urgent
-	// requests are still admitted while its less urgent ones are refused. A request that costs at most
-	// rankExemptShare of the limit isn't subject to this, because it uses so little of the quota.
+	// requests are still admitted while its less urgent ones are refused. A request that costs at
+	// most rankExemptShare of the limit may also use the part left to more urgent ranks, because it
+	// uses so little of the quota.
 	rankReserve      = 0.06
 	maxReservedRanks = 3
 	rankExemptShare  = 1.0 / 500
@@ -53,8 +55,8 @@
 type Tolerance struct {
 	// Window is the length of the sliding window in which usage is counted.
 	Window time.Duration
-	// Overshoot is the tolerated excess as a share of what the quota allows in a window. Allowance is
-	// added to it and is in units of the quota.
+	// Overshoot is the tolerated excess as a share of what the quota allows in a window. Allowance
+	// is a further tolerated excess, in units of the quota.
 	Overshoot float64
 	Allowance float64
 }
@@ -86,13 +88,13 @@
 // accountWindow is the usage of one account within the window.
 type accountWindow struct {
 	quota yuccaroute.Quota
-	// admitted is the admitted usage. demand is the requested usage, including that of refused
-	// requests. It is counted only while the daemon is without usage history.
+	// admitted is the admitted usage. demand is the requested usage, including the cost of refused
+	// requests. demand is counted only while the daemon is without usage history.
 	admitted tally
 	demand   tally
-	// recentLocal is what this daemon has admitted within the report delay. Other daemons may not know
-	// of it yet. Time is divided into intervals of the length of the report delay, and
-	// lastLotteryInterval is the number of the last interval in which the lottery was held.
+	// recentLocal is what this daemon has admitted within the report delay. The other daemons may
+	// not know of that usage yet. Time is divided into intervals of the length of the report delay,
+	// and lastLotteryInterval is the number of the last interval in which the lottery was held.
 	recentLocal         yuccawindow.Sum
 	lastLotteryInterval int64
 	// averageCost is the moving average of the cost of the requests that this daemon has received.
@@ -138,9 +140,9 @@
 	return tol
 }
 
-// MarkWithoutHistory records that the usage admitted before now isn't known to this daemon. This is
-// so when its process has started, because processes that have ended may have admitted usage, and
-// when the window has changed; see SetTolerance.
+// MarkWithoutHistory records that the usage admitted before now isn't known to this daemon. It is
+// called when this daemon's process has started, because processes that have ended may have
+// admitted usage. SetTolerance calls it when the window has changed.
 func (led *Ledger) MarkWithoutHistory(now time.Time) {
 	led.historyLostAt = now
 	led.withoutHistory = true
@@ -192,7 +194,8 @@
 // while this daemon receives the reports of all other daemons.
 //
 // During the report delay, an account's remaining quota is divided among the daemons. Otherwise
-// seventy daemons that each see the same remaining quota and use it up would admit many times as much.
+// seventy daemons would each see the same remaining quota and use it up, and together they would
+// admit many times the remaining quota.
 func (led *Ledger) SetFleet(now time.Time, share float64, daemons int, delay time.Duration) {
 	switch {
 	case share >= 1:
@@ -202,7 +205,7 @@
 	}
 	led.share = share
 	led.daemons = max(daemons, 1)
-	// The delay is rounded, because the sums over the delay are emptied whenever its value changes.
+	// The delay is rounded, because a change of reportDelay empties recentLocal of every account.
 	led.reportDelay = max(delay.Round(reportDelayStep), reportDelayStep)
 }
 
@@ -219,7 +222,8 @@
 const (
 	// Admitted means that the request is admitted.
 	Admitted Verdict = "taken"
-	// WindowFull means that the remaining quota in the account's window is less than the cost.
+	// WindowFull means that the remaining quota in the account's window is less than the cost of
+	// the request.
 	WindowFull Verdict = "windowFull"
 	// ShareUsed means that this daemon has used its share of the remaining quota. The rest is for
 	// the other daemons.
@@ -250,10 +254,11 @@
 	OverQuota bool
 }
 
-// Admit decides whether a request of an account is admitted, and counts its cost if so.
+// Admit decides whether a request of an account is admitted, and counts the request's cost if so. A
+// request is always admitted if its account has no quota, or before Configure has been called.
 //
-// A request that costs more than a whole window is admitted if the window is empty, because it
-// could never be admitted otherwise. Rank 0 is the most urgent.
+// A request that costs more than the limit of a whole window is admitted if the account's window is
+// empty, because such a request could never be admitted otherwise. Rank 0 is the most urgent.
 func (led *Ledger) Admit(now time.Time, account yuccaid.Account, cost float64, rank int) Answer {
 	win := led.windows[account]
 	if win == nil || !led.configured {
@@ -312,10 +317,10 @@
 
 // limit returns the usage up to which requests are admitted in a window.
 //
-// A daemon that may use only a share of the quota gets that share of the quota that remained at
-// shareSince, and of the usage that has left the window since then. A share of the whole limit would
-// be far less than the usage that all daemons had admitted before shareSince, so that an account far
-// below its quota would be refused until the window has passed.
+// If this daemon may use only a share of the quota, the limit is the usage admitted before
+// shareSince that is still in the window, plus that share of the rest of the full limit. A share of
+// the full limit alone would be far less than the usage that all daemons had admitted before
+// shareSince, so that an account far below its quota would be refused until the window has passed.
 func (led *Ledger) limit(now time.Time, win *accountWindow) float64 {
 	full := max(led.quotaLimit(win.quota), led.toleratedLimit(win.quota)-led.reserve(win))
 	if led.shareSince.IsZero() {
@@ -360,8 +365,9 @@
 	win.recentLocal.Advance(now, led.reportDelay)
 }
 
-// span returns the window over which usage is counted. It is one bucket of a Sum longer than the
-// window of the tolerance, because a Sum drops its oldest bucket as a whole.
+// span returns the window over which usage is counted. It is longer than Tolerance.Window by the
+// length of one bucket, because a Sum drops its oldest bucket as a whole and so covers up to one
+// bucket less than its span.
 func (led *Ledger) span() time.Duration {
 	return led.tolerance.Window + led.tolerance.Window/yuccawindow.Buckets
 }
--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -213,7 +213,7 @@
 	})
 
 	// Operators set how far an account may exceed its quota before that counts as a breach.
-	// Refusing earlier would lose requests without benefit.
+	// Refusing requests before that excess is reached would lose requests without benefit.
 	It("uses most of the tolerance and stays within it", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(30*time.Second, 600)
@@ -221,8 +221,9 @@
 		Expect(flt.maxUsage()).To(BeNumerically(">=", 0.8*toleratedLimit))
 	})
 
-	// Daemons are restarted in turn while an account exceeds its rate. Each restarts without usage
-	// history. If its window started empty each time, the account would get a multiple of its quota.
+	// Daemons are restarted in turn while an account exceeds its rate. Each daemon restarts without
+	// usage history. If the account's window started empty each time, the account would get a
+	// multiple of its quota.
 	It("isn't renewed by restarts", func() {
 		flt := newFleet(4, 100*time.Millisecond, tolerant)
 		for turn := range 20 {
@@ -237,8 +238,9 @@
 		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 	})
 
-	// Connections break and are established again while an account exceeds its rate, and the reports
-	// sent on them are lost. A daemon that counted only the reports it received would count too little.
+	// Connections break and are established again while an account exceeds its rate, and the
+	// reports sent on the broken connections are lost. A daemon that counted only the reports it
+	// received would count too little.
 	It("is enforced although reports are lost", func() {
 		flt := newFleet(6, 100*time.Millisecond, tolerant)
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -250,8 +252,9 @@
 		Expect(flt.maxUsage()).To(BeNumerically("<=", toleratedLimit))
 	})
 
-	// All daemons are killed while an account exceeds its rate, and none has usage history afterwards.
-	// If its window started empty, the account would use its quota twice within one window.
+	// All daemons are killed while an account exceeds its rate, and none has usage history
+	// afterwards. If the account's window started empty, the account would use its quota twice
+	// within one window.
 	DescribeTable("isn't granted a second time when all daemons restart without usage history",
 		func(overload time.Duration, cost float64) {
 			flt := newFleet(7, 100*time.Millisecond, tolerant)
@@ -280,8 +283,8 @@
 		Expect(flt.admitted).To(HaveLen(int(10 * time.Second / step)))
 	})
 
-	// Three of seven daemons are disconnected from all others while callers still reach them. If each
-	// used the whole quota, the account would get it several times.
+	// Three of seven daemons are disconnected from all others while callers still reach them. If
+	// each disconnected daemon used the whole quota, the account would get its quota several times.
 	It("is divided when daemons receive no reports from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.disconnected = func(i int) bool { return i >= 4 }
@@ -383,9 +386,9 @@
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// The daemon that sends its data centre's reports to the remote ones is killed. If its successor
-	// didn't report the usage that it had not reported, the remote data centres would never learn of
-	// that usage.
+	// The daemon that sends its data centre's reports to the remote ones is killed. If its
+	// successor didn't report the usage that the killed daemon had not reported, the remote data
+	// centres would never learn of that usage.
 	It("reports to remote data centres what the previous reporting daemon has not", func() {
 		led := ledger(start, noTolerance)
 		led.PeerConnected(start, peer, nil, nil)
@@ -395,9 +398,9 @@
 		Expect(led.RemoteReport()).To(Equal([]yuccaquota.Usage{{Account: yuccaid.Account("rally"), Amount: 240}}))
 	})
 
-	// A daemon is restarted. Another daemon sends it the totals of all data centres, and then each data
-	// centre sends its own totals. If they were counted twice, accounts within their quotas would be
-	// refused.
+	// A daemon is restarted. Another daemon sends it the totals of all data centres, and then each
+	// data centre sends its own totals. If the same usage were counted from both totals, accounts
+	// within their quotas would be refused.
 	It("counts usage once that is sent by a peer and by its data centre", func() {
 		led := ledger(start, noTolerance)
 		led.MarkWithoutHistory(start)
--- a/core/yuccaquota/report.go
+++ b/core/yuccaquota/report.go
@@ -17,8 +17,8 @@
 	// Amount is the admitted usage. It is negative if refunds for requests that have not run exceed
 	// the admitted cost.
 	Amount int64
-	// Asked is the requested usage, including that of refused requests. Only daemons without usage
-	// history count it.
+	// Asked is the requested usage, including the cost of refused requests. Only daemons without
+	// usage history count it.
 	Asked int64
 }
 
@@ -32,9 +32,10 @@
 	Asked int64
 }
 
-// windowFor returns the window of an account that appears in a report, or nil if the account has
-// no quota. Before the configuration is known it returns a window for every account, because
-// connected daemons send their usage only once.
+// windowFor returns the window of an account that appears in a report, or nil if the account has no
+// quota. Before Configure has been called it returns a window for every account, up to
+// maxUnconfigured accounts, because a daemon sends its whole usage only once, when a connection is
+// established.
 func (led *Ledger) windowFor(now time.Time, account yuccaid.Account) *accountWindow {
 	win := led.windows[account]
 	if win == nil && !led.configured && len(led.windows) < maxUnconfigured {
@@ -61,12 +62,14 @@
 // ApplyReport applies a report of another daemon of this data centre.
 //
 // A report holds the usage since the daemon started, of which only the increase since its previous
-// report is counted. If a report is lost with its connection, the next report includes its usage.
+// report is counted. If a report is lost with its connection, the next report includes the usage of
+// the lost report.
 func (led *Ledger) ApplyReport(now time.Time, from yuccaid.Incarnation, usage []Usage) {
 	peer := led.peers[from]
 	if peer == nil {
-		// Usage since the daemon started doesn't tell how much of it lies within the window, so that
-		// none is counted. The usage is kept only to compute the increase in the daemon's next report.
+		// The report doesn't tell how much of the usage since the daemon started lies within the
+		// window, so none of it is counted now. The usage is kept to compute the increase in the
+		// daemon's next report.
 		led.PeerConnected(now, from, usage, nil)
 		return
 	}
@@ -81,15 +84,15 @@
 	}
 }
 
-// ConnectedBefore reports whether a daemon of this data centre has sent a report within
-// peerRetention.
+// ConnectedBefore reports whether the usage that a daemon of this data centre last sent is still
+// remembered. PeerConnected forgets usage that was sent more than peerRetention ago.
 func (led *Ledger) ConnectedBefore(from yuccaid.Incarnation) bool { return led.peers[from] != nil }
 
 // PeerConnected applies the usage that a daemon of this data centre sends when a connection to it
-// is established: lifetime since the daemon started, and inWindow within the current window. Of the
-// latter, only the usage since the daemon's previous report is counted, if there was such a report.
-// It is counted as if it were admitted now, because its time isn't known and counting too little
-// would admit too much.
+// is established: lifetime since the daemon started, and inWindow within the current window. Only
+// inWindow is counted. If a previous report of the daemon is remembered, only the part of inWindow
+// that was admitted since that report is counted. The usage is counted as if it were admitted now,
+// because the time of its admission isn't known and counting too little would admit too much.
 func (led *Ledger) PeerConnected(now time.Time, from yuccaid.Incarnation, lifetime, inWindow []Usage) {
 	for other, peer := range led.peers {
 		if now.Sub(peer.lastReport) > peerRetention {
@@ -126,7 +129,7 @@
 }
 
 // ApplyRemoteTotals applies the usage that a remote data centre has admitted within its windows,
-// and counts the part of it that has not been reported yet.
+// and counts the part of that usage that no report of the data centre has included yet.
 //
 // Reports are lost while two data centres are disconnected, especially after all daemons have been
 // killed, because each daemon admits requests before it has connected to the others.
@@ -139,8 +142,8 @@
 	}
 }
 
-// Report returns what this daemon has admitted since it started, for the accounts for which that
-// has changed since the previous report.
+// Report returns the usage that this daemon has admitted since it started, for the accounts whose
+// admitted or requested usage has changed since the previous report.
 func (led *Ledger) Report() []Usage {
 	var list []Usage
 	for name, win := range led.windows {
@@ -179,8 +182,8 @@
 }
 
 // MarkRemoteReported records usage of this data centre that another daemon has reported to the
-// remote data centres. What that daemon didn't report before it stopped is reported by its
-// successor.
+// remote data centres. If that daemon stops, its successor reports the usage that is still
+// unreported.
 func (led *Ledger) MarkRemoteReported(usage []Usage) {
 	for _, each := range usage {
 		if win := led.windows[each.Account]; win != nil {
@@ -235,8 +238,8 @@
 	return list
 }
 
-// RaiseTotals raises the totals to those of another daemon where its totals are higher. hasHistory
-// reports whether the other daemon has usage history.
+// RaiseTotals raises this daemon's totals to the totals of another daemon, for each account whose
+// total is higher there. hasHistory reports whether the other daemon has usage history.
 func (led *Ledger) RaiseTotals(now time.Time, totals []UsageByAge, hasHistory bool) {
 	for _, each := range totals {
 		if win := led.windowFor(now, each.Account); win != nil {
@@ -249,9 +252,10 @@
 	}
 }
 
-// RaiseRemoteTotals raises the totals to those of a daemon of a remote data centre that has usage
-// history. The remote data centre's own part, centreTotals, is recorded as such, so that it isn't
-// counted again when that data centre reports it.
+// RaiseRemoteTotals raises this daemon's totals to the totals of a daemon of a remote data centre;
+// that daemon must have usage history. centreTotals is the part of the totals that the remote data
+// centre itself has admitted. It is recorded as usage of that data centre, so that it isn't counted
+// again when that data centre reports it.
 func (led *Ledger) RaiseRemoteTotals(now time.Time, centre yuccaid.Centre, totals, centreTotals []UsageByAge) {
 	led.RaiseTotals(now, totals, true)
 	for _, each := range centreTotals {
--- a/core/yuccaquota/rush.go
+++ b/core/yuccaquota/rush.go
@@ -20,9 +20,11 @@
 
 // decideWithoutHistory decides on a request of an account that demands more than its quota while no
 // daemon has usage history. At first such an account is admitted for the largest demand that is
-// expected from an account within its quota. If its demand was as high before the restart, it filled
-// its window within a few seconds. The usage of these seconds leaves the window when the rest of the
-// window has passed since the restart. From then on, requests are admitted at the rate of the demand.
+// expected from an account within its quota. If the account's demand was as high before the
+// restart, the account filled its window within a few seconds. In the worst case these were the
+// last seconds before the restart. Their usage then begins to leave the window at holdTime after
+// the restart, which is the length of the window minus these seconds. From then on, requests are
+// admitted at the rate of the demand.
 func (led *Ledger) decideWithoutHistory(now time.Time, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
 	sinceLoss := now.Sub(led.historyLostAt)
 	demandRate := float64(win.demand.all.Total()) / (sinceLoss + demandHeadStart).Seconds()
@@ -35,13 +37,14 @@
 	return HeldAfterRestart, clampRetryAfter(holdTime - sinceLoss)
 }
 
-// demandLimit returns the largest demand that is expected, since the daemons lost their usage
-// history, from an account within its quota.
+// demandLimit returns this daemon's share of the largest demand that is expected, since the daemons
+// lost their usage history, from an account within its quota.
 func (led *Ledger) demandLimit(now time.Time, win *accountWindow) float64 {
 	return led.share * win.demandLimit(now.Sub(led.historyLostAt))
 }
 
-// demandLimit returns the same limit over all daemons, for the given time since the loss.
+// demandLimit returns the largest demand over all daemons that is expected from the account within
+// its quota, for the given time since usage history was lost.
 func (win *accountWindow) demandLimit(sinceLoss time.Duration) float64 {
 	return max(demandRateFactor*win.quota.Rate*(sinceLoss+demandHeadStart).Seconds(), demandBurstShare*win.quota.Burst)
 }
--- a/core/yuccaquota/share.go
+++ b/core/yuccaquota/share.go
@@ -11,17 +11,20 @@
 
 const (
 	// shareFactor enlarges a daemon's share of an account's remaining quota, because demand moves
-	// between daemons and most of them use little of their shares. withinShare limits the enlarged
-	// shares, so that all of them together never exceed the remaining quota plus the reserve.
+	// between daemons and most daemons use little of their shares. withinShare limits the enlarged
+	// shares, so that the shares of all daemons together never exceed the remaining quota plus the
+	// reserve.
 	shareFactor = 2.0
-	// maxRequestShare is the fraction of the remaining quota that one request may cost although that
-	// exceeds the daemon's share. It keeps long requests from always being refused by large fleets.
+	// maxRequestShare is the largest fraction of the remaining quota that one request may cost if
+	// its cost exceeds the daemon's share. This exception keeps long requests from always being
+	// refused by large fleets.
 	maxRequestShare = 0.25
 	// usableReserveShare is the fraction of the reserve that shares may use while much of an account's
 	// quota remains.
 	usableReserveShare = 0.4
-	// firstDrawFactor increases the chance in the lottery of a long request that is the daemon's first
-	// request within the report delay, because few daemons have such a request at the same time.
+	// firstDrawFactor increases a request's chance to win the lottery if the daemon has admitted no
+	// other request of the account within the report delay, because few daemons have such a long
+	// request at the same time.
 	firstDrawFactor = 1.6
 	// assumedPeerRequests is the number of requests of average cost that each other daemon is assumed to
 	// admit at the same time as a long request. A burst that reached sixty daemons at once let an
@@ -37,7 +40,8 @@
 
 // withinShare reports whether this daemon may admit a request of the given cost, given its share of
 // the remaining quota and the exceptions for long requests. The share is the mean of an even share
-// and of this daemon's fraction of the account's usage, without the usage of the last report delay.
+// and of this daemon's fraction of the account's usage, without the usage that this daemon has
+// admitted within the last report delay. If no other usage is known, it is the even share.
 //
 // A burst reaches all daemons before any of them has received a report of it. Each daemon keeps to
 // its share, so that together they admit no more than the remaining quota and the reserve.
@@ -54,8 +58,8 @@
 	if reported := float64(win.admitted.all.Total()) - recent; reported > 0 {
 		share = (evenShare + max(float64(win.admitted.localDaemon.Total())-recent, 0)/reported) / 2
 	}
-	// The share applies to the quota that remained before this daemon admitted recent. In return recent
-	// counts against the share below.
+	// The share applies to the quota that remained before this daemon admitted recent. Therefore
+	// recent is added to remaining here, and is counted against the share below.
 	remaining += recent
 	fairShare := share * min(shareFactor*remaining, remaining+usableReserveShare*led.reserve(win))
 	switch {
@@ -68,7 +72,7 @@
 	case cost > maxRequestShare*remaining:
 		return false
 	}
-	// The account is idle, see idleShare.
+	// An idle account may have one long request admitted by each daemon; see idleShare.
 	if recent == 0 && remaining > idleShare*led.limit(now, win) {
 		return true
 	}
@@ -80,8 +84,9 @@
 // average cost at the same moment.
 //
 // An account with moderate use typically has a quarter of its window left, and one of its prompts
-// may cost a tenth of the window. That far exceeds a share, although the quota suffices; if it were
-// refused, the retry would be refused by the next daemon for the same reason.
+// may cost a tenth of the window. The cost of such a prompt far exceeds a daemon's share, although
+// the remaining quota suffices. If one daemon refused the prompt, the next daemon would refuse the
+// retry for the same reason.
 func (led *Ledger) fitsBesidePeers(win *accountWindow, cost, remaining float64) bool {
 	peerCost := assumedPeerRequests * float64(led.daemons-1) * win.averageCost
 	return cost+peerCost <= remaining+usableReserveShare*led.reserve(win)
@@ -91,9 +96,9 @@
 // lottery, which is held at most once per account and interval of the length of the report delay.
 //
 // Without the lottery, sixty daemons that see enough quota for four long requests would admit one
-// each. The chance to win is such that all daemons together keep to their shares if each daemon draws
-// once. If a daemon drew again for each request of a burst, the quota that was refused to a long
-// request would be used by shorter requests, which have a better chance.
+// long request each. The chance to win is such that all daemons together keep to their shares if
+// each daemon draws once. If a daemon drew again for each request of a burst, the quota that was
+// refused to a long request would be used by shorter requests, which have a better chance.
 func (led *Ledger) lottery(now time.Time, account yuccaid.Account, win *accountWindow, cost, remainingShare float64) bool {
 	interval := now.UnixNano() / int64(led.reportDelay)
 	if win.lastLotteryInterval == interval {
--- a/core/yuccaquota/sizes_test.go
+++ b/core/yuccaquota/sizes_test.go
@@ -88,9 +88,9 @@
 	)
 
 	// An account has a low rate, and a single request costs about as much as its rate allows in a
-	// second or two. Its tolerated limit consists mostly of the tolerance's allowance. It sends 25 times
-	// its rate, and each daemon admits one more request before it receives the reports of the other
-	// daemons.
+	// second or two. Its tolerated limit consists mostly of the tolerance's allowance. The account
+	// demands 25 times its rate, and each daemon admits one more request before it receives the
+	// reports of the other daemons.
 	DescribeTable("is enforced on an account whose requests are large compared to its rate",
 		func(daemons int, reportInterval time.Duration) {
 			const rate, burst, allowance = 2000.0, 4000.0, 190_000.0
@@ -136,9 +136,10 @@
 		Entry("of a small fleet, by urgent requests", 7, 0, 20_000.0, 40_000.0, 190_000.0, 2500.0),
 	)
 
-	// An account demands firstFactor times its rate, and secondFactor times from when its first usage
-	// leaves the window. Then all daemons are killed and restart without usage history. If its window
-	// started empty, the account would use its quota a second time.
+	// An account demands firstFactor times its rate until its first usage leaves the window, and
+	// secondFactor times its rate from then on. Then all daemons are killed and restart without
+	// usage history. If the account's window started empty, the account would use its quota a
+	// second time.
 	DescribeTable("is enforced when all daemons restart without usage history under overload",
 		func(daemons, rank int, firstFactor, secondFactor float64) {
 			for seed := range uint64(10) {
--- a/core/yuccaquota/tally.go
+++ b/core/yuccaquota/tally.go
@@ -12,8 +12,9 @@
 type tally struct {
 	// all is the amount counted by all daemons of all data centres.
 	all yuccawindow.Sum
-	// localDaemon is the amount counted by this daemon, localCentre by all daemons of this data
-	// centre, and remote by those of each remote data centre.
+	// localDaemon is the amount counted by this daemon, and localCentre the amount counted by all
+	// daemons of this data centre. remote holds, for each remote data centre, the amount counted by
+	// its daemons.
 	localDaemon yuccawindow.Sum
 	localCentre yuccawindow.Sum
 	remote      map[yuccaid.Centre]*yuccawindow.Sum
@@ -72,7 +73,8 @@
 }
 
 // raiseRemote raises the sum of a remote data centre to the amounts that it has counted within the
-// window, given by age group, and adds the difference to the sum over all daemons.
+// window, given by age group, and adds the difference to the sum over all daemons, except for the
+// part of it that attribute takes from the unattributed sum.
 func (tl *tally) raiseRemote(now time.Time, span time.Duration, centre yuccaid.Centre, reported []int64) {
 	sum := tl.remoteSum(now, span, centre)
 	for _, portion := range missingAmounts(reported, sum) {
@@ -82,15 +84,16 @@
 }
 
 // attribute removes an amount from the unattributed sum, because the data centre that counted it is
-// known now. It returns how much was removed, which is less if the sum is smaller.
+// known now. It returns the removed amount, which is less than the given amount if the unattributed
+// sum is smaller.
 func (tl *tally) attribute(portion groupAmount) int64 {
 	attributed := min(portion.amount, max(tl.unattributed.Total(), 0))
 	tl.unattributed.AddAtAge(portion.group, -attributed)
 	return attributed
 }
 
-// raiseAll raises the sum over all daemons to that of another daemon, given by age group, if that is
-// higher.
+// raiseAll raises the sum over all daemons to the amounts that another daemon reports as its sum
+// over all daemons, given by age group, if the reported sum is higher.
 func (tl *tally) raiseAll(reported []int64) {
 	for _, portion := range missingAmounts(reported, &tl.all) {
 		tl.all.AddAtAge(portion.group, portion.amount)
--- a/core/yuccaspace/space.go
+++ b/core/yuccaspace/space.go
@@ -3,11 +3,11 @@
 import "yuccacleat/core/yuccaid"
 
 const (
-	// RequestOverhead is the memory reserved for a running request in addition to its body. It covers
-	// two connections with their buffers, goroutines, the heads of request and answer, and one event
-	// that the caller hasn't read. The resident memory per stream can be higher: 112 KB with 16 KB
-	// events and callers that read nothing. Part of that is garbage not yet collected, for which
-	// requestMemoryShare leaves memory.
+	// RequestOverhead is the memory reserved for a running request in addition to its body. It
+	// covers two connections with their buffers, goroutines, the heads of request and answer, and
+	// one event that the caller hasn't read. The resident memory per stream can be higher: 112 KB
+	// with 16 KB events and callers that read nothing. Part of these 112 KB is garbage that has not
+	// been collected yet. requestMemoryShare leaves memory for garbage.
 	RequestOverhead yuccaid.Bytes = 64 << 10
 
 	// requestMemoryShare is the share of the process's memory that running requests may use. The rest
@@ -23,13 +23,13 @@
 	// nonSocketDescriptors is the number of file descriptors that are left for other uses than sockets.
 	nonSocketDescriptors = 200
 	// callerConnectionShare is the share of the descriptors for connections of callers; the same
-	// number is left for the connections to targets that their requests use. idleConnectionShare is
-	// the share for idle connections to targets. The rest is for peers, the platform, operators and
-	// connections that are being closed.
+	// number is left for the connections to targets that the requests of these callers use.
+	// idleConnectionShare is the share for idle connections to targets. The rest is for peers, the
+	// platform, operators and connections that are being closed.
 	callerConnectionShare = 0.4
 	idleConnectionShare   = 0.08
-	// minConnections is the lower limit of each number of connections. It keeps a daemon working
-	// whose settings give too few descriptors.
+	// minConnections is the lower limit of each number of connections. It applies while the number
+	// of descriptors is limited, and keeps a daemon working whose limit is too low.
 	minConnections = 16
 )
 
@@ -49,7 +49,7 @@
 	IdleConnections int
 }
 
-// BoundsOf divides the limits of a process among their uses.
+// BoundsOf divides the memory and the descriptors of a process among their uses.
 func BoundsOf(limits ProcessLimits) Bounds {
 	bounds := Bounds{RequestMemory: yuccaid.Bytes(requestMemoryShare * float64(limits.Memory))}
 	if limits.Descriptors > 0 {
@@ -83,7 +83,7 @@
 	return true
 }
 
-// Release ends the reservation of memory by Reserve.
+// Release returns memory that Reserve has reserved.
 func (mem *MemoryLimiter) Release(size yuccaid.Bytes) {
 	mem.reserved -= size
 }
--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -3,19 +3,19 @@
 
 import "time"
 
-// Buckets is the number of equal buckets that a window is divided into. The oldest bucket
-// expires as a whole, so a sum covers a time between that of Buckets-1 and of Buckets buckets.
+// Buckets is the number of equal buckets that a window is divided into. The oldest bucket expires
+// as a whole, so a sum covers between Buckets-1 and Buckets times the span of one bucket.
 const Buckets = 32
 
-// buckets is the name of Parts within this package.
+// buckets is the name of Buckets within this package.
 const buckets = Buckets
 
 // Sum is the sum of the amounts that were added within a window. The zero value is empty; call
 // Advance before reading it.
 //
-// Time is measured as the difference to the time of the first call of Advance, which package time
-// takes from the monotonic clock. So a step of the wall clock neither empties the window nor keeps
-// amounts in it for longer.
+// A Sum measures time as the difference between the current time and started. Package time computes
+// this difference from the monotonic clock, so a step of the wall clock neither empties the window
+// nor keeps amounts in it for longer.
 type Sum struct {
 	// started is the time of the first call of Advance with the present span.
 	started time.Time
@@ -28,8 +28,8 @@
 	total   int64
 }
 
-// Advance moves a window of the given span to now and drops the buckets that have left it. A
-// span that differs from the one of the previous call empties the sum.
+// Advance moves a window of the given span to now and drops the buckets that have left it. A call
+// with another span than the previous call empties the sum.
 func (sum *Sum) Advance(now time.Time, span time.Duration) {
 	if sum.started.IsZero() || sum.span != span {
 		*sum = Sum{started: now, span: span}
@@ -59,7 +59,7 @@
 	sum.total += amount
 }
 
-// AgeGroups is the number of equal parts of the window by which Ages groups amounts.
+// AgeGroups is the number of age groups, which are equal parts of the window.
 const AgeGroups = buckets / 2
 
 // Ages returns the sum of each age group, the most recent group first.
@@ -71,9 +71,9 @@
 	return ages
 }
 
-// AddAtAge adds an amount, which may be negative, to the oldest bucket of an age group. Because
-// the oldest bucket is used, an amount that daemons copy from one another's windows never
-// becomes younger.
+// AddAtAge adds an amount, which may be negative, to the oldest bucket of an age group. The oldest
+// bucket is used because an amount that daemons copy from one another's windows must never become
+// younger by being copied.
 func (sum *Sum) AddAtAge(group int, amount int64) {
 	bucketsAgo := int64(group+1)*(buckets/AgeGroups) - 1
 	sum.amounts[(sum.current-bucketsAgo+buckets)%buckets] += amount
@@ -84,7 +84,8 @@
 func (sum *Sum) Total() int64 { return sum.total }
 
 // Recent returns the sum over the given most recent part of the window, rounded up to whole
-// buckets, plus one bucket because the newest one covers only part of its time.
+// buckets. One more bucket is included, because the newest bucket has not ended yet and so covers
+// less time than a whole bucket.
 func (sum *Sum) Recent(part time.Duration) int64 {
 	bucketSpan := max(sum.span/buckets, 1)
 	count := min(int64((part+bucketSpan-1)/bucketSpan)+1, buckets)
--- a/core/yuccawindow/window_test.go
+++ b/core/yuccawindow/window_test.go
@@ -16,8 +16,9 @@
 	RunSpecs(t, "yuccawindow")
 }
 
-// TestOracle compares a Sum with exact bounds computed from every single amount: those that
-// certainly lie within the window and those that may.
+// TestOracle compares a Sum with two exact bounds computed from every single amount: the lower
+// bound includes the amounts that certainly lie within the window, and the upper bound includes the
+// amounts that may lie within it.
 func TestOracle(t *testing.T) {
 	// Each of the 32 buckets covers 100 ms.
 	const span = 3200 * time.Millisecond
