--- a/core/yuccagrant/engine_test.go
+++ b/core/yuccagrant/engine_test.go
@@ -7,20 +7,20 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// batching simulates an engine that generates one token for each of its runs in every step. It
-// reads prompts in chunks between the steps, so all its answers slow down while it reads a long
-// prompt.
+// batching simulates an engine that generates, in every step, one token for each run whose prompt
+// has been read. In the same step the engine reads a chunk of one other prompt, so all its answers
+// slow down while it reads a long prompt.
 type batching struct {
-	// A step takes the time step, perRun more for each run of the engine, and prefillPerToken
-	// more for each prompt token that is read in the step, of which there are at most chunk.
+	// A step takes the time step, plus perRun for each run of the engine, plus prefillPerToken for
+	// each prompt token that is read in the step. At most chunk prompt tokens are read in one step.
 	step            time.Duration
 	perRun          time.Duration
 	prefillPerToken time.Duration
 	chunk           yuccaid.Tokens
 	// eventTokens is the number of tokens in an event.
 	eventTokens int
-	// memory is the number of tokens that the runs may occupy. If it is exceeded, the newest
-	// run is preempted; it reads its prompt again later.
+	// memory is the number of tokens that the runs may occupy. If the runs occupy more, the newest
+	// run is preempted. The engine reads the prompt of a preempted run again later.
 	memory yuccaid.Tokens
 
 	// simulatedUntil is the time up to which the engine has been simulated.
@@ -114,7 +114,7 @@
 	eng.preempt()
 }
 
-// emitToken generates a token of a run, and an event when there are enough tokens for one.
+// emitToken generates a token of a run, and an event after every eventTokens tokens.
 func (sim *simulation) emitToken(eng *engine, jb *job) {
 	state := &jb.state
 	state.tokens++
--- a/core/yuccagrant/length_test.go
+++ b/core/yuccagrant/length_test.go
@@ -8,9 +8,10 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// One account announces wrong lengths. If that affected what is expected of other accounts,
-// their short requests would be treated as long ones and refused. The model undisturbed sees only
-// class 1; the model disturbed also sees class 2, which announces wrong lengths.
+// One account announces wrong lengths. If its announcements affected the lengths that are expected
+// of other accounts' requests, short requests of those accounts would be treated as long requests
+// and refused. The model undisturbed sees only class 1; the model disturbed also sees class 2,
+// which announces wrong lengths.
 func TestOneClassNeverMovesWhatIsExpectedOfAnother(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		undisturbed, disturbed := newLengthModel(), newLengthModel()
--- a/core/yuccagrant/load_test.go
+++ b/core/yuccagrant/load_test.go
@@ -33,7 +33,7 @@
 		Expect(scheduled.tally("").onTime).To(BeNumerically(">", unscheduled.tally("").onTime))
 	})
 
-	// For a minute 1.5 times as many requests arrive as the engines can serve. If they were
+	// For a minute 1.5 times as many requests arrive as the engines can serve. If requests were
 	// refused regardless of rank, notes would be refused while letters are served.
 	It("are refused from the lowest rank upwards when the fleet is full for long", func() {
 		sim := newSimulation(2, mixedEngines()...)
@@ -84,9 +84,9 @@
 		Expect(late).To(BeNumerically("<=", len(sim.all)/400))
 	})
 
-	// One engine becomes eight times slower without reporting it. If the leader did not notice,
-	// that engine would go on getting as many requests as each other engine, and answer them
-	// late.
+	// One engine becomes eight times slower without reporting it. If the leader did not notice, the
+	// slow engine would go on getting as many requests as each of the other engines, and would
+	// answer its requests late.
 	It("hardly notice an engine that has turned slow", func() {
 		engines := newEngines(6, 1, 1, 1, 1)
 		sim := newSimulation(5, engines...)
@@ -103,8 +103,8 @@
 		Expect(late).To(BeNumerically("<=", (len(sim.all)-before)/70))
 	})
 
-	// Half of the requests take much longer than the other half. The long ones could occupy all
-	// slots and make the short ones late.
+	// Half of the requests take much longer than the other half. The long requests could occupy all
+	// slots and make the short requests late.
 	It("with short requests aren't held up by long ones", func() {
 		sim := newSimulation(6, newEngines(6, 1, 1, 1, 1)...)
 		sim.classes = []class{
--- a/core/yuccagrant/order_test.go
+++ b/core/yuccagrant/order_test.go
@@ -59,7 +59,7 @@
 	})
 
 	// For twenty seconds twice as many requests arrive as the engines can serve. Plans are the
-	// longest requests, so an order by work alone would refuse the most urgent ones first.
+	// longest requests, so an order by work alone would refuse the most urgent requests first.
 	It("gives urgent requests no less than others while it is full for long", func() {
 		sim := newFeedSimulation(11)
 		sim.run(20*time.Second, steady(100))
--- a/core/yuccagrant/world_test.go
+++ b/core/yuccagrant/world_test.go
@@ -44,14 +44,14 @@
 	req     yuccagrant.Request
 	arrived time.Time
 	events  int
-	// prompt is the actual length of the prompt; req holds the announced one.
+	// prompt is the actual length of the prompt; req holds the announced length.
 	prompt yuccaid.Tokens
 	state  progress
 	kind   string
 
-	// sent is when the request was sent to its engine, and first when its first event came. On a
-	// batching engine starts is when the run got a slot. On other engines starts is when the
-	// first event is due and ends when the run will finish.
+	// sent is when the request was sent to its engine, and first is when its first event came. On a
+	// batching engine, starts is when the run got a slot. On other engines, starts is when the
+	// first event is due, and ends is when the run will finish.
 	sent    time.Time
 	starts  time.Time
 	first   time.Time
@@ -75,8 +75,8 @@
 	events       float64
 	prompt       float64
 	share        float64
-	// deadline is how long callers wait for the first event. If it is zero they wait four times
-	// softDeadline.
+	// deadline is how long callers wait for the first event. If deadline is zero, callers wait four
+	// times softDeadline.
 	deadline time.Duration
 	// alterRequest, if set, changes a request before it is submitted, such as the lengths that
 	// it announces.
--- a/core/yuccaquota/ledger.go
+++ b/core/yuccaquota/ledger.go
@@ -31,9 +31,9 @@
 	minReserveShare   = 0.1
 	// rankReserve is the share of the limit that each rank leaves to the more urgent ranks, counted
 	// for at most maxReservedRanks ranks. When an account has used most of its quota, its urgent
-	// requests are still admitted while its less urgent ones are refused. A request that costs at
-	// most rankExemptShare of the limit may also use the part left to more urgent ranks, because it
-	// uses so little of the quota.
+	// requests are still admitted while its less urgent requests are refused. A request that costs
+	// at most rankExemptShare of the limit may also use the part left to more urgent ranks, because
+	// it uses so little of the quota.
 	rankReserve      = 0.06
 	maxReservedRanks = 3
 	rankExemptShare  = 1.0 / 500
@@ -79,8 +79,9 @@
 	reportDelay time.Duration
 	// configured reports whether Configure has been called.
 	configured bool
-	// withoutHistory reports whether this daemon lacks the usage from before historyLostAt. It is reset
-	// when another daemon sends its usage history, or when a window has passed.
+	// withoutHistory reports whether this daemon lacks the usage from before historyLostAt. It
+	// becomes false when another daemon that has usage history sends its totals, or when a window
+	// has passed since historyLostAt.
 	historyLostAt  time.Time
 	withoutHistory bool
 }
--- a/core/yuccaquota/ledger_test.go
+++ b/core/yuccaquota/ledger_test.go
@@ -56,7 +56,7 @@
 	restarts       []byte
 	reportInterval time.Duration
 	lastReport     time.Time
-	// disconnected reports whether a daemon has no connection to the others.
+	// disconnected reports whether daemon i has no connection to the other daemons.
 	disconnected func(i int) bool
 	// admitted holds the admitted requests in the order of their times.
 	admitted []admission
@@ -171,8 +171,9 @@
 		Entry("to one daemon after the other", func(turn int) int { return turn / 100 % 7 }),
 	)
 
-	// An account sends six times its rate, spread over all daemons. If each daemon counted only its
-	// own requests, they would all be admitted and displace the requests of other accounts.
+	// An account sends six times its rate, spread over all daemons. If each daemon counted only the
+	// requests that it received itself, all requests of the account would be admitted and would
+	// displace the requests of other accounts.
 	DescribeTable("admits little more than it when an account exceeds it",
 		func(reportInterval time.Duration, factor float64) {
 			flt := newFleet(7, reportInterval, noTolerance)
@@ -201,9 +202,9 @@
 	})
 
 	// An account has used three quarters of its window at an even rate and sends one long, urgent
-	// request that costs an eighth of the window. If a daemon admitted only what fits into its share,
-	// each would refuse it, because its cost far exceeds a share, although the remaining quota
-	// suffices.
+	// request that costs an eighth of the window. If a daemon admitted only what fits into its
+	// share, each daemon would refuse the request, because its cost far exceeds a share, although
+	// the remaining quota suffices.
 	It("admits a long request of an account with moderate use", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(10*time.Second, 120)
@@ -297,9 +298,10 @@
 		Expect(flt.maxUsage()).To(BeNumerically("<=", 1.3*toleratedLimit))
 	})
 
-	// All daemons were paused, and for a moment no daemon receives the reports of another. The account
-	// has used half of its quota. If each daemon compared the whole usage with a seventh of the quota,
-	// it would refuse the account for seconds.
+	// All daemons were paused, and for a moment no daemon receives the reports of another. The
+	// account has used half of its quota. If each daemon compared the account's usage at all
+	// daemons with a seventh of the quota, each daemon would refuse the account's requests for
+	// seconds.
 	It("admits an account within it when daemons are disconnected from one another", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(8*time.Second, 0.6*rate*step.Seconds())
@@ -312,8 +314,9 @@
 		Expect(flt.admitted[before:]).To(HaveLen(int(time.Second / step)))
 	})
 
-	// No daemon receives the reports of another while an account sends six times its rate. For the first
-	// 1.5 s the daemons don't notice, and each still uses the whole quota.
+	// No daemon receives the reports of another while an account sends six times its rate. For the
+	// first 1.5 s the daemons don't notice that they are disconnected, and each daemon still uses
+	// the whole quota.
 	It("is enforced when daemons are disconnected from one another under overload", func() {
 		flt := newFleet(7, 100*time.Millisecond, tolerant)
 		flt.send(6*time.Second, 6*rate*step.Seconds())
@@ -348,8 +351,8 @@
 		Expect(verdict).NotTo(Equal(yuccaquota.Admitted))
 	})
 
-	// An account has used most of its quota for requests of rank 2. An urgent request of rank 0 must not
-	// be refused because of them.
+	// An account has used most of its quota for requests of rank 2. An urgent request of rank 0
+	// must not be refused because of those earlier requests.
 	It("reserves the rest of it for urgent requests and for short ones", func() {
 		led := ledger(start, noTolerance)
 		for verdict := yuccaquota.Admitted; verdict == yuccaquota.Admitted; {
@@ -365,8 +368,9 @@
 		}
 	})
 
-	// An account is admitted beyond its quota, because that is tolerated. When engines are full, its
-	// requests must be distinguishable from those of accounts within their quotas.
+	// An account's requests are admitted beyond its quota, because some excess is tolerated. When
+	// engines are full, these requests must be distinguishable from the requests of accounts within
+	// their quotas.
 	It("reports which requests exceed it", func() {
 		led := ledger(start, tolerant)
 		for used := 0.0; used < quotaLimit; used += 1000 {
@@ -386,7 +390,7 @@
 		Expect(verdict).To(Equal(yuccaquota.Admitted))
 	})
 
-	// The daemon that sends its data centre's reports to the remote ones is killed. If its
+	// The daemon that sends its data centre's reports to the remote data centres is killed. If its
 	// successor didn't report the usage that the killed daemon had not reported, the remote data
 	// centres would never learn of that usage.
 	It("reports to remote data centres what the previous reporting daemon has not", func() {
--- a/core/yuccaquota/share.go
+++ b/core/yuccaquota/share.go
@@ -26,10 +26,10 @@
 	// other request of the account within the report delay, because few daemons have such a long
 	// request at the same time.
 	firstDrawFactor = 1.6
-	// assumedPeerRequests is the number of requests of average cost that each other daemon is assumed to
-	// admit at the same time as a long request. A burst that reached sixty daemons at once let an
-	// account with a low rate use at most 1.09 times its tolerated limit when this was 1, and 1.02
-	// times when it was 2.
+	// assumedPeerRequests is the number of requests of average cost that each other daemon is
+	// assumed to admit at the same time as a long request. A burst that reached sixty daemons at
+	// once let an account with a low rate use at most 1.09 times its tolerated limit when
+	// assumedPeerRequests was 1, and 1.02 times the limit when it was 2.
 	assumedPeerRequests = 2.0
 	// averageCostWeight is the weight of one request in the moving average of the cost.
 	averageCostWeight = 0.1
--- a/core/yuccaquota/sizes_test.go
+++ b/core/yuccaquota/sizes_test.go
@@ -33,7 +33,8 @@
 	return min(drawn, 15*gen.mean)
 }
 
-// run sends requests for a duration. The amount per step varies randomly around the demand rate.
+// run sends requests for a duration. The cost of the requests that become due in a step varies
+// randomly around the demand rate.
 func (gen *loadGenerator) run(duration time.Duration) {
 	flt := gen.flt
 	for end := flt.now.Add(duration); flt.now.Before(end); flt.tick() {
--- a/core/yuccaspace/space_test.go
+++ b/core/yuccaspace/space_test.go
@@ -39,8 +39,8 @@
 })
 
 var _ = Describe("the memory limiter", func() {
-	// A burst of requests of rank 2 with long prompts uses all memory that this rank may use. An urgent
-	// request that arrives while they run must not be refused.
+	// A burst of requests of rank 2 with long prompts uses all memory that this rank may use. An
+	// urgent request that arrives while these requests run must not be refused.
 	It("has memory left for urgent requests when the other ranks have used theirs", func() {
 		limiter := yuccaspace.New(100 << 20)
 		lessUrgent := 0
