--- a/core/yuccagrant/choose.go
+++ b/core/yuccagrant/choose.go
@@ -106,10 +106,10 @@
 	return candidate
 }
 
-// exceedsMaxGap reports whether the mean gap between the events of a target is more than half of
-// the request's MaxGap, or whether reading the prompt would delay the other answers on the
-// target too much. An engine reads a long prompt in chunks between the tokens of its other
-// answers; on a slow target each chunk takes several times as long as a gap may last.
+// exceedsMaxGap reports whether the expected gap between two events on a target is more than half
+// of the request's MaxGap, or whether reading the prompt would delay the other answers on the
+// target too much. An engine reads a long prompt in chunks between the tokens of its other answers;
+// on a slow target each chunk takes several times as long as a gap may last.
 func exceedsMaxGap(tgt *targetState, req *Request, base *baseline) bool {
 	if req.MaxGap <= 0 {
 		return false
--- a/core/yuccagrant/data.go
+++ b/core/yuccagrant/data.go
@@ -56,8 +56,9 @@
 	// must be expected to send the first event to be suitable for a request.
 	softDeadlineShare = 0.85
 
-	// slowPace is the pace above which a target is too slow for prompts that take longer than
-	// MaxGap to read, as exceedsMaxGap explains.
+	// slowPace is the pace above which a target isn't suitable for a prompt that it would read for
+	// longer than MaxGap, because reading each chunk of the prompt would delay the target's other
+	// answers for several times MaxGap.
 	slowPace = 2.0
 
 	// failureWeight is the weight of one outcome in a target's failure rate.
--- a/core/yuccagrant/refuse.go
+++ b/core/yuccagrant/refuse.go
@@ -12,8 +12,9 @@
 //
 // Under overload a queue that accepts all requests makes all of them late. A caller who is refused
 // at once and told when to retry loses nothing. But while less urgent requests than the waiting one
-// run, the waiting request may wait longer (see lateStartShare), because the slots of the less
-// urgent requests will become free soon.
+// run, the waiting request may wait longer, because the slots of the less urgent requests will
+// become free soon. It is then refused only if its first event is expected later than
+// lateStartShare of the time to its deadline.
 func (lead *Leader) cannotMeetDeadline(now time.Time, entry *queueEntry) bool {
 	if lead.latencyModel.holdSamples < minHoldSamples {
 		// Too few runs have finished to estimate waiting times.
--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -53,7 +53,8 @@
 	sum.total += amount
 }
 
-// AddHalfWindowAgo adds an amount with an age of half the window.
+// AddHalfWindowAgo adds an amount as if it had been added half a window before the last call of
+// Advance.
 func (sum *Sum) AddHalfWindowAgo(amount int64) {
 	sum.amounts[(sum.current-buckets/2+buckets)%buckets] += amount
 	sum.total += amount
