--- a/io/yuccagate/beliefs.go
+++ b/io/yuccagate/beliefs.go
@@ -9,14 +9,14 @@
 	"yuccacleat/io/yuccawire"
 )
 
-// pullInterval is the shortest time between two requests to peers for a configuration, and
-// between two for targets, so that a daemon doesn't repeat a request before the peer could
-// respond.
+// pullInterval is the shortest time between two requests to peers for a configuration, and also
+// the shortest time between two requests to peers for targets. It keeps a daemon from repeating a
+// request before the peer could respond.
 const pullInterval = 300 * time.Millisecond
 
-// OfferConfiguration takes the text of a configuration from the named source, and puts it in
-// force if its number is higher than that of the configuration in force. Text that can't be decoded
-// returns an error and changes nothing.
+// OfferConfiguration takes the text of a configuration from the named source. It puts the new
+// configuration in force if its number is higher than the number of the present configuration. If
+// the text can't be decoded, OfferConfiguration returns an error and changes nothing.
 func (gate *Gate) OfferConfiguration(raw []byte, source string) error {
 	table, err := gate.decode(raw)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return nil
 }
 
-// adopt puts a newer configuration in force and announces its number to the other daemons.
+// adopt puts the configuration in force if its number is higher than the number of the present
+// configuration, and announces the new number to the other daemons.
 func (gate *Gate) adopt(now time.Time, table *yuccaroute.Table, raw []byte, source string) {
 	before, first := gate.configurationNumber(), gate.tables.Load() == nil
 	if !gate.tables.Offer(table) {
@@ -41,7 +42,7 @@
 	gate.onChange(now, gate.peers.SetConfig(now, table.Number(), ""))
 }
 
-// configurationNumber returns the number of the configuration in force, or zero.
+// configurationNumber returns the number of the configuration in force, or zero if there is none.
 func (gate *Gate) configurationNumber() yuccaid.ConfigNumber {
 	if table := gate.tables.Load(); table != nil {
 		return table.Number()
@@ -49,7 +50,8 @@
 	return 0
 }
 
-// pullTable requests the configuration of a peer that has a higher number.
+// pullTable requests the configuration from a peer whose configuration has a higher number than
+// this daemon's. It does nothing if a peer was asked less than pullInterval ago.
 func (gate *Gate) pullTable(now time.Time, source yuccapeer.PeerConfig) {
 	if now.Sub(gate.tablePulledAt) < pullInterval {
 		return
@@ -58,15 +60,17 @@
 	gate.send(source.Peer, yuccawire.KindTablePull, yuccawire.TablePull{Have: gate.configurationNumber()})
 }
 
-// onTablePull sends the configuration to a peer whose own has a lower number.
+// onTablePull sends this daemon's configuration to a peer that has requested it, if the peer's
+// configuration has a lower number.
 func (gate *Gate) onTablePull(from yuccaid.Incarnation, pull yuccawire.TablePull) {
 	if gate.configurationNumber() > pull.Have {
 		gate.send(from, yuccawire.KindTable, yuccawire.Table{Raw: gate.tableRaw})
 	}
 }
 
-// onTable handles a configuration from a peer. It runs on the connection's goroutine, because
-// decoding a megabyte on the control goroutine would delay every decision.
+// onTable handles a configuration from a peer. It runs on the connection's goroutine, because a
+// configuration may be a megabyte long, and decoding it on the control goroutine would delay every
+// decision.
 func (gate *Gate) onTable(message yuccawire.Table) {
 	if err := gate.OfferConfiguration(message.Raw, "peer"); err != nil {
 		gate.log.stateChange("configuration refused", "source", "peer", "error", err)
--- a/io/yuccagate/cast.go
+++ b/io/yuccagate/cast.go
@@ -19,22 +19,24 @@
 	// counts in the fleet's size although nothing has been received from it yet. After that time,
 	// such a data centre is taken to have no daemons.
 	centreStartupWait = 5 * time.Second
-	// peerRefusedFor is how long after it refused a connection a daemon counts as stopped. It is
-	// longer than the time between two dials, which is less than a second.
+	// peerRefusedFor is how long a daemon counts as stopped after it has refused a connection.
+	// The time is longer than the time between two dials of that daemon, which is less than a
+	// second, so that a stopped daemon counts as stopped until the next dial.
 	peerRefusedFor = 1500 * time.Millisecond
-	// castInterval is the shortest time between two casts of this data centre's usage when it
-	// has changed. castMaxInterval is the time between two casts while usage doesn't change; they
-	// show that the data centre is up. In large fleets castSpacing is longer and replaces both.
+	// castInterval is the shortest time between two casts of this data centre's usage when the
+	// usage has changed. castMaxInterval is the time between two casts while the usage doesn't
+	// change; these casts show that the data centre is up. In large fleets castSpacing returns a
+	// longer time than castInterval, and in the largest a longer time than castMaxInterval too.
 	castInterval    = 100 * time.Millisecond
 	castMaxInterval = 500 * time.Millisecond
 	// castIntervalPerDaemon, multiplied by the number of daemons, is the time between casts in
-	// fleets of more than 160 daemons, where it exceeds castInterval. Each cast goes to all
-	// daemons, so with a fixed interval the cost would grow with the fleet. With four hundred
-	// daemons, casts are sent every quarter of a second. Since daemons then learn of one
-	// another's usage later, each may use a smaller share of what is left of a quota.
+	// fleets of more than 160 daemons, where the product exceeds castInterval. Each cast goes to
+	// all daemons, so with a fixed interval the cost would grow with the fleet. With four hundred
+	// daemons, casts are sent every quarter of a second. Daemons then learn of one another's
+	// usage later, so each daemon may use a smaller share of what is left of a quota.
 	castIntervalPerDaemon = 600 * time.Microsecond
-	// castIntervalLimit bounds castSpacing in fleets of any size. It is below centreFreshFor, so
-	// that a data centre's state doesn't expire between casts.
+	// castIntervalLimit is the longest time that castSpacing returns, however large the fleet is.
+	// It is below centreFreshFor, so that a data centre's state doesn't expire between casts.
 	castIntervalLimit = time.Second
 )
 
@@ -44,28 +46,30 @@
 	return min(max(castInterval, time.Duration(daemons)*castIntervalPerDaemon), castIntervalLimit)
 }
 
-// castKey identifies a series of casts from one daemon, whose sequence numbers are compared.
+// castKey identifies a series of casts: the casts of one daemon on one topic and pool. A repeated
+// cast is recognised by its sequence number among the casts of the same series.
 type castKey struct {
 	origin string
 	topic  yuccawire.Topic
 	pool   yuccaid.Pool
 }
 
-// remoteCentre is what is known about another data centre: the number of its daemons as of the
-// last cast of usage, which was received at receivedAt.
+// remoteCentre is what is known about another data centre: the number of its daemons according to
+// its last cast of usage, and when that cast was received.
 type remoteCentre struct {
 	daemons    int
 	receivedAt time.Time
 }
 
-// cast sends a message to the daemons of all other data centres: directly over this daemon's
-// own connections to some of them, and through the daemons of its own data centre that have
-// other connections.
+// cast sends a message to the daemons of all other data centres. It sends the message over this
+// daemon's own connections to other data centres, and to daemons of this data centre, which
+// forward it over their connections to other data centres.
 //
 // Only the leaders of other data centres need the loads of a pool's targets, which are sent ten
-// times a second. When every daemon got them, they made up nine tenths of the messages between
-// daemons and grew with the square of the number of daemons in a data centre. So they are
-// forwarded only to the daemons that hold connections to other data centres.
+// times a second. When every daemon received the loads, they made up nine tenths of the messages
+// between daemons and grew with the square of the number of daemons in a data centre. So within
+// this data centre, loads are sent only to the daemons that hold connections to other data
+// centres. While no such daemon is known, loads are sent to all daemons of this data centre.
 func (gate *Gate) cast(message yuccawire.Cast) {
 	gate.castSequence++
 	message.Origin = gate.incarnation.String()
@@ -79,7 +83,7 @@
 	gate.sendLocal(yuccawire.KindCast, message)
 }
 
-// sendTo sends a cast to the members, except this daemon itself.
+// sendTo sends a cast to each of the members except this daemon.
 func (gate *Gate) sendTo(members []yuccapeer.Member, message yuccawire.Cast) {
 	for _, member := range members {
 		if member.Incarnation != gate.incarnation {
@@ -88,8 +92,8 @@
 	}
 }
 
-// forwardCast forwards a cast from another data centre to the daemons of this one that need it:
-// loads of targets to the pool's leader, everything else to all.
+// forwardCast forwards a cast from another data centre within this data centre. Loads of targets
+// go only to the pool's leader, if there is one; all other casts go to all daemons.
 func (gate *Gate) forwardCast(message yuccawire.Cast) {
 	if message.Topic != yuccawire.TopicLoad {
 		gate.sendLocal(yuccawire.KindCast, message)
@@ -109,10 +113,10 @@
 	}
 }
 
-// onCast handles a cast the first time that it arrives. A cast of this data centre is forwarded
-// to the other data centres, and a cast that another data centre sent directly to this daemon is
-// forwarded within this one. Two connections lead to each other data centre, so most casts
-// arrive twice, and not always in order.
+// onCast handles a cast the first time that it arrives, and ignores repetitions. A cast of this
+// data centre is forwarded to the other data centres. A cast that a daemon of another data centre
+// sent directly to this daemon is forwarded within this data centre. Two connections lead to each
+// other data centre, so most casts arrive twice, and casts may arrive out of order.
 func (gate *Gate) onCast(now time.Time, from yuccaid.Incarnation, message yuccawire.Cast) {
 	key := castKey{origin: message.Origin, topic: message.Topic, pool: message.Pool}
 	window := gate.castWindows[key]
@@ -139,8 +143,9 @@
 	}
 }
 
-// expectedDaemons counts the daemons of this data centre that may be running. A daemon whose VM
-// refuses connections has stopped, and admits nothing until it runs again.
+// expectedDaemons counts the daemons of this data centre that may be running. A daemon that has
+// refused a connection within peerRefusedFor isn't counted, because it has stopped and admits no
+// requests until it runs again.
 func (gate *Gate) expectedDaemons(now time.Time) int {
 	count := 0
 	for _, listing := range gate.peers.Candidates(gate.settings.Centre) {
@@ -151,10 +156,11 @@
 	return count
 }
 
-// countDaemons returns how many daemons the fleet seems to have, and from how many of them
-// there is recent state. The total is at least the number of seeds, for a daemon that has not
-// connected to any other yet. Until centreStartupWait has passed, a data centre from which nothing
-// has been received counts for as many daemons as this one has.
+// countDaemons returns two numbers: visible is the number of daemons whose recent state is known,
+// and total is the number of daemons that the fleet seems to have. The total is at least the number
+// of seeds, because a daemon that has just started has no connection to any other daemon yet. Until
+// centreStartupWait has passed since this daemon's start, each data centre from which nothing has
+// been received counts as having as many daemons as this data centre.
 func (gate *Gate) countDaemons(now time.Time) (visible, total int) {
 	visible = len(gate.peers.Live(gate.settings.Centre))
 	total = max(gate.expectedDaemons(now), visible)
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -11,14 +11,16 @@
 )
 
 const (
-	// leaderTimeout is how long a daemon waits for a leader's first message on a request. Within
-	// one data centre that message takes a millisecond; on a small VM that is busy it may take
-	// some tens of milliseconds.
+	// leaderTimeout is how long a daemon waits for a leader's first message on a request that it
+	// has submitted. Within one data centre the message takes a millisecond. On a small VM that is
+	// busy it may take some tens of milliseconds.
 	leaderTimeout = 60 * time.Millisecond
-	// waitingTimeout is how long after the leader's message that a request waits the request is
-	// submitted to the leader again, in case the leader no longer knows it.
+	// waitingTimeout is how long a daemon waits after the leader's last confirmation that a
+	// request is queued. Then the daemon submits the request to the leader again, because the
+	// leader may no longer know the request.
 	waitingTimeout = 400 * time.Millisecond
-	// suspectFor is how long no requests are sent to a leader that didn't respond in time.
+	// suspectFor is how long this daemon decides on requests itself after a leader didn't respond
+	// in time. It sends no requests to the leader in that time.
 	suspectFor = 500 * time.Millisecond
 )
 
@@ -27,29 +29,30 @@
 const neverConfigured = math.MaxUint64
 
 // scheduler decides which requests of one pool are sent to which target. If this daemon leads
-// the pool, it decides for the whole data centre; otherwise it decides for this daemon's own
-// requests while the leader can't be reached.
+// the pool, the scheduler decides for all daemons of the data centre. Otherwise it decides only on
+// this daemon's own requests, and only while no leader is known or the leader can't be reached.
 type scheduler struct {
 	pool yuccaid.Pool
 	// local makes the decisions of this daemon, whether it leads the pool or not.
 	local *yuccagrant.Leader
-	// leads reports whether this daemon leads the pool, and leader is the daemon that does, or
-	// zero if none is known.
+	// leads reports whether this daemon leads the pool. leader is the daemon that leads the pool,
+	// or zero if none is known.
 	leads  bool
 	leader yuccaid.Incarnation
 	// suspectUntil is the time until which no requests are sent to the leader, because it didn't
 	// respond in time.
 	suspectUntil time.Time
-	// remoteLoads holds what the leaders of other data centres have running on the targets.
+	// remoteLoads holds, for each other data centre, the loads that its leader has cast.
 	remoteLoads map[yuccaid.Centre]*centreLoads
-	// remoteChanged are the targets whose remote loads have changed since they were last passed
-	// to local. If remoteReset is set, the remote loads of all targets have to be passed.
+	// remoteChanged holds the targets whose remote loads have changed since remote loads were last
+	// passed to local. If remoteReset is set, the remote loads of all targets have to be passed.
 	remoteChanged map[yuccaid.Target]bool
 	remoteReset   bool
 	// rosterVersion is the roster's version that local was configured with, or neverConfigured.
 	rosterVersion uint64
-	// sentLoads are the loads that were last sent to the other data centres. loadSentAt is when
-	// loads were last sent, and fullLoadSentAt when those of all targets were.
+	// sentLoads holds, for each target, the load that was last sent to the other data centres.
+	// loadSentAt is when loads were last sent, and fullLoadSentAt is when the loads of all targets
+	// were last sent.
 	sentLoads      map[yuccaid.Target]yuccawire.TargetLoad
 	loadSentAt     time.Time
 	fullLoadSentAt time.Time
@@ -68,8 +71,8 @@
 }
 
 // configure passes to a scheduler the number of daemons that decide on the pool's targets, and
-// the targets if they have changed. While a fleet starts, configure is called once for each
-// daemon that joins, and passing all targets each time would be expensive.
+// the targets if the roster has changed since the last call. While a fleet starts, configure is
+// called once for each daemon that joins, and passing all targets each time would be expensive.
 func (gate *Gate) configure(now time.Time, sched *scheduler) {
 	gate.apply(now, sched, sched.local.SetLeaderCount(now, gate.deciderCount(sched)))
 	if version := gate.roster.Version(); sched.rosterVersion != version {
@@ -79,7 +82,9 @@
 	}
 }
 
-// tickSchedulers lets each scheduler act on the passing of time.
+// tickSchedulers runs the timed work of all schedulers: it drops the loads of silent data centres,
+// passes changed remote loads to the schedulers, applies the decisions that have become due, casts
+// the loads of pools that this daemon leads, and checks this daemon's waiting requests.
 func (gate *Gate) tickSchedulers(now time.Time) {
 	for _, sched := range gate.schedulers {
 		sched.dropSilentCentres(now)
@@ -92,15 +97,15 @@
 	gate.tickPlacements(now)
 }
 
-// followLeaders applies a changed choice of leaders to all schedulers.
+// followLeaders calls followLeader for each scheduler.
 func (gate *Gate) followLeaders(now time.Time) {
 	for _, sched := range gate.schedulers {
 		gate.followLeader(now, sched)
 	}
 }
 
-// followLeader determines which daemon leads the pool. If that has changed, it reports this
-// daemon's requests to the new leader.
+// followLeader determines which daemon leads the pool. If the leader has changed, followLeader
+// reports this daemon's requests to the new leader.
 func (gate *Gate) followLeader(now time.Time, sched *scheduler) {
 	leader, found := gate.peers.Leader(sched.pool)
 	incarnation := leader.Incarnation
@@ -108,8 +113,8 @@
 		incarnation = yuccaid.Incarnation{}
 	}
 	if incarnation == sched.leader {
-		// The share of the slots that a daemon uses if it decides without the leader depends on
-		// the number of daemons, which may have changed.
+		// The number of daemons may have changed. The share of the slots that a daemon uses if it
+		// decides without the leader depends on that number, so it has to be set again.
 		gate.configure(now, sched)
 		return
 	}
@@ -141,8 +146,9 @@
 	}
 }
 
-// syncPlacement reports one of this daemon's requests to the pool's leader, whether it waits or
-// runs.
+// syncPlacement reports one of this daemon's requests to the pool's leader. It submits a request
+// that waits, and sends a message with the target of a request that runs. A running request is not
+// reported if this daemon is the leader or no leader is known.
 func (gate *Gate) syncPlacement(now time.Time, sched *scheduler, plc *placement) {
 	if !plc.running {
 		gate.submit(now, sched, plc)
@@ -156,8 +162,9 @@
 	})
 }
 
-// submit passes a waiting request to the daemon that decides on it: the pool's leader, or this
-// daemon itself if it is the leader, no leader is known, or the leader is suspected.
+// submit passes a waiting request to the daemon that decides on it. That is the pool's leader, or
+// this daemon itself if no leader is known, or if the leader is suspected or the request can't be
+// sent to it.
 func (gate *Gate) submit(now time.Time, sched *scheduler, plc *placement) {
 	plc.submittedAt = now
 	plc.waitConfirmedAt = time.Time{}
@@ -172,8 +179,9 @@
 	}
 }
 
-// suspectLeader marks a leader that didn't respond as suspected, and lets this daemon decide on
-// the request.
+// suspectLeader marks a leader that didn't respond as suspected until suspectFor has passed. It
+// withdraws the request from the leader, in case the leader has received it, and lets this daemon
+// decide on the request.
 func (gate *Gate) suspectLeader(now time.Time, sched *scheduler, plc *placement) {
 	if now.After(sched.suspectUntil) {
 		gate.log.stateChange("leader doubted", "pool", sched.pool, "leader", sched.leader.VM, "request", plc.req.info.ID, "silentMillis", now.Sub(plc.submittedAt).Milliseconds())
@@ -183,8 +191,11 @@
 	gate.submit(now, sched, plc)
 }
 
-// tickPlacements finds waiting requests whose leader hasn't responded in time, and those that
-// this daemon decides on although the leader can be reached again.
+// tickPlacements checks this daemon's waiting requests. If the leader hasn't responded to a request
+// within leaderTimeout, this daemon decides on the request itself. If the leader hasn't confirmed
+// within waitingTimeout that a request is still queued, the request is submitted to the leader
+// again. A request that this daemon decides on itself is submitted to the leader once the leader is
+// no longer suspected.
 func (gate *Gate) tickPlacements(now time.Time) {
 	for _, plc := range gate.placements {
 		if plc.running {
@@ -193,7 +204,7 @@
 		sched := gate.schedulers[plc.pool]
 		switch {
 		case plc.decidedLocally && (sched.leads || sched.leader.IsZero() || now.Before(sched.suspectUntil)):
-			// This daemon still is the one to decide.
+			// This daemon still has to decide on the request, so nothing changes.
 		case plc.decidedLocally:
 			gate.withdraw(now, sched, plc)
 			gate.submit(now, sched, plc)
@@ -205,8 +216,8 @@
 	}
 }
 
-// apply delivers a scheduler's decisions: directly to this daemon's own requests, and by message
-// to the daemons that own the others.
+// apply delivers a scheduler's decisions. Decisions on this daemon's own requests are delivered
+// directly, and decisions on other daemons' requests are sent to these daemons as messages.
 func (gate *Gate) apply(now time.Time, sched *scheduler, decisions yuccagrant.Decisions) {
 	for _, grant := range decisions.Grants {
 		if grant.ID.Owner != gate.incarnation {
@@ -229,9 +240,10 @@
 	}
 }
 
-// acceptGrant accepts a decision that sends one of this daemon's requests to a target. The leader
-// may have decided with an older roster, so the target is checked again. If it is leaving or no
-// longer registered, the grant is returned and the request is submitted again.
+// acceptGrant accepts a decision that sends one of this daemon's requests to a target. It ignores
+// the decision if the request no longer waits. The leader may have decided with an older roster, so
+// acceptGrant checks the target again. If the target is leaving or isn't registered, acceptGrant
+// reports that the grant isn't used and submits the request again, with this target excluded.
 func (gate *Gate) acceptGrant(now time.Time, sched *scheduler, granted yuccagrant.Grant) {
 	target := granted.Target
 	plc := gate.placements[granted.ID.Number]
@@ -260,7 +272,7 @@
 	}
 }
 
-// deliverRefusal delivers a refusal to one of this daemon's requests if it still waits.
+// deliverRefusal delivers a refusal to one of this daemon's requests, if the request still waits.
 func (gate *Gate) deliverRefusal(refusal yuccagrant.Refusal) {
 	if plc := gate.placements[refusal.ID.Number]; plc != nil && !plc.running {
 		delete(gate.placements, refusal.ID.Number)
@@ -268,15 +280,16 @@
 	}
 }
 
-// decisionInputs returns what a decision was made from, for the log: the predicted time to the
-// first event, the number of runs that the target had, and this daemon's present state.
+// decisionInputs returns what is logged along with a decision: the predicted time to the first
+// event, the number of runs that the target had, the pool's leader, and the revision and age of
+// what this daemon knows from the platform.
 func (gate *Gate) decisionInputs(now time.Time, sched *scheduler, expectedFirst time.Duration, busy int) decisionInputs {
 	inputs := decisionInputs{leader: sched.leader.VM, expectedFirst: expectedFirst, busy: busy, platformRevision: gate.platformRevision, platformAge: gate.platformAge(now)}
 	return inputs
 }
 
-// reportFinished reports the end of a run, or a grant that isn't used, to this daemon's scheduler
-// and to the pool's leader.
+// reportFinished reports the end of a run, or a grant that isn't used, to this daemon's scheduler.
+// If another daemon leads the pool, it reports to that leader as well.
 func (gate *Gate) reportFinished(now time.Time, sched *scheduler, result yuccagrant.Finished) {
 	gate.apply(now, sched, sched.local.RunFinished(now, result))
 	if !sched.leads && !sched.leader.IsZero() {
@@ -284,7 +297,8 @@
 	}
 }
 
-// dropOwner drops the waiting and running requests of a daemon that has departed or expired.
+// dropOwner drops the waiting and running requests of another daemon from all schedulers, because
+// that daemon has departed or expired.
 func (gate *Gate) dropOwner(now time.Time, owner yuccaid.Incarnation) {
 	for _, sched := range gate.schedulers {
 		gate.apply(now, sched, sched.local.DropOwner(now, owner))
--- a/io/yuccagate/doc.go
+++ b/io/yuccagate/doc.go
@@ -4,11 +4,12 @@
 //
 // Unlike yuccadaemon, which owns requests under ids of its own, a gateway keeps a request only
 // as long as its caller's connection lasts. If that connection breaks, no other daemon takes
-// the request over. The route says whether a request may be sent to a second target.
+// the request over. The request's route says whether the gateway may send the request to a second
+// target after the first one has failed.
 //
 // The core packages make the decisions: which request goes to which target, what quotas admit,
-// which daemon leads a pool. One control goroutine owns the state that they work on, and each
-// request has its own goroutine.
+// which daemon leads a pool. One control goroutine owns the state that the core packages work on,
+// and each request has its own goroutine.
 //
 // Each pool has a leader, one daemon of the data centre that decides which of the pool's
 // requests go to which target. A cast is a message from one daemon to the daemons of all other
--- a/io/yuccagate/events.go
+++ b/io/yuccagate/events.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// maxEventBytes bounds how much of a stream is buffered until its event is complete.
+// maxEventBytes bounds how much of a stream is buffered while its next event is incomplete. If the
+// buffer exceeds it, next returns errLongEvent.
 const maxEventBytes = 1 << 20
 
 var errLongEvent = errors.New("an event is longer than a megabyte")
@@ -15,15 +16,15 @@
 // event is one event of a stream, as the target wrote it.
 type event struct {
 	raw []byte
-	// id is the event's id field, empty if it has none.
+	// id is the value of the event's id field, empty if the event has no such field.
 	id string
 }
 
 // eventReader splits a stream into complete events.
 //
-// A target may stop in the middle of an event. If the caller had received half of it, another
-// target could not continue the stream after it. So an event is forwarded only when its last
-// byte has arrived.
+// A target may stop in the middle of an event. If the caller had already received half of that
+// event, another target could not continue the stream, because a stream can only be continued after
+// a complete event. So an event is forwarded only when its last byte has arrived.
 type eventReader struct {
 	source   io.Reader
 	buffered []byte
@@ -38,9 +39,9 @@
 	return &eventReader{source: source}
 }
 
-// next waits for at least one complete event and returns those that have arrived, or an error
-// when the stream ends. After an error, remainder returns the bytes that belong to no complete
-// event.
+// next waits until at least one event is complete, and returns all complete events that have
+// arrived. It returns an error when the stream ends, or when an event is too long. After an error,
+// remainder returns the bytes that belong to no complete event.
 func (reader *eventReader) next() ([]event, error) {
 	for {
 		if events := reader.split(); len(events) > 0 {
@@ -66,8 +67,8 @@
 	for {
 		length := eventLength(reader.buffered, reader.scanned)
 		if length == 0 {
-			// An event's end may have arrived only in part, so the last three bytes, as many as
-			// the longest end has, are searched again.
+			// The end of the event may have arrived only in part, so the last three bytes are
+			// searched again. The longest sequence that eventLength looks for has three bytes.
 			reader.scanned = max(len(reader.buffered)-3, 0)
 			return events
 		}
@@ -78,9 +79,9 @@
 	}
 }
 
-// eventLength returns the length of the first event in the buffer including the empty line after
-// it, or zero if it isn't complete. The search for its end starts at the index from. Lines end
-// with a line feed, which a carriage return may precede.
+// eventLength returns the length of the first event in the buffer, including the empty line after
+// the event, or zero if the event isn't complete. The search for the event's end starts at the
+// index from. A line ends with a line feed, which a carriage return may precede.
 func eventLength(buffered []byte, from int) int {
 	for i := from; i < len(buffered); i++ {
 		if buffered[i] != '\n' {
@@ -97,7 +98,8 @@
 	return 0
 }
 
-// eventID returns the value of an event's id field, or the empty string if it has none.
+// eventID returns the value of the event's first id field, or the empty string if the event has no
+// id field.
 func eventID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if id, found := bytes.CutPrefix(line, []byte("id:")); found {
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -39,9 +39,10 @@
 	metrics     *metrics
 	// targetClient sends requests to targets.
 	targetClient *yuccahop.Client
-	// memory is what open requests may use.
+	// memory is the memory that open requests may use.
 	memory *memory
-	// processBounds are the bounds that follow from the process's memory and file descriptors.
+	// processBounds are the bounds that follow from the process's limits on memory and file
+	// descriptors.
 	processBounds yuccaspace.Bounds
 	// control runs the control goroutine, and tables holds the configuration in force.
 	control *yuccaloop.Loop
@@ -53,8 +54,8 @@
 	// drainStartedAt is when the daemon began to drain, in Unix nanoseconds, or zero.
 	drainStartedAt atomic.Int64
 	openRequests   atomic.Int64
-	// lastPlacement is the number of the latest placement: one request's wait for a target and its
-	// run there.
+	// lastPlacement is the number of the latest placement. A placement is one request's wait for
+	// a target and its run on that target.
 	lastPlacement atomic.Uint64
 	// callerRejectedAt is when a caller's connection was last rejected, in Unix nanoseconds, or
 	// zero.
@@ -67,8 +68,8 @@
 
 	// hub holds the connections to other daemons.
 	hub *yuccalink.Hub
-	// skipsPlatformReads reports whether another daemon of the data centre reads the platform's
-	// registrations of targets for this one.
+	// skipsPlatformReads reports whether this daemon doesn't read the platform's registrations of
+	// targets, because another daemon of the data centre reads them for it.
 	skipsPlatformReads atomic.Bool
 
 	// The fields below belong to the control goroutine.
@@ -77,53 +78,59 @@
 	// leaders.
 	settled        bool
 	peersCheckedAt time.Time
-	// connsComparedAt is when the connections to other daemons were last compared with those that
-	// should exist.
+	// connsComparedAt is when the existing connections to other daemons were last compared with
+	// the connections that should exist.
 	connsComparedAt time.Time
-	// castSequence is the number of this daemon's latest cast, and castWindows records which casts
-	// of each series have arrived.
+	// castSequence is the sequence number of this daemon's latest cast. castWindows records, for
+	// each series of casts, which casts have arrived.
 	castSequence  uint64
 	castWindows   map[castKey]sequenceWindow
 	remoteCentres map[yuccaid.Centre]*remoteCentre
-	// peerRefusedAt and connFailureLoggedAt hold, for each address of a daemon, when it last
-	// refused a connection and when a failed connection to it was last logged.
+	// peerRefusedAt holds, for each address of a daemon, when that address last refused a
+	// connection. connFailureLoggedAt holds when a failed connection to the address was last
+	// logged.
 	peerRefusedAt       map[string]time.Time
 	connFailureLoggedAt map[string]time.Time
 	// tableRaw is the text of the configuration in force, for peers that request it.
 	tableRaw []byte
-	// tablePulledAt is when a peer was last asked for its configuration.
+	// tablePulledAt is when this daemon last requested a configuration from a peer.
 	tablePulledAt time.Time
 
 	// roster holds the registered targets.
 	roster *yuccaroster.Roster
 	// loggedTargets are the targets as the log last reported them.
 	loggedTargets map[yuccaid.Target]yuccaroster.Entry
-	// rosterVersion is the roster's version that was last passed to the schedulers, and
-	// targetsPulledAt when a peer was last asked for its targets.
+	// rosterVersion is the version of the roster that was last passed to the schedulers.
+	// targetsPulledAt is when this daemon last requested targets from a peer.
 	rosterVersion   uint64
 	targetsPulledAt time.Time
-	// platformRespondedAt is when the platform last responded to this daemon, platformRevision
-	// the revision up to which this daemon knows its targets, and platformReports the last report
-	// of each peer that reads the platform. platformReportedAt is when this daemon last reported.
+	// platformRespondedAt is when the platform last responded to this daemon. platformRevision is
+	// the revision up to which this daemon knows the platform's registrations of targets.
+	// platformReports holds the last report of each peer that reads the platform, and
+	// platformReportedAt is when this daemon last sent such a report.
 	platformRespondedAt time.Time
 	platformRevision    yuccaroster.Revision
 	platformReports     map[yuccaid.Incarnation]platformReport
 	platformReportedAt  time.Time
 
 	// ledger counts the usage of accounts. usageReportedAt is when this daemon last reported
-	// usage to the daemons of its data centre, and usageCastAt when it last cast usage.
+	// usage to the daemons of its own data centre. usageCastAt is when it last cast usage to the
+	// other data centres.
 	ledger          *yuccaquota.Ledger
 	usageReportedAt time.Time
 	usageCastAt     time.Time
-	// fullUsageDue reports whether another data centre may have missed usage of this one, so
-	// that all of it has to be cast again. fullUsageAt is when all usage was last cast.
+	// fullUsageDue reports whether another data centre may have missed casts of this data
+	// centre's usage, so that all usage has to be cast again. fullUsageAt is when all usage was
+	// last cast.
 	fullUsageDue bool
 	fullUsageAt  time.Time
-	// resendBudget bounds how many requests are sent to a second target.
+	// resendBudget bounds how many requests are sent to a second target after the first one has
+	// failed.
 	resendBudget *yuccabudget.Budget
 
 	schedulers map[yuccaid.Pool]*scheduler
-	// placements are this daemon's placements that wait or run, by their numbers.
+	// placements holds the waiting and running placements of this daemon's requests. The map's
+	// key is the placement's number.
 	placements map[uint64]*placement
 	// idleSweptAt is when idle connections to targets were last closed.
 	idleSweptAt time.Time
@@ -137,8 +144,8 @@
 	return func(gate *Gate) { gate.log = logger{inner: inner} }
 }
 
-// New starts a gateway that accepts connections of other daemons on the listener peers. The
-// function decode parses the text of a configuration.
+// New starts a gateway. It accepts connections from other daemons on the listener peers, and uses
+// the function decode to parse the text of a configuration.
 func New(settings Settings, dialect Dialect, decode func([]byte) (*yuccaroute.Table, error), peers net.Listener, options ...Option) (*Gate, error) {
 	var nonce [16]byte
 	if _, err := rand.Read(nonce[:]); err != nil {
@@ -207,8 +214,8 @@
 	return gate.tables.Load() != nil && !gate.draining() && !gate.rejectedCallerRecently(time.Now())
 }
 
-// Close stops the gateway at once and cuts off open requests. Call Server.Drain first to let
-// them finish.
+// Close stops the gateway at once and cuts off open requests. To let open requests finish, call
+// Server.Drain before Close.
 func (gate *Gate) Close() {
 	gate.stopTraffic()
 	gate.control.Close()
@@ -235,8 +242,8 @@
 	})
 }
 
-// Reload applies changed seeds and bounds; other settings need a restart. Counters and open
-// requests are kept.
+// Reload applies the seeds and bounds of the given settings. Changes of other settings take effect
+// only after a restart. Reload keeps counters and open requests.
 func (gate *Gate) Reload(settings Settings) {
 	gate.control.Post(func(now time.Time) {
 		gate.settings.Seeds, gate.settings.Bounds = settings.Seeds, settings.Bounds
--- a/io/yuccagate/listener.go
+++ b/io/yuccagate/listener.go
@@ -12,11 +12,11 @@
 // Listener accepts callers' connections for an http.Server, and can close idle ones without
 // losing a request.
 //
-// If http.Server closed idle connections itself, it could close one after a request's first bytes
-// had been read and before it noticed them. The request would then be forwarded to a target, and
-// its caller would get no response. Here a connection's lock covers both: either the bytes are
-// read first and the connection stays open, or the connection is closed first and the bytes are
-// dropped without being served.
+// If http.Server closed idle connections itself, it could close a connection after the first bytes
+// of a request had been read, but before the server had noticed these bytes. The request would then
+// be forwarded to a target, and its caller would get no response. Here a lock for each connection
+// keeps reading and closing apart. If the bytes are read first, the connection stays open. If the
+// connection is closed first, the bytes are dropped and the request is not served.
 type Listener struct {
 	net.Listener
 	// maxConns bounds the number of open connections; zero means no bound.
@@ -28,17 +28,20 @@
 	conns map[*callerConn]struct{}
 }
 
-// NewListener wraps a listener; ConnState has to be set as the server's ConnState hook. When a
-// connection exceeds maxConns, the one that has been idle for longest is closed; if none is
-// idle, the new one is rejected and onRejected is called. A maxConns of zero means no bound.
+// NewListener wraps a listener. The caller has to set the method ConnState as the http.Server's
+// ConnState hook. When a new connection would exceed maxConns, the connection that has been idle
+// for longest is closed. If no connection is idle, the new connection is rejected and onRejected is
+// called. A maxConns of zero means no bound.
 func NewListener(inner net.Listener, maxConns int, onRejected func(time.Time)) *Listener {
 	return &Listener{Listener: inner, maxConns: maxConns, onRejected: onRejected, conns: make(map[*callerConn]struct{})}
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection that the bound on connections allows, and rejects connections
+// beyond the bound.
 //
-// Without a bound, callers' connections could use up the file descriptors. Then the daemon would
-// reach neither targets nor other daemons, and all of its requests would fail instead of a few.
+// Without a bound, callers' connections could use up the file descriptors. Then the daemon could
+// connect neither to targets nor to other daemons, and all of its requests would fail instead of a
+// few.
 // A rejected connection is closed before anything is read from it, so its caller knows that the
 // request did not run.
 func (lis *Listener) Accept() (net.Conn, error) {
@@ -58,7 +61,8 @@
 	}
 }
 
-// track adds a connection to the open ones, or returns nil if the bound is reached.
+// track wraps a connection and records it as open. It returns nil if the bound on connections is
+// reached.
 func (lis *Listener) track(raw net.Conn) net.Conn {
 	lis.mu.Lock()
 	defer lis.mu.Unlock()
@@ -98,7 +102,7 @@
 	}
 }
 
-// CloseIdle closes the connections that have been idle since the given time or for longer.
+// CloseIdle closes the connections that became idle at the given time or earlier.
 func (lis *Listener) CloseIdle(since time.Time) {
 	for _, conn := range lis.openConns() {
 		conn.closeIdle(since)
@@ -118,14 +122,15 @@
 	listener *Listener
 
 	mu sync.Mutex
-	// idleSince is when the last response ended, zero while a request is being read or served.
+	// idleSince is when the connection became idle after its last response. It is zero before the
+	// first response has ended, and while a request is being read or served.
 	idleSince time.Time
 	// closed reports whether closeIdle has closed the connection.
 	closed bool
 }
 
-// Read marks the connection as in use once a byte arrives, unless the connection was closed
-// before.
+// Read reads from the connection, and marks it as in use once a byte has arrived. If closeIdle has
+// closed the connection, Read drops the bytes and returns net.ErrClosed.
 func (conn *callerConn) Read(buf []byte) (int, error) {
 	n, err := conn.Conn.Read(buf)
 	conn.mu.Lock()
@@ -139,7 +144,7 @@
 	return n, err
 }
 
-// Close closes the connection and removes it from the listener's open ones.
+// Close closes the connection and removes it from the listener's open connections.
 func (conn *callerConn) Close() error {
 	conn.listener.mu.Lock()
 	delete(conn.listener.conns, conn)
@@ -149,22 +154,23 @@
 
 // markIdle records that the connection is idle as of now.
 func (conn *callerConn) markIdle(now time.Time) {
-	// The write deadline of the last response must not apply to the next response. That one may
-	// be the server's error for an unreadable head, for which no deadline is set.
+	// The write deadline of the last response must not apply to the next response. If the head of
+	// the next request can't be read, the server responds with an error without setting a new
+	// deadline.
 	_ = conn.Conn.SetWriteDeadline(time.Time{})
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	conn.idleSince = now
 }
 
-// idleStart returns since when the connection has been idle, or zero if it isn't.
+// idleStart returns when the connection became idle, or zero if the connection isn't idle.
 func (conn *callerConn) idleStart() time.Time {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.idleSince
 }
 
-// closeIdle closes the connection if it has been idle since the given time or for longer.
+// closeIdle closes the connection if it became idle at the given time or earlier and is still idle.
 func (conn *callerConn) closeIdle(since time.Time) {
 	conn.mu.Lock()
 	if conn.idleSince.IsZero() || conn.idleSince.After(since) {
--- a/io/yuccagate/loads.go
+++ b/io/yuccagate/loads.go
@@ -11,48 +11,51 @@
 )
 
 const (
-	// loadInterval is the shortest time between two casts of a leader's loads, and
-	// loadMaxInterval the longest, which applies while loads don't change.
+	// loadInterval is the shortest time between two casts of loads by a pool's leader.
+	// loadMaxInterval is the longest time, which passes between two casts while loads don't
+	// change.
 	loadInterval    = 100 * time.Millisecond
 	loadMaxInterval = time.Second
-	// fullLoadInterval is the shortest time between two casts of the loads of all targets. In
-	// large pools the time is longer, half of fullLoadPerTarget for each pair of a target and
-	// another data centre, because full casts would otherwise be larger than all casts of changes
-	// together. Full casts are needed because casts are lost when connections break, and because
-	// a new leader in another data centre starts without any loads.
+	// fullLoadInterval is the shortest time between two full casts, which contain the loads of all
+	// targets. In large pools the time between full casts is longer: half of fullLoadPerTarget,
+	// multiplied by the number of targets and by the number of other data centres. Otherwise full
+	// casts would be larger than all casts of changes together. Full casts are needed because
+	// casts are lost when connections break, and because a new leader in another data centre
+	// starts without any loads.
 	fullLoadInterval  = 2 * time.Second
 	fullLoadPerTarget = 10 * time.Millisecond
-	// centresPerMinDelta is the number of other data centres per unit of minDelta, the change in
-	// a target's number of runs from which on its load is cast. Each change goes to all other
-	// data centres over two connections, so that with fourteen data centres loads took twelve
-	// times the processor time that a daemon may spend on control. A leader sends to remote
-	// targets what its local ones can't take, and has the more targets to choose from the more
-	// data centres there are. It needs to know which targets are free, but not exactly how many
-	// free slots they have.
+	// centresPerMinDelta defines how minDelta grows with the number of other data centres.
+	// minDelta is the smallest change in a target's number of runs that is cast: 1, plus 1 for
+	// each centresPerMinDelta other data centres. Each change goes to all other data centres, over
+	// two connections to each. With fourteen data centres, casting every change took twelve times
+	// the processor time that a daemon may spend on control. Leaving out small changes does little
+	// harm: a leader sends requests to remote targets only if its local targets can't take them,
+	// and the more data centres there are, the more remote targets it can choose from. It needs to
+	// know which remote targets are free, but not exactly how many free slots they have.
 	centresPerMinDelta = 4
-	// paceScale is the number that stands for a pace of 1.0 in messages.
+	// paceScale is the integer that represents a pace of 1.0 in messages.
 	paceScale = 100
 )
 
-// centreLoads is what one other data centre has running on a pool's targets, and when its last
-// cast of loads was received.
+// centreLoads holds the loads that the leader of one other data centre has cast for a pool's
+// targets, and when the last of these casts was received.
 type centreLoads struct {
 	loads      map[yuccaid.Target]receivedLoad
 	receivedAt time.Time
 }
 
-// receivedLoad is the last load received for one target, with the sender and the sequence of
-// the cast that contained it.
+// receivedLoad is the last load received for one target, with the sender and the sequence number
+// of the cast that contained this load.
 type receivedLoad struct {
 	load     yuccawire.TargetLoad
 	origin   string
 	sequence uint64
 }
 
-// merge takes over the loads of a cast, except for targets for which a later cast of the same
-// daemon has already arrived, because one of the two connections may lag. A full cast also
-// removes the loads of targets that it doesn't list. The targets whose load has changed are added
-// to the set changed.
+// merge stores the loads of a cast. One of the two connections may lag, so casts may arrive out of
+// order: if a later cast of the same daemon has already set a target's load, merge keeps that load.
+// A full cast also removes the loads of targets that it doesn't list, because these targets run
+// nothing for that data centre. merge adds the targets whose load has changed to the set changed.
 func (centre *centreLoads) merge(message yuccawire.Cast, changed map[yuccaid.Target]bool) {
 	superseded := func(target yuccaid.Target) bool {
 		last, known := centre.loads[target]
@@ -80,8 +83,9 @@
 	}
 }
 
-// castLoad sends the other data centres the loads of this data centre's runs on its targets:
-// those that have changed since the last cast, and from time to time all.
+// castLoad sends the other data centres the loads that this data centre's runs put on the pool's
+// targets. Most casts contain only the loads that have changed since the last cast. Once the time
+// that fullLoadSpacing returns has passed, a cast contains the loads of all targets.
 func (gate *Gate) castLoad(now time.Time, sched *scheduler) {
 	if now.Sub(sched.loadSentAt) < loadInterval {
 		return
@@ -105,9 +109,10 @@
 	return max(fullLoadInterval, time.Duration(targets*centres)*fullLoadPerTarget/2)
 }
 
-// changedLoads returns the loads to send. If full is set, these are the loads of all targets that
-// have any, and otherwise of those whose number of runs has changed by at least minDelta or whose
-// pace has changed. That a target has become idle is always sent.
+// changedLoads returns the loads to send, and records them as sent. If full is set, it returns the
+// loads of all targets that have any. Otherwise it returns only the loads of targets that are new,
+// whose number of runs has changed by at least minDelta, or whose pace has changed. A target that
+// has become idle is always included.
 func (sched *scheduler) changedLoads(full bool, minDelta int) []yuccawire.TargetLoad {
 	var loads []yuccawire.TargetLoad
 	for target, load := range sched.local.Loads() {
@@ -152,9 +157,10 @@
 	centre.merge(message, sched.remoteChanged)
 }
 
-// dropSilentCentres drops the loads of data centres from which nothing has been received for
-// centreFreshFor. Otherwise their runs would count against the targets' slots for ever, above
-// all if there is no third data centre whose casts would cause the loads to be summed again.
+// dropSilentCentres drops the loads of data centres from which no loads have been received for
+// longer than centreFreshFor. Otherwise the runs of such a data centre would count against the
+// targets' slots for ever, above all if there is no third data centre whose casts would cause the
+// loads to be summed again.
 func (sched *scheduler) dropSilentCentres(now time.Time) {
 	for name, loads := range sched.remoteLoads {
 		if now.Sub(loads.receivedAt) > centreFreshFor {
@@ -164,14 +170,16 @@
 	}
 }
 
-// passRemoteLoads passes the remote loads to local: only those that have changed, since a pool
-// may have thousands of targets, unless remoteReset is set.
+// passRemoteLoads passes the remote loads to local if this daemon leads the pool. It passes only the
+// loads that have changed, because a pool may have thousands of targets. If remoteReset is set, it
+// passes the remote loads of all targets.
 func (sched *scheduler) passRemoteLoads(now time.Time) yuccagrant.Decisions {
 	var dec yuccagrant.Decisions
 	switch {
 	case !sched.leads:
-		// A daemon that becomes the leader passes all remote loads to local. Until then,
-		// changes that nothing reads would pile up for as long as targets come and go.
+		// A daemon that becomes the leader passes all remote loads to local, so it doesn't need
+		// the list of changes from before. If the list were kept, it would grow for as long as
+		// targets come and go, and nothing would read it.
 		clear(sched.remoteChanged)
 		return dec
 	case sched.remoteReset:
@@ -189,7 +197,8 @@
 	return dec
 }
 
-// remoteTotals returns the sum of the remote loads for each target.
+// remoteTotals returns, for each target that another data centre has cast a load of, what
+// remoteTotal returns.
 func (sched *scheduler) remoteTotals() map[yuccaid.Target]yuccagrant.TargetLoad {
 	totals := make(map[yuccaid.Target]yuccagrant.TargetLoad)
 	for _, centre := range sched.remoteLoads {
@@ -203,7 +212,7 @@
 }
 
 // remoteTotal returns the sum of the runs that other data centres have on a target, and the
-// highest pace that any of them reports.
+// highest pace that any of these data centres reports for the target.
 func (sched *scheduler) remoteTotal(target yuccaid.Target) yuccagrant.TargetLoad {
 	var sum yuccagrant.TargetLoad
 	for _, centre := range sched.remoteLoads {
