--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -20,7 +20,8 @@
 	// leader may no longer know the request.
 	waitingTimeout = 400 * time.Millisecond
 	// suspectFor is how long this daemon decides on requests itself after a leader didn't respond
-	// in time. It sends no requests to the leader in that time.
+	// in time. In that time it submits no requests to the leader, unless a message on one of its
+	// requests arrives from the leader.
 	suspectFor = 500 * time.Millisecond
 )
 
@@ -39,8 +40,8 @@
 	// or zero if none is known.
 	leads  bool
 	leader yuccaid.Incarnation
-	// suspectUntil is the time until which no requests are sent to the leader, because it didn't
-	// respond in time.
+	// suspectUntil is the time until which no requests are submitted to the leader, because the
+	// leader didn't respond in time. It is zero if the leader isn't suspected.
 	suspectUntil time.Time
 	// remoteLoads holds, for each other data centre, the loads that its leader has cast.
 	remoteLoads map[yuccaid.Centre]*centreLoads
@@ -179,7 +180,7 @@
 	}
 }
 
-// suspectLeader marks a leader that didn't respond as suspected until suspectFor has passed. It
+// suspectLeader marks a leader that didn't respond as suspected for the time suspectFor. It
 // withdraws the request from the leader, in case the leader has received it, and lets this daemon
 // decide on the request.
 func (gate *Gate) suspectLeader(now time.Time, sched *scheduler, plc *placement) {
--- a/io/yuccagate/desk_test.go
+++ b/io/yuccagate/desk_test.go
@@ -15,8 +15,8 @@
 	return &scheduler{remoteLoads: make(map[yuccaid.Centre]*centreLoads), remoteChanged: make(map[yuccaid.Target]bool)}
 }
 
-// receiveLoads passes a cast of the leader in the data centre austin to the scheduler. If partial
-// is set, the cast contains only changed loads.
+// receiveLoads passes to the scheduler a cast of loads from the pool's leader in the data centre
+// austin. If partial is set, the cast contains only changed loads.
 func (sched *scheduler) receiveLoads(now time.Time, sequence uint64, partial bool, targetLoads ...yuccawire.TargetLoad) {
 	if sched.remoteLoads["austin"] == nil {
 		sched.remoteLoads["austin"] = &centreLoads{loads: make(map[yuccaid.Target]receivedLoad)}
@@ -34,10 +34,10 @@
 	return remoteRuns
 }
 
-// One of two connections between data centres lags. Its casts contain changes that no later cast
-// has contained, and loads that later casts have replaced. If such changes were ignored, targets
-// that are occupied would look free for seconds; if replaced loads were accepted, newer ones would
-// be overwritten.
+// One of two connections between data centres lags, so a cast arrives after later casts. The late
+// cast contains loads of targets that no later cast contains, and loads that a later cast has
+// replaced. If the first kind were ignored, occupied targets would look free for seconds. If the
+// second kind were accepted, older loads would overwrite newer loads.
 func TestMergeOrdersCastsByTarget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
@@ -51,8 +51,8 @@
 	}
 }
 
-// The connections to the only other data centre break. Its last loads would count for ever, and
-// targets that run nothing would look occupied.
+// The connections to the only other data centre break. If the last loads received from it were
+// kept, they would count for ever, and targets that run nothing would look occupied.
 func TestLoadsOfASilentCentreAreDropped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
@@ -67,9 +67,9 @@
 	}
 }
 
-// A daemon that doesn't lead a pool receives loads from daemons that take it for the leader. A list
-// of the changes would grow without bound, so it keeps none, and passes all loads to its scheduler
-// when it becomes the leader.
+// A daemon that doesn't lead a pool receives loads from daemons that take it for the pool's leader.
+// If it kept a list of the changed loads, the list would grow without bound. So the daemon keeps no
+// such list, and passes all loads to its scheduler when it becomes the leader.
 func TestRemoteLoadsAreKeptByLeadersOnly(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
@@ -92,10 +92,10 @@
 	}
 }
 
-// Fourteen data centres send one another each run that starts or finishes, which took twelve
-// times the processor time that a daemon may spend on control. So small changes are left out;
-// but if they never followed, a target that has become idle would look occupied to the other
-// data centres.
+// When fourteen data centres cast a load for each run that started or finished, this took twelve
+// times the processor time that a daemon may spend on control. So small changes of a load aren't
+// sent by themselves. The exception is a change to no runs at all: if it weren't sent, a target that
+// has become idle would look occupied to the other data centres.
 func TestSmallChangesOfLoadsAreNotSent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sched := newRemoteScheduler()
--- a/io/yuccagate/doc.go
+++ b/io/yuccagate/doc.go
@@ -4,8 +4,8 @@
 //
 // Unlike yuccadaemon, which owns requests under ids of its own, a gateway keeps a request only
 // as long as its caller's connection lasts. If that connection breaks, no other daemon takes
-// the request over. The request's route says whether the gateway may send the request to a second
-// target after the first one has failed.
+// the request over. If a target fails after it may have run a request, the request's route says
+// whether the gateway may send the request to another target.
 //
 // The core packages make the decisions: which request goes to which target, what quotas admit,
 // which daemon leads a pool. One control goroutine owns the state that the core packages work on,
--- a/io/yuccagate/drain_test.go
+++ b/io/yuccagate/drain_test.go
@@ -55,9 +55,9 @@
 		Eventually(drained, 5*time.Second).Should(BeClosed())
 	})
 
-	// Requests arrive one after the other on keep-alive connections while the daemon drains and
-	// closes idle connections. If it closed a connection whose next request it has already read,
-	// the request would run, and its caller would get no response.
+	// Callers send one request after the other on keep-alive connections, while the daemon drains
+	// and closes idle connections. If the daemon closed a connection from which it had already
+	// read the next request, the request would run, but its caller would get no response.
 	It("never closes a connection on which it has read a request", func() {
 		eng := newEngine("a", nil)
 		gt := newGate("entry-1")
--- a/io/yuccagate/failure_test.go
+++ b/io/yuccagate/failure_test.go
@@ -13,7 +13,8 @@
 	"yuccacleat/core/yuccaroster"
 )
 
-// failure is a way in which a target fails.
+// failure is a way in which a target fails. The function answer is what such a target does with a
+// request.
 type failure struct {
 	name   string
 	answer http.HandlerFunc
@@ -30,9 +31,10 @@
 		}},
 	}
 
-	// One of two targets fails every request that it gets. A lookup may run twice. A ticket may
-	// run only once, so if it may have run it must not be sent again, and its status has to tell
-	// the caller that it may have run.
+	// One of two targets fails every request that it gets. A request of the route lookup may run
+	// twice. A request of the route ticket may run only once. So if a ticket request may have run
+	// on the failing target, it must not be sent again, and the status of the response has to tell
+	// the caller that the request may have run.
 	DescribeTable("is sent once more only where that does no harm",
 		func(path string, failureIndex int, statuses []int, maxRuns int) {
 			bad := newEngine("bad", failing[failureIndex].answer)
@@ -42,7 +44,8 @@
 			})
 			gt := newGate("entry-1")
 			gt.configure(1, config(), 1, bad, good)
-			// Three concurrent requests reach both targets, whichever is preferred.
+			// Each target has one slot. Three requests are sent at once, so that both targets get
+			// requests, whichever target the gateway prefers.
 			for turn := range 3 {
 				var group sync.WaitGroup
 				for caller := range 3 {
@@ -101,7 +104,8 @@
 		Expect(len(first.requests()) + len(second.requests())).To(Equal(2))
 	})
 
-	// A target accepts the request and never responds, and the request may not be sent again.
+	// A target accepts a request and never responds. The request must not be sent again, because
+	// its route allows only one run, so its caller gets a response only at the deadline.
 	It("gets a response at its deadline that says that it may have run", func() {
 		eng := newEngine("a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
 		gt := newGate("entry-1")
@@ -123,8 +127,9 @@
 })
 
 var _ = Describe("a request that ran and failed", func() {
-	// A lookup fails on its target, and no other target is left. Its caller must not be told
-	// that the request didn't run, because what it changed on the target stays changed.
+	// A request of the route lookup fails on its target, and no other target is left. The caller
+	// must not be told that the request didn't run, because whatever the request changed on the
+	// target stays changed.
 	It("gets the failure, not a promise that it never ran", func() {
 		var gt *gate
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
@@ -153,9 +158,12 @@
 })
 
 var _ = Describe("a target that sends nothing", func() {
-	// A target accepts a request and sends nothing: its response was lost, or it hangs. Without
-	// a second attempt, callers whose requests another target could serve would wait until
-	// their deadline.
+	// A target accepts a request and sends nothing, because the response was lost or because the
+	// target hangs. Without a second attempt, the caller would wait until its deadline although
+	// another target could serve the request.
+	//
+	// startWithSilentTarget starts a gateway with two targets. Whichever target gets the first
+	// request sends nothing in response to it; all later requests are answered.
 	startWithSilentTarget := func(gt **gate, firstName, secondName string) (first, second *engine) {
 		var calls atomic.Int64
 		hangOnFirstCall := func(w http.ResponseWriter, r *http.Request) bool {
--- a/io/yuccagate/fleet_test.go
+++ b/io/yuccagate/fleet_test.go
@@ -70,15 +70,16 @@
 		Accounts: []yuccaroute.Account{
 			{Name: "rally", Keys: []string{"k1"}},
 			{Name: "small", Keys: []string{"k2"}, Quota: yuccaroute.Quota{Rate: 10, Burst: 20, PerToken: true, DefaultTokens: 5}},
-			// In the tests of quotas, quota windows last an hour. At this rate the quota grows by
-			// less than 4 tokens in that time.
+			// In the tests of quotas, a quota window lasts an hour. At this rate the account's
+			// quota grows by less than 4 tokens in an hour, so it hardly grows during a test.
 			{Name: "still", Keys: []string{"k3"}, Quota: yuccaroute.Quota{Rate: 0.001, Burst: 100, PerToken: true, DefaultTokens: 5}},
 		},
 		Limits: yuccaroute.Limits{Header: 4 << 10, Body: 64 << 10, IdleTimeout: 10 * time.Second},
 	}
 }
 
-// decode reads what encode writes, so that gateways can pass configurations to one another.
+// decode parses the text of a configuration that encode has written. The gateways of the tests use
+// it for configurations that they are given and for configurations that they get from one another.
 func decode(raw []byte) (*yuccaroute.Table, error) {
 	var text struct {
 		Number yuccaid.ConfigNumber
@@ -96,12 +97,14 @@
 	return raw
 }
 
-// engine is a target whose responses are defined by a test. It rejects requests for other targets.
+// engine is a target whose responses are defined by a test. It rejects requests that are meant for
+// another target.
 type engine struct {
 	name     string
 	listener net.Listener
 	http     *http.Server
-	// running is the number of requests that are being served, and maxRunning its maximum.
+	// running is the number of requests that are being served. maxRunning is the highest value
+	// that running has had.
 	running    atomic.Int64
 	maxRunning atomic.Int64
 
@@ -116,7 +119,8 @@
 	header                      http.Header
 }
 
-// newEngine starts a target. Without a function answer it responds with its name.
+// newEngine starts a target that responds to requests by calling the function answer. If answer is
+// nil, the target responds with a text that contains its name.
 func newEngine(name string, answer http.HandlerFunc) *engine {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -179,15 +183,16 @@
 	return nil
 }
 
-// all returns all log lines.
+// all returns all log lines as one string, a line of it for each log line.
 func (ln *lines) all() string {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return strings.Join(ln.list, "\n")
 }
 
-// settings returns the settings of a gateway. A VM named after its data centre belongs to a fleet
-// of two data centres in different regions, any other VM to a fleet of one data centre.
+// settings returns the settings of a gateway. If the VM's name starts with the name of its data
+// centre, the gateway belongs to a fleet of two data centres in different regions. Otherwise it
+// belongs to a fleet of one data centre.
 func settings(vm string, centre yuccaid.Centre, peers net.Listener, seeds []string) yuccagate.Settings {
 	regions := map[yuccaid.Centre]yuccaid.Region{centre: "permian"}
 	if strings.HasPrefix(vm, string(centre)) {
@@ -200,12 +205,13 @@
 	}
 }
 
-// newGate starts a gateway.
+// newGate starts a gateway in the data centre odessa.
 func newGate(vm string, seeds ...string) *gate {
 	return newGateIn("odessa", vm, seeds...)
 }
 
-// newGateIn starts a gateway in the data centre.
+// newGateIn starts a gateway in the given data centre, with a listener of its own for connections
+// of peers.
 func newGateIn(centre yuccaid.Centre, vm string, seeds ...string) *gate {
 	return newGateOf(listen(), centre, vm, nil, seeds...)
 }
@@ -216,8 +222,8 @@
 	return listener
 }
 
-// newGateOf starts a gateway that accepts connections of peers on the given listener. The function
-// change, if not nil, changes its settings.
+// newGateOf starts a gateway that accepts connections of peers on the given listener. If the
+// function change isn't nil, it is called to change the gateway's settings before the start.
 func newGateOf(peers net.Listener, centre yuccaid.Centre, vm string, change func(*yuccagate.Settings), seeds ...string) *gate {
 	logged := &lines{}
 	set := settings(vm, centre, peers, seeds)
@@ -230,7 +236,8 @@
 	Expect(err).NotTo(HaveOccurred())
 	gt := &gate{Gate: inner, address: callers.Addr().String(), server: inner.Serve(callers), lines: logged}
 	gt.crash = sync.OnceFunc(func() {
-		// A context that has ended makes Drain cut off open requests at once.
+		// Drain gets a context that has already ended, so that it cuts off open requests at once
+		// instead of waiting for them.
 		ended, end := context.WithCancel(context.Background())
 		end()
 		gt.server.Drain(ended)
@@ -240,8 +247,8 @@
 	return gt
 }
 
-// configure gives a gateway its configuration and its targets, each with the given number of
-// slots.
+// configure gives the gateway a configuration and targets, and waits until both are in use. Each
+// target has the given number of slots.
 func (gt *gate) configure(number yuccaid.ConfigNumber, config yuccaroute.Config, slots int, engines ...*engine) {
 	Expect(gt.OfferConfiguration(encode(number, config), "test")).To(Succeed())
 	var entries []yuccaroster.Entry
@@ -280,7 +287,8 @@
 	return value
 }
 
-// response is a complete response, or the error that ended it.
+// response is a complete response. If err is set, there was no response, or it ended early with
+// this error.
 type response struct {
 	status int
 	header http.Header
@@ -304,7 +312,7 @@
 	return response{resp.StatusCode, resp.Header, string(raw), err}
 }
 
-// busy returns how many runs the gateway's own schedulers count on all targets.
+// busy returns the number of runs that this gateway's schedulers count, summed over all targets.
 func (gt *gate) busy() int {
 	sum := 0
 	for _, pool := range gt.Status().Pools {
@@ -315,7 +323,8 @@
 	return sum
 }
 
-// used returns an account's usage as far as a gateway knows it.
+// used returns the account's usage that this gateway knows of, or zero if it doesn't know the
+// account.
 func (gt *gate) used(account yuccaid.Account) int64 {
 	for _, each := range gt.Status().Accounts {
 		if each.Account == account {
--- a/io/yuccagate/gate.go
+++ b/io/yuccagate/gate.go
@@ -124,7 +124,7 @@
 	// last cast.
 	fullUsageDue bool
 	fullUsageAt  time.Time
-	// resendBudget bounds how many requests are sent to a second target after the first one has
+	// resendBudget bounds how many requests are sent to another target after an attempt has
 	// failed.
 	resendBudget *yuccabudget.Budget
 
--- a/io/yuccagate/gate_test.go
+++ b/io/yuccagate/gate_test.go
@@ -17,7 +17,8 @@
 	"yuccacleat/core/yuccaroster"
 )
 
-// status returns a target's function answer that responds with the code and header fields.
+// status returns a handler, for the field answer of an engine, that responds with the status code
+// and the header fields. The names and values of the fields alternate.
 func status(code int, fields ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for at := 0; at < len(fields); at += 2 {
@@ -77,8 +78,8 @@
 		Entry("what can't be read", call{path: "/ticket/", header: map[string]string{"X-Id": ""}}, http.StatusBadRequest),
 	)
 
-	// A daemon has just been restarted and has no configuration. A status of 404 or 401 would
-	// tell callers that their route or key no longer exists.
+	// A daemon has just been restarted and has no configuration. It must not respond with 404 or
+	// 401, because these would tell callers that their route or their API key no longer exists.
 	It("responds with 503 and a Retry-After before it has a configuration", func() {
 		gt := newGate("entry-1")
 		Expect(gt.Ready()).To(BeFalse())
@@ -87,9 +88,9 @@
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 	})
 
-	// All daemons were killed and have restarted. While they still read their configuration, the
-	// balancer already sends them callers. If a daemon told these callers to retry later, they
-	// would get their responses late.
+	// All daemons were killed and have restarted. The balancer already sends them requests while
+	// they still read their configuration. If a daemon told the callers to retry later, the callers
+	// would get their responses late. So the requests wait for the configuration.
 	It("serves who comes while it reads its first configuration", func() {
 		eng := newEngine("a", nil)
 		gt := newGate("entry-1")
@@ -102,7 +103,8 @@
 		Expect(resp.status).To(Equal(http.StatusOK), resp.body)
 	})
 
-	// A pool has lost targets, and an operator who looks for the reason has only the logs.
+	// A pool has lost targets, and the operator who looks for the reason has only the logs. So the
+	// logs have to name the targets that were registered, are leaving or were removed.
 	It("tells which targets came, are leaving and went", func() {
 		first, second := newEngine("a", nil), newEngine("b", nil)
 		gt := newGate("entry-1")
@@ -131,9 +133,10 @@
 })
 
 var _ = Describe("callers that wait", func() {
-	// A target has two slots, and eight callers send at once. Requests that a target gets beyond
-	// its slots wait there in no defined order, so it may get only a quarter more than its slots,
-	// rounded up to one here.
+	// A target has two slots, and eight callers send at once. If a target gets more requests than
+	// it has slots, the excess requests wait at the target in no defined order. So the number of
+	// requests that a target gets may exceed its slots only by a quarter. A quarter of two slots is
+	// rounded up to one, which gives at most three requests here.
 	It("are served in turn, and targets get only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(30 * time.Millisecond)
@@ -152,8 +155,8 @@
 		Expect(eng.maxRunning.Load()).To(BeNumerically("<=", 3))
 	})
 
-	// A caller leaves while its request waits. If the request were sent all the same, it would
-	// use a slot for a response that no caller reads.
+	// A caller leaves while its request waits for a target. If the request were sent to a target
+	// all the same, it would use a slot for a response that no caller reads.
 	It("have their request withdrawn when they leave", func() {
 		release := make(chan struct{})
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
@@ -193,8 +196,9 @@
 })
 
 var _ = Describe("bytes that are no proper request", func() {
-	// Request smuggling: an attacker sends bytes in which the gateway sees one request and the
-	// target sees two, so that the second one runs without a check of its key.
+	// These tests guard against request smuggling: an attacker sends bytes that the gateway reads
+	// as one request and the target reads as two requests. The second request would then run
+	// without a check of its API key.
 	DescribeTable("reach a target as a single request or not at all",
 		func(raw string, want []int, runs int) {
 			eng := newEngine("a", nil)
--- a/io/yuccagate/listener_test.go
+++ b/io/yuccagate/listener_test.go
@@ -17,14 +17,16 @@
 	return nil
 }
 
-// Callers keep connections open that they don't use. When a new one exceeds the bound, the one
-// that has been idle for longest is closed, because the caller that was served last is the
-// likeliest to send again, and a request that is sent just as its connection is closed is lost.
+// Callers keep connections open that they don't use. When a new connection would exceed the bound,
+// the connection that has been idle for longest is closed. A request is lost if its caller sends it
+// just as the connection is closed, and the caller that was served the longest time ago is the
+// least likely to send a request at that moment.
 func TestLongestIdleConnectionIsClosed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		name string
-		// idle is how long each connection has been idle, zero for one that is in use.
+		// idle is how long each connection has been idle; zero stands for a connection in use.
+		// closed is the index of the connection that has to be closed, or -1 if none has to be.
 		idle   []time.Duration
 		closed int
 	}{
