--- a/io/yuccagate/metrics.go
+++ b/io/yuccagate/metrics.go
@@ -53,13 +53,13 @@
 }
 
 // sent counts an attempt that was sent to a target, and records how long ago its request arrived.
-// Attempts that this daemon decided on without the pool's leader have the label alone.
+// The label alone is "true" if this daemon decided on the attempt without the pool's leader.
 func (met *metrics) sent(rank int, withoutLeader bool, waited time.Duration) {
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_sends_total{tier=%q,alone=\"%t\"}", rankLabel(rank), withoutLeader)).Inc()
 	met.set.GetOrCreateHistogram(fmt.Sprintf("yuccacleat_gate_wait_seconds{tier=%q}", rankLabel(rank))).Update(waited.Seconds())
 }
 
-// resendDecided counts a decision of the resend budget.
+// resendDecided counts whether the resend budget allowed a request to be sent to another target.
 func (met *metrics) resendDecided(allowed bool) {
 	met.set.GetOrCreateCounter(fmt.Sprintf("yuccacleat_gate_resends_total{allowed=\"%t\"}", allowed)).Inc()
 }
--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -35,8 +35,9 @@
 	limits.Write = 1100 * time.Millisecond
 	limits.Handshake = time.Second
 	limits.Dial = time.Second
-	// If all daemons were killed, they restart within some tenths of a second of one another. Until
-	// they are connected, each decides without the other daemons, so they dial again soon.
+	// After all daemons were killed, they restart within some tenths of a second of one another.
+	// Until they are connected, each daemon decides without the others. The backoffs are short, so
+	// that this time is short too.
 	limits.FirstBackoff = 30 * time.Millisecond
 	limits.LastBackoff = 250 * time.Millisecond
 	limits.Linger = 300 * time.Millisecond
@@ -45,7 +46,7 @@
 }
 
 // connCompareInterval is the time between two comparisons of the connections to other daemons that
-// should exist with those that do.
+// should exist with the connections that exist.
 const connCompareInterval = 200 * time.Millisecond
 
 // connFailureLogInterval is the shortest time between two log lines on failed connections to one
@@ -102,16 +103,16 @@
 		gate.settled = settled
 		gate.followLeaders(now)
 	}
-	// The daemons of other data centres to which connections should exist change not only when
-	// daemons join or are removed, but also with time.
+	// The connections that should exist to daemons of other data centres change with time, even if
+	// no daemon joins or is removed. So they are compared regularly.
 	if now.Sub(gate.connsComparedAt) >= connCompareInterval {
 		gate.connsComparedAt = now
 		gate.hub.Connect(gate.peers.WantedConnections())
 	}
 }
 
-// wallSince returns the time that has passed by the wall clock. Unlike the monotonic clock, it
-// continues while a VM is suspended.
+// wallSince returns the time that has passed by the wall clock. Unlike the monotonic clock, the
+// wall clock continues while a VM is suspended.
 func wallSince(now, then time.Time) time.Duration {
 	return now.Round(0).Sub(then.Round(0))
 }
@@ -152,8 +153,9 @@
 	gate.send(message.To, yuccawire.KindPulse, message.Pulse)
 }
 
-// send queues a message for a peer. A message that can't be queued is lost, as if its connection
-// had broken. Messages that need a response are sent again when none arrives in time.
+// send queues a message for a peer. A message that can't be queued is lost, as if the connection to
+// the peer had broken. A message that needs a response is sent again if no response arrives in
+// time.
 func (gate *Gate) send(to yuccaid.Incarnation, kind yuccawire.Kind, body any) {
 	if err := gate.hub.Send(to, kind, body); err != nil {
 		gate.metrics.unsent(kind)
@@ -169,14 +171,16 @@
 	}
 }
 
-// onRoster adds the addresses of daemons that a peer has sent.
+// onRoster handles a peer's list of daemons: it adds their addresses, and dials those daemons to
+// which there should be a connection.
 func (gate *Gate) onRoster(_ time.Time, message peerListings) {
 	gate.peers.AddListings(time.Now(), message.Listings)
 	gate.hub.Connect(gate.peers.WantedConnections())
 }
 
-// onFrame handles one message from an authenticated peer. The work is queued for the control
-// goroutine, so that messages of one peer keep their order.
+// onFrame handles one message from an authenticated peer. Messages are queued for the control
+// goroutine, so that the messages of one peer keep their order. Only configurations are handled at
+// once, on the connection's goroutine (see onTable).
 func (gate *Gate) onFrame(from yuccaid.Incarnation, frame yuccawire.Frame) {
 	if frame.Kind == yuccawire.KindTable {
 		if err := decodeThen(frame, gate.onTable); err != nil {
--- a/io/yuccagate/peers_test.go
+++ b/io/yuccagate/peers_test.go
@@ -28,8 +28,8 @@
 		return first, second
 	}
 
-	// Each daemon gets half of the requests. If each counted only the runs of its own requests,
-	// targets would get twice as many runs as they have slots.
+	// Each daemon gets half of the requests. If each daemon counted only the runs of its own
+	// requests, targets would get twice as many runs as they have slots.
 	It("together give targets only slightly more runs than they have slots", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
 			time.Sleep(40 * time.Millisecond)
@@ -48,8 +48,8 @@
 		Expect(eng.maxRunning.Load()).To(BeNumerically("<=", 3))
 	})
 
-	// The daemon that leads a pool is killed. Requests at the other daemon must not wait until that
-	// is noticed.
+	// The daemon that leads a pool is killed. Requests at the other daemon must not wait until the
+	// loss of the leader is noticed.
 	It("decide alone when the leader is gone", func() {
 		eng := newEngine("a", nil)
 		first, second := startTwo(2, eng)
@@ -88,7 +88,8 @@
 var _ = Describe("gateways of two data centres", func() {
 	// A data centre has lost its connection to the platform, and its daemons are restarted. The
 	// other data centre has the configuration and the targets. If the restarted daemons didn't
-	// request them there, they would refuse every caller because they have no targets.
+	// request the configuration and the targets there, they would refuse every caller, because they
+	// would have no targets.
 	It("get configuration and targets from each other when one can't read them", func() {
 		eng := newEngine("a", nil)
 		reader := newGateIn("odessa", "odessa-1")
@@ -99,9 +100,9 @@
 		Eventually(func() int { return len(disconnected.Status().Targets) }, 5*time.Second).Should(BeZero())
 	})
 
-	// Each of two data centres has two daemons, which find one another through a seed. If the
-	// connections between the data centres were closed once the daemons of each have found one
-	// another, accounts would get their quotas twice.
+	// Each of two data centres has two daemons. All four daemons find one another through one seed.
+	// If the connections between the data centres were closed once the daemons within each data
+	// centre have found one another, accounts would get their quotas twice.
 	It("stay connected and count quotas together", func() {
 		eng := newEngine("a", nil)
 		hourWindow := func(set *yuccagate.Settings) { set.Bounds.QuotaWindow = time.Hour }
@@ -115,8 +116,8 @@
 			gt.configure(1, config(), 4, eng)
 		}
 		connected := func() bool {
-			// The keys say whether a connection leads to another data centre. The daemons count
-			// each connection at both of its ends.
+			// The map's key says whether a connection leads to another data centre. Each connection
+			// is counted twice, because the daemons at both of its ends list it.
 			across := map[bool]int{}
 			for _, gt := range all {
 				for _, peer := range gt.Status().Peers {
@@ -166,9 +167,9 @@
 })
 
 var _ = Describe("gateways that were all restarted", func() {
-	// Until the gateways are connected, each admits requests by itself. If they didn't exchange
-	// what they admitted before, every gateway would admit a whole quota for an account that
-	// sends without pause.
+	// Until the gateways are connected, each gateway admits requests by itself. If the gateways
+	// didn't exchange what they admitted before the connection, every gateway would admit a whole
+	// quota for an account that sends without pause.
 	DescribeTable("count what each admitted before they were connected",
 		func(centre yuccaid.Centre, vm string) {
 			eng := newEngine("a", nil)
--- a/io/yuccagate/placing.go
+++ b/io/yuccagate/placing.go
@@ -8,8 +8,8 @@
 	"yuccacleat/io/yuccawire"
 )
 
-// wireRequest returns the message that describes a placement's request to the leader. It holds
-// deadlines as durations from now.
+// wireRequest returns the message that describes a placement's request to the leader. The message
+// holds deadlines as durations from now.
 func wireRequest(now time.Time, plc *placement) yuccawire.Ask {
 	request := &plc.request
 	return yuccawire.Ask{
@@ -67,9 +67,10 @@
 	return time.Duration(count) * time.Microsecond
 }
 
-// onAsk decides on another daemon's request, and responds if the request has to wait. A daemon
-// that doesn't lead the pool doesn't respond, and the daemon that owns the request then decides on
-// it itself.
+// onAsk submits another daemon's request to this daemon's scheduler. The function apply sends a
+// grant or a refusal to the owner, the daemon that owns the request. If the request has to wait,
+// onAsk tells the owner so. A daemon that doesn't lead the pool doesn't respond, and the owner then
+// decides on the request itself.
 func (gate *Gate) onAsk(now time.Time, from yuccaid.Incarnation, message yuccawire.Ask) {
 	sched := gate.scheduler(now, message.Pool)
 	if !sched.leads {
@@ -82,15 +83,17 @@
 	}
 }
 
-// onWithdrawn removes another daemon's request from the queue.
+// onWithdrawn removes a request from the pool's queue, because the daemon that owns the request has
+// withdrawn it.
 func (gate *Gate) onWithdrawn(now time.Time, from yuccaid.Incarnation, message yuccawire.Withdrawn) {
 	sched := gate.scheduler(now, message.Pool)
 	gate.apply(now, sched, sched.local.Withdraw(now, yuccagrant.ID{Owner: from, Number: message.Number}))
 }
 
 // onPlaced handles the leader's message on one of this daemon's requests: a grant, a refusal, or
-// neither if the request has to wait. A grant for a request that no longer waits for the leader's
-// decision is returned.
+// neither if the request has to wait. If the request no longer waits for the leader's decision, a
+// grant is returned to the leader, and any other message on the request is ignored. In every case
+// the pool's leader is no longer suspected, because its message shows that it responds.
 func (gate *Gate) onPlaced(now time.Time, from yuccaid.Incarnation, message yuccawire.Placed) {
 	plc := gate.placements[message.Number]
 	awaitsLeader := plc != nil && !plc.running && !plc.decidedLocally
@@ -117,9 +120,9 @@
 	}
 }
 
-// returnLateGrant returns the slot of a grant that arrived too late to the leader. The leader then
-// counts no run for the request. If the request runs on another target by now, that run is
-// reported to the leader again.
+// returnLateGrant handles a grant that arrived too late: it tells the leader that the granted slot
+// is free. The leader then counts no run for the request. If the request is already running, its
+// run is therefore reported to the leader again.
 func (gate *Gate) returnLateGrant(now time.Time, from yuccaid.Incarnation, plc *placement, message yuccawire.Placed) {
 	gate.send(from, yuccawire.KindEnded, yuccawire.Ended{Pool: message.Pool, Number: message.Number, Outcome: uint8(yuccagrant.Dropped)})
 	if plc != nil && plc.running {
@@ -127,7 +130,8 @@
 	}
 }
 
-// withdraw removes a waiting request from this daemon's scheduler and from the leader's queue.
+// withdraw removes a waiting request from this daemon's scheduler. If the leader was to decide on
+// the request, it also tells the leader to remove the request from its queue.
 func (gate *Gate) withdraw(now time.Time, sched *scheduler, plc *placement) {
 	gate.apply(now, sched, sched.local.Withdraw(now, plc.request.ID))
 	if !plc.decidedLocally && !sched.leader.IsZero() {
@@ -135,7 +139,8 @@
 	}
 }
 
-// sendStarted reports a run's first event, and the time from sending to that event, to the leader.
+// sendStarted reports to the pool's leader, unless that is this daemon, a run's first event and the
+// time from sending to that event.
 func (gate *Gate) sendStarted(sched *scheduler, plc *placement, timeToFirst time.Duration, load yuccagrant.ReportedLoad) {
 	if !sched.leads && !sched.leader.IsZero() {
 		gate.send(sched.leader, yuccawire.KindBegun, yuccawire.Begun{
@@ -156,7 +161,8 @@
 	gate.apply(now, sched, sched.local.RunFinished(now, finishedFromWire(from, message)))
 }
 
-// onHolding handles another daemon's report of a run that the leader may not know.
+// onHolding handles another daemon's report of a run that the leader may not know. A daemon that
+// doesn't lead the pool ignores the report.
 func (gate *Gate) onHolding(now time.Time, from yuccaid.Incarnation, message yuccawire.Holding) {
 	sched := gate.scheduler(now, message.Ask.Pool)
 	if !sched.leads {
--- a/io/yuccagate/problem.go
+++ b/io/yuccagate/problem.go
@@ -10,7 +10,8 @@
 // Kind is the reason why the gateway itself responds to a request instead of a target.
 type Kind string
 
-// The kinds of problems. Up to KindLeaving, the request has not run and will not run.
+// The kinds of problems. With the kinds up to KindLeaving, the request has not run and will not
+// run. With KindLost and KindTimeout, it may have run.
 const (
 	KindMalformed  Kind = "malformed"
 	KindNoRoute    Kind = "noRoute"
--- a/io/yuccagate/relay.go
+++ b/io/yuccagate/relay.go
@@ -27,10 +27,11 @@
 // Unwrap returns the cause.
 func (err *callerError) Unwrap() error { return err.cause }
 
-// relay copies a target's response to the caller, byte for byte. Once the head has been sent,
-// no other response can replace it. If the response breaks off and can't be resumed, the
-// caller's connection is closed, so that the caller doesn't take a truncated response for a
-// complete one.
+// relay copies a target's response to the caller, byte for byte. Once the response's head has been
+// sent, the gateway can't respond with a problem instead. If the response then breaks off and can't
+// be resumed, the caller's connection is closed, so that the caller doesn't take a truncated
+// response for a complete one. If a stream breaks off before its head has been sent, relay returns
+// a problem.
 func (req *callerRequest) relay(ctx context.Context, att *attempt) *Problem {
 	if !req.isStream(att) {
 		if err := req.relayBody(ctx, att); err != nil {
@@ -65,14 +66,15 @@
 	req.w.WriteHeader(att.answer.Status)
 }
 
-// isStream reports whether the target's response is a stream of events that the route forwards as
-// such.
+// isStream reports whether the target's response is forwarded event by event: the route is a
+// streaming route and the response is a stream of events.
 func (req *callerRequest) isStream(att *attempt) bool {
 	contentType := att.answer.Header.Get("Content-Type")
 	return req.route.Kind == yuccaroute.Stream && strings.HasPrefix(contentType, "text/event-stream")
 }
 
-// finishAttempt frees the target's slot, and reports and logs how the response ended.
+// finishAttempt frees the target's slot, and reports to the schedulers and logs how the response
+// ended.
 func (req *callerRequest) finishAttempt(ctx context.Context, att *attempt, result yuccagrant.Finished, err error) {
 	result.Load = att.report.Load
 	result.Outcome = outcomeOf(ctx, att, err)
@@ -95,8 +97,8 @@
 	req.logStep("answered", append(fields, "afterMillis", time.Since(req.arrivedAt).Milliseconds())...)
 }
 
-// outcomeOf returns the outcome of a response that ended with the error, which is nil if it is
-// complete.
+// outcomeOf returns the outcome of a response that ended with the error. The error is nil if the
+// response is complete.
 func outcomeOf(ctx context.Context, att *attempt, err error) yuccagrant.Outcome {
 	var writeFailed *callerError
 	switch {
@@ -143,8 +145,8 @@
 // be resumed.
 //
 // If streams weren't resumed, the caller of a long response whose target crashes would lose the
-// whole response, or retry and have it generated again. A target that resumes it only has to read
-// the prompt again.
+// whole response, or retry and have it generated again. A target that resumes the stream only has
+// to read the prompt again.
 func (req *callerRequest) resume(ctx context.Context, st *stream, att *attempt) *attempt {
 	req.streamBrokeAt = time.Now()
 	for req.shouldResend(yuccagrant.Broken, att) {
@@ -170,16 +172,18 @@
 	return nil
 }
 
-// stream is a stream that is copied to its caller, from one target after another if it is resumed.
+// stream is the response to one caller as a stream of events. If the stream is resumed, its events
+// come from one target after another.
 type stream struct {
 	req *callerRequest
-	// lastEventID is the id of the last event that the caller has received.
+	// lastEventID is the id of the last event that the caller has received. At first it is the id
+	// that the caller's request states, or empty.
 	lastEventID string
 	// headSent reports whether the response's head has been sent to the caller.
 	headSent bool
 	// lastEventAt is when the last event was received from a target, zero if none was.
 	lastEventAt time.Time
-	// result describes the run on the present target as far as it has got.
+	// result describes the run on the present target, up to the last event that has arrived.
 	result yuccagrant.Finished
 }
 
@@ -269,8 +273,8 @@
 	return err == nil && eventNumber <= lastNumber
 }
 
-// sendHead sends the head of the first target's response, which stays in effect when the stream
-// is resumed.
+// sendHead sends the head of the first target's response to the caller. When the stream is resumed,
+// the heads of later targets' responses are not sent.
 func (st *stream) sendHead(att *attempt) {
 	if !st.headSent {
 		st.headSent = true
@@ -278,8 +282,8 @@
 	}
 }
 
-// recordEvents updates the result after events have arrived; the first one arrived at
-// firstEventAt.
+// recordEvents updates the result after events have arrived. The present run's first event arrived
+// at firstEventAt.
 func (st *stream) recordEvents(now, firstEventAt time.Time, events int) {
 	if st.result.Events > 0 {
 		st.result.LongestGap = max(st.result.LongestGap, now.Sub(st.lastEventAt))
--- a/io/yuccagate/request.go
+++ b/io/yuccagate/request.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// defaultTimeout bounds the time of a request whose caller states none.
+	// defaultTimeout bounds the time of a request whose caller states no remaining time.
 	defaultTimeout = time.Minute
 	// notReadyRetryAfter is the retry-after of a daemon that has no configuration yet.
 	notReadyRetryAfter = 500 * time.Millisecond
@@ -54,19 +54,20 @@
 	// reserved is the memory that is reserved for the request.
 	reserved yuccaid.Bytes
 
-	// sends is the number of attempts, and tried the targets that they were sent to.
+	// sends is the number of attempts to have the request served, and tried holds the target of
+	// each attempt.
 	sends int
 	tried []yuccaid.Target
 	// streamBrokeAt is when the stream to the caller broke off, zero if it didn't.
 	streamBrokeAt time.Time
-	// arrivals counts the attempts that reached or may have reached a target, and runs the
+	// arrivals counts the attempts that reached or may have reached a target. runs counts the
 	// attempts that a target ran or may have run.
 	arrivals int
 	runs     int
-	// quotaChecked reports whether the quota has been checked. charged reports whether the
-	// request was admitted and counted against it, and overQuota whether it was admitted beyond
-	// the account's quota, within the tolerance. All three belong to the control goroutine until
-	// the first decision on the request.
+	// quotaChecked reports whether the quota has been checked. charged reports whether the request
+	// was admitted and, if it has an account, counted against the quota. overQuota reports whether
+	// the request was admitted beyond the account's quota, within the tolerance. All three fields
+	// belong to the control goroutine until the first decision on the request.
 	quotaChecked bool
 	charged      bool
 	overQuota    bool
@@ -79,7 +80,8 @@
 	if gate.draining() {
 		w.Header().Set("Connection", "close")
 	}
-	// Refused requests don't count as open, so that they don't delay the end of the drain.
+	// Requests that are refused because the daemon is leaving don't count as open, so that they
+	// don't delay the end of the drain.
 	if gate.refusesAll(req.arrivedAt) {
 		req.refuse(&Problem{Kind: KindLeaving, RetryAfter: leavingRetryAfter})
 		return
@@ -226,8 +228,8 @@
 		return &Problem{Kind: KindTooLarge}
 	}
 	// If the read deadline stayed set and passed while the request is served, the server would
-	// take it for the caller's leaving. After a failure it stays set, because otherwise the server
-	// would wait for the rest of the body before it responds.
+	// conclude that the caller has left. After a failure the read deadline stays set, because
+	// otherwise the server would wait for the rest of the body before it responds.
 	_ = control.SetReadDeadline(time.Time{})
 	req.forwardHeader = forwardableHeader(r.Header)
 	req.outgoing = yuccahop.Outgoing{Method: r.Method, URI: r.RequestURI, Host: r.Host, Body: raw}
@@ -257,7 +259,7 @@
 	return header
 }
 
-// schedulerRequest returns the description of the request that schedulers decide on.
+// schedulerRequest returns what schedulers need to know of the request to decide on it.
 func (req *callerRequest) schedulerRequest() yuccagrant.Request {
 	request := yuccagrant.Request{
 		Class: req.class(), Tier: req.tier(), Rank: req.route.Rank, OverQuota: req.overQuota, Prompt: req.info.Prompt, Answer: req.info.Answer,
@@ -290,8 +292,8 @@
 	return min(max(req.route.Rank, 0), maxMetricRank)
 }
 
-// configurationNumber returns the number of the configuration that applies to the request, or
-// zero.
+// configurationNumber returns the number of the configuration that applies to the request, or zero
+// if the daemon has no configuration yet.
 func (req *callerRequest) configurationNumber() yuccaid.ConfigNumber {
 	if req.table == nil {
 		return 0
@@ -299,7 +301,8 @@
 	return req.table.Number()
 }
 
-// maxMetricRank is the largest rank that metrics distinguish; larger ranks are counted under it.
+// maxMetricRank is the largest rank that metrics distinguish. Requests of larger ranks are counted
+// under this rank.
 const maxMetricRank = 9
 
 // tier returns the tier that schedulers compare before the route's rank: the account's rank, or
@@ -311,13 +314,14 @@
 	return 0
 }
 
-// class returns a hash of the request's account and route, by which schedulers tell them apart.
+// class returns a hash of the request's account and route. Schedulers use the hash to tell requests
+// of different accounts or routes apart.
 func (req *callerRequest) class() yuccagrant.Class {
 	return yuccagrant.Class(xxhash.Sum64String(string(req.accountName()) + "\x00" + req.route.Name))
 }
 
-// targetHeader returns the header of the request as it is sent to a target, which continues a
-// stream after the event lastEventID if that is set.
+// targetHeader returns the header of the request as it is sent to a target. If lastEventID is set,
+// the header asks the target to continue the stream after the event with that id.
 func (req *callerRequest) targetHeader(now time.Time, target yuccaid.Target, lastEventID string) http.Header {
 	header := req.forwardHeader.Clone()
 	info := ForwardInfo{Target: target, Remaining: req.deadline.Sub(now), LastEventID: lastEventID}
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// firstReadBytes is the memory reserved for a body before any of it has arrived, because a
-	// caller may announce megabytes and send nothing. The buffer then grows with what arrives.
+	// firstReadBytes is the most memory that is reserved for a body before any of the body has
+	// arrived. It is small because a caller may announce megabytes and send nothing. The buffer
+	// then grows with what arrives.
 	firstReadBytes = 8 << 10
 	// memoryRetryAfter is the retry-after of requests that are refused because the daemon's
 	// memory for requests is used up.
 	memoryRetryAfter = 500 * time.Millisecond
-	// rejectedNotReadyFor is how long after it rejected a caller's connection a daemon reports
-	// that it isn't ready. The balancer checks once a second whether a daemon is ready and takes
-	// it out after two failed checks.
+	// rejectedNotReadyFor is how long a daemon reports that it isn't ready after it has rejected a
+	// caller's connection. The balancer checks once a second whether a daemon is ready, and stops
+	// sending callers to the daemon after two failed checks.
 	rejectedNotReadyFor = 3 * time.Second
-	// detailMemory is the detail of a KindBusy problem for lack of memory. It distinguishes it
-	// from one for a full queue.
+	// detailMemory is the detail of a KindBusy problem for lack of memory. It tells such a problem
+	// from a KindBusy problem for a full queue.
 	detailMemory = "memory"
 )
 
@@ -57,8 +58,9 @@
 	return mem.limiter.Reserved()
 }
 
-// connRejected records that a caller's connection was rejected because the bound on connections
-// was reached. A rejection is logged only if there was none within rejectedNotReadyFor before.
+// connRejected records that a caller's connection was rejected because the bound on connections was
+// reached. The rejection is logged only if no other connection was rejected within
+// rejectedNotReadyFor before it.
 func (gate *Gate) connRejected(now time.Time) {
 	gate.metrics.connRejected()
 	if previous := gate.callerRejectedAt.Swap(now.UnixNano()); now.Sub(time.Unix(0, previous)) > rejectedNotReadyFor {
--- a/io/yuccagate/room_test.go
+++ b/io/yuccagate/room_test.go
@@ -41,8 +41,8 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: desk.example\r\nX-Id: %s\r\nX-Key: k1\r\nContent-Length: %d\r\n\r\n", path, id, length)
 }
 
-// readStatus reads one response and returns its status, or zero if the connection ended first.
-// If neither happens within a minute, the test fails.
+// readStatus reads one response and returns its status, or zero if the connection ended first. If
+// the connection gives neither a response nor its end within a minute, the test fails.
 func readStatus(conn net.Conn) int {
 	Expect(conn.SetReadDeadline(time.Now().Add(time.Minute))).To(Succeed())
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -87,8 +87,8 @@
 	})
 
 	// Callers announce long prompts, send most of them and then stop. If the gateway kept what it
-	// received without a bound, its process would exceed the VM's memory and be killed, with
-	// every request that it holds.
+	// received without a bound, its process would exceed the VM's memory and be killed, and every
+	// request that it holds would be lost.
 	It("refuses bodies that its memory has no room for, urgent ones last", func() {
 		eng := newEngine("a", nil)
 		gt := newGateWithLimits(8<<20, 0)
@@ -107,8 +107,8 @@
 		Expect(gt.lines.all()).To(ContainSubstring("memory"))
 	})
 
-	// Requests end with a response or because their caller leaves. If one of these ways didn't free
-	// their memory, the daemon would sooner or later refuse every request.
+	// A request ends with a response or because its caller leaves. If either way of ending didn't
+	// free the request's memory, the daemon would sooner or later refuse every request.
 	It("frees all memory of requests that have ended", func() {
 		eng := newEngine("a", nil)
 		gt := newGateWithLimits(8<<20, 0)
@@ -124,8 +124,8 @@
 	})
 
 	// The process has file descriptors for sixteen callers. All have been served and keep their
-	// connections open. One more caller arrives: one idle connection is closed for it, and the
-	// other connections are not affected.
+	// connections open. One more caller arrives. One idle connection is closed to make room for
+	// this caller, and the other connections are not affected.
 	It("closes one idle connection when a caller finds no room", func() {
 		gt := newGateWithLimits(0, 1)
 		longIdle := config()
@@ -152,10 +152,10 @@
 		Expect(closed).To(Equal(1))
 	})
 
-	// All sixteen callers wait for their responses. The connection of one more is closed before
-	// anything is read from it, so the caller may send even a request that must run only once
-	// to another daemon. The gateway reports for a while that it isn't ready, so that the
-	// balancer sends it no callers.
+	// All sixteen callers wait for their responses. The connection of one more caller is closed
+	// before anything is read from it. So this caller may send its request to another daemon, even
+	// if the request must run only once. The gateway then reports for a while that it isn't ready,
+	// so that the balancer sends no callers to this gateway.
 	It("rejects connections unread while all others are being served, and isn't ready then", func() {
 		release := make(chan struct{})
 		eng := newEngine("a", func(w http.ResponseWriter, _ *http.Request) {
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxUnrunSends bounds how often a request is sent in all if the last target certainly didn't
-	// run it. A second target is likely to accept it, and if all targets reject everything,
-	// further attempts would only add load.
+	// maxUnrunSends is the number of sends after which a request isn't sent again even if the last
+	// target certainly didn't run it. A second target is likely to accept it, and if all targets
+	// reject everything, further attempts would only add load.
 	maxUnrunSends = 3
 	// unservedRetryAfter is the retry-after of requests that no target has run.
 	unservedRetryAfter = 500 * time.Millisecond
@@ -24,8 +24,8 @@
 type attempt struct {
 	plc    *placement
 	sentAt time.Time
-	// answer is the target's response, nil if none came, and report what the target stated with
-	// it.
+	// answer is the target's response, nil if none came. report is what the response's status and
+	// header say about the target and the run.
 	answer   *yuccahop.Answer
 	report   TargetReport
 	watchdog *watchdog
@@ -39,8 +39,9 @@
 	att.watchdog.stop()
 }
 
-// run sends the request to a target and relays the response. If the first target certainly
-// didn't run the request, or the request may be repeated, run tries another target.
+// run sends the request to a target and relays the response. If a target fails, run tries another
+// target, provided that the failed target certainly didn't run the request or that the request may
+// be repeated.
 func (req *callerRequest) run(ctx context.Context) *Problem {
 	// failure is the last attempt if a target responded to it with an error. It is kept until
 	// another target is found: if there is none, its response is relayed.
@@ -48,8 +49,8 @@
 	for {
 		plc, dec, prob := req.awaitTarget(ctx)
 		if prob != nil && failure != nil && ctx.Err() == nil {
-			// The request ran, so responding that it didn't would be wrong. The target's own
-			// error response tells the caller more than one of the gateway's would.
+			// The request ran, so responding that it didn't would be wrong. The target's own error
+			// response tells the caller more than a response of the gateway would.
 			req.logDecision("kept", "kind", prob.Kind, "detail", prob.Detail, "status", failure.answer.Status, "target", failure.plc.target)
 			return req.relay(ctx, failure)
 		}
@@ -79,15 +80,15 @@
 	}
 }
 
-// drop closes an attempt that another one replaces, if there is one.
+// drop closes an attempt that another attempt replaces. It does nothing if the attempt is nil.
 func (att *attempt) drop() {
 	if att != nil {
 		att.close()
 	}
 }
 
-// awaitTarget waits for a target. If the request has run before, the returned problem never
-// states that it hasn't.
+// awaitTarget waits for a target. If the request has run before, the returned problem never states
+// that the request hasn't run.
 func (req *callerRequest) awaitTarget(ctx context.Context) (*placement, decision, *Problem) {
 	plc, dec, err := req.gate.acquire(ctx, req)
 	var prob *Problem
@@ -106,7 +107,7 @@
 }
 
 // shouldResend reports whether the request may be sent to another target after an outcome, and if
-// so counts the resend against the budget.
+// so counts the resend against the budget, unless the attempt's watchdog has already counted it.
 func (req *callerRequest) shouldResend(outcome yuccagrant.Outcome, att *attempt) bool {
 	allowed, reason := req.mayRepeat(outcome)
 	if allowed && !att.watchdog.resendCharged.Load() && !req.gate.allowResend(req) {
--- a/io/yuccagate/seen.go
+++ b/io/yuccagate/seen.go
@@ -1,18 +1,18 @@
 package yuccagate
 
-// sequenceWindowSize is by how many sequence numbers a cast may be behind the latest one and still
-// be recognised as new or repeated. A daemon sends some tens of casts a second at most, so 64
-// casts cover at least a second.
+// sequenceWindowSize is by how many sequence numbers a cast may be behind the latest cast for the
+// window to still know whether the cast is new or repeated. A daemon sends some tens of casts a
+// second at most, so 64 casts cover at least a second.
 const sequenceWindowSize = 64
 
 // sequenceWindow records which casts of a series have arrived. Each cast arrives over two
-// connections, one of which may lag. A cast that arrives after a later one has to be accepted the
-// first time, and only then.
+// connections, one of which may lag. A cast that arrives after a later cast has to be accepted, but
+// only once.
 type sequenceWindow struct {
 	// latest is the highest sequence number that has arrived, zero if none has.
 	latest uint64
-	// earlier has a bit for each of the sequenceWindowSize casts before the latest one, set if it
-	// has arrived. The lowest bit stands for the cast just before the latest.
+	// earlier has a bit for each of the sequenceWindowSize casts before the latest one. The bit is
+	// set if its cast has arrived. The lowest bit stands for the cast just before the latest.
 	earlier uint64
 }
 
--- a/io/yuccagate/seen_test.go
+++ b/io/yuccagate/seen_test.go
@@ -8,8 +8,8 @@
 
 // Casts of a data centre arrive over two connections, one of which lags by some casts. If a cast
 // arrives for the first time on the lagging connection, it must be accepted even after a later
-// cast, because otherwise a change would be missing for seconds. A cast that is accepted twice
-// would count twice.
+// cast, because otherwise the change in that cast would be missing for seconds. A cast must not be
+// accepted twice, because its content would then count twice.
 func TestSequenceWindowAcceptsEachCastOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sent := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 200), 1, 60, rapid.ID[uint64]).Draw(t, "sent")
--- a/io/yuccagate/serve.go
+++ b/io/yuccagate/serve.go
@@ -30,8 +30,8 @@
 	gate     *Gate
 	listener *Listener
 	http     *http.Server
-	// errs receives the error if the server stops although it was not closed, and stop is closed
-	// when it is closed.
+	// errs receives the error if the server stops although it was not closed. stop is closed when
+	// the server is closed.
 	errs      chan error
 	stop      chan struct{}
 	drainOnce sync.Once
@@ -93,8 +93,8 @@
 	close(srv.stop)
 	_ = srv.listener.Close()
 	srv.listener.CloseIdle(time.Now())
-	// Requests that arrived on the last accepted connections are refused by now; wait for those
-	// responses to be written.
+	// Requests that arrived on the last accepted connections are refused by now. Wait until the
+	// responses to these requests are written.
 	for start := time.Now(); srv.gate.openRequests.Load() > 0 && time.Since(start) < lastResponseWait && ctx.Err() == nil; {
 		time.Sleep(drainPollInterval)
 	}
--- a/io/yuccagate/settings.go
+++ b/io/yuccagate/settings.go
@@ -15,8 +15,8 @@
 	Centre yuccaid.Centre
 	// Regions holds the region of each data centre.
 	Regions map[yuccaid.Centre]yuccaid.Region
-	// Address is where other daemons reach this one. Seeds are addresses of daemons that this
-	// one connects to first.
+	// Address is where other daemons reach this daemon. Seeds are the addresses of daemons to which
+	// this daemon connects first.
 	Address string
 	Seeds   []string
 	// Key is the secret by which the daemons of one fleet authenticate one another.
--- a/io/yuccagate/silence.go
+++ b/io/yuccagate/silence.go
@@ -13,8 +13,9 @@
 	// yuccagrant, plus the variation that occurs on a target that runs a large batch.
 	watchdogRatio = 3
 	watchdogSlack = 300 * time.Millisecond
-	// watchdogGaps is the gap between two events, as a multiple of the route's MaxGap, after which
-	// the target has most likely stopped. Callers leave after a gap of eight times MaxGap.
+	// watchdogGaps is the gap between two events after which the target has most likely stopped, as
+	// a multiple of the route's MaxGap or of watchdogSlack, whichever is longer. Callers wait for
+	// at least eight times MaxGap before they leave.
 	watchdogGaps = 4
 )
 
@@ -23,16 +24,16 @@
 // watchdog cancels an attempt whose target sends nothing for too long, if the request may be
 // sent to another target.
 //
-// A target may lose a response, or hang, while its connection stays open. Without a watchdog
-// the request would wait there until its caller leaves, although another target could have
+// A target may lose a response, or hang, while its connection stays open. Without a watchdog the
+// request would wait at that target until its caller leaves, although another target could have
 // served it in time.
 type watchdog struct {
 	req *callerRequest
-	// timer calls fire, nil if the attempt may not be cancelled.
+	// timer calls fire. It is nil if the watchdog may not cancel the attempt.
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
-	// resendCharged reports whether the resend that follows has been counted against the resend
-	// budget.
+	// resendCharged reports whether the watchdog has cancelled the attempt, and has already counted
+	// the resend that follows against the resend budget.
 	resendCharged atomic.Bool
 }
 
--- a/io/yuccagate/status.go
+++ b/io/yuccagate/status.go
@@ -17,11 +17,11 @@
 	Ready   bool           `json:"ready"`
 	// Leaving reports whether the daemon is draining.
 	Leaving bool `json:"leaving"`
-	// Number is the number of the configuration in force, or zero.
+	// Number is the number of the configuration in force, or zero if there is none.
 	Number yuccaid.ConfigNumber `json:"number"`
 	// SkipsPlatformReads reports whether another daemon reads the platform for this one.
-	// PlatformAgeMillis is how many milliseconds ago the platform last responded to this daemon
-	// or one that reads for it, or -1 if it never did.
+	// PlatformAgeMillis is how many milliseconds ago the platform last responded to this daemon or
+	// to a daemon that reads for it, or -1 if it never did.
 	SkipsPlatformReads bool         `json:"rests"`
 	PlatformAgeMillis  int64        `json:"platformMillis"`
 	Peers              []PeerStatus `json:"peers"`
@@ -36,7 +36,7 @@
 	Accounts []AccountStatus `json:"accounts"`
 }
 
-// PeerStatus is one other daemon that this one is connected to.
+// PeerStatus is another daemon to which this daemon is connected.
 type PeerStatus struct {
 	VM      yuccaid.VM     `json:"vm"`
 	Centre  yuccaid.Centre `json:"centre"`
@@ -61,7 +61,7 @@
 }
 
 // AccountStatus is an account's usage within its quota's window by all daemons, as far as this
-// one has received it, and the limit that applies to it.
+// daemon has received it, and the limit that applies to that usage.
 type AccountStatus struct {
 	Account yuccaid.Account `json:"account"`
 	Used    int64           `json:"used"`
--- a/io/yuccagate/stream_test.go
+++ b/io/yuccagate/stream_test.go
@@ -13,7 +13,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// writeEvents writes the events with the ids from and to and those between, with a gap after each.
+// writeEvents writes the events whose ids run from the parameter from to the parameter to, both
+// included, with a gap after each event.
 func writeEvents(w http.ResponseWriter, from, to int, gap time.Duration) {
 	for at := from; at <= to; at++ {
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", at, at)
@@ -22,7 +23,8 @@
 	}
 }
 
-// streamEvents returns a target's function answer that responds with a stream of these events.
+// streamEvents returns a target's handler that responds with a stream of the events that
+// writeEvents writes.
 func streamEvents(from, to int, gap time.Duration) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -132,8 +134,8 @@
 		Expect(runs).To(Equal(2))
 	})
 
-	// A caller closes its connection in the middle of a stream. If the request weren't cancelled
-	// at the target, that would go on generating events that no caller reads.
+	// A caller closes its connection in the middle of a stream. If the request weren't cancelled at
+	// the target, the target would go on generating events that no caller reads.
 	It("ends at the target when its caller leaves", func() {
 		eng := newEngine("a", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -19,8 +19,9 @@
 	// the platform for its data centre, to the other daemons there. A report states when the
 	// platform last responded.
 	platformReportInterval = 300 * time.Millisecond
-	// readerRole is the key under which the data centre chooses its reader. No pool has this
-	// name, since names of pools have no spaces.
+	// readerRole stands for the name of a pool when the data centre chooses its reader, because the
+	// reader is chosen in the same way as the leader of a pool. The role can't collide with a pool,
+	// since names of pools have no spaces.
 	readerRole = yuccaid.Pool("reader of the platform")
 	// platformStaleAfter is the age of the platform's last response to the reader at which
 	// every daemon reads the platform itself. It is slightly longer than one of the reader's
@@ -42,14 +43,14 @@
 	receivedAt time.Time
 }
 
-// OfferTargets takes registrations of targets, and removals of registrations, as read from the
-// platform at its revision at. If whole is set, entries are all registered targets. If sure is
-// not set, removals are tentative.
+// OfferTargets takes registrations of targets, and removals of registrations, that this daemon has
+// read from the platform. The parameter at is the platform's revision up to which they were read.
+// If whole is set, entries are all registered targets. If sure is not set, removals are tentative.
 //
-// Changes are forwarded to the other daemons of the data centre, which then need not read them.
-// Whole lists are not forwarded, because a hundred daemons that start together would each send
-// a thousand targets to all others. A daemon that lacks targets requests them once this
-// daemon reports a higher revision.
+// The reader forwards changes to the other daemons of the data centre, which then need not read the
+// platform. Whole lists are not forwarded, because a hundred daemons that start together would each
+// send a thousand targets to all others. A daemon that lacks targets requests them once this daemon
+// reports a higher revision.
 func (gate *Gate) OfferTargets(entries []yuccaroster.Entry, removals []yuccaroster.Removal, whole bool, at yuccaroster.Revision, sure bool) {
 	message := yuccawire.Targets{Entries: entries, Removals: removals, Whole: whole, At: at, Sure: sure}
 	gate.control.Post(func(now time.Time) {
@@ -85,7 +86,7 @@
 }
 
 // MaySkipPlatformReads reports whether this daemon need not read the platform because another
-// daemon reads it and sends its changes.
+// daemon reads the platform and sends the changes to this daemon.
 func (gate *Gate) MaySkipPlatformReads() bool { return gate.skipsPlatformReads.Load() }
 
 // isReader reports whether this daemon is the one that reads the platform for its data centre.
@@ -97,9 +98,9 @@
 // tickReader reports to the data centre's other daemons when the platform last responded if this
 // daemon is the reader, and otherwise decides whether this daemon may skip reading the platform.
 //
-// Calls to the platform count against a rate limit of the whole fleet, and each is paid for, so
-// one daemon of a data centre reads for all. If that daemon's process ends or hangs, or it
-// loses its connection to the platform, its report grows old, and then all daemons read the
+// Calls to the platform count against a rate limit of the whole fleet, and each is paid for, so one
+// daemon of a data centre, the reader, reads for all. If the reader's process ends or hangs, or the
+// reader loses its connection to the platform, its last report grows old. Then all daemons read the
 // platform themselves.
 func (gate *Gate) tickReader(now time.Time) {
 	isReader := gate.isReader(now)
@@ -134,7 +135,8 @@
 	}
 }
 
-// pullTargets requests the targets from a peer if the peer has read up to a higher revision.
+// pullTargets requests the targets from a peer. The peer sends them only if it has read up to a
+// higher revision.
 func (gate *Gate) pullTargets(now time.Time, from yuccaid.Incarnation) {
 	gate.targetsPulledAt = now
 	gate.send(from, yuccawire.KindTargetsPull, yuccawire.TargetsPull{Have: gate.platformRevision})
@@ -239,7 +241,8 @@
 	gate.log.stateChange("targets", fields...)
 }
 
-// targetsOf returns a pool's targets. Those in other regions are marked as remote.
+// targetsOf returns a pool's targets. Targets in other regions than this daemon are marked as
+// remote.
 func (gate *Gate) targetsOf(sched *scheduler) []yuccagrant.Target {
 	usable := gate.roster.Usable(sched.pool)
 	list := make([]yuccagrant.Target, 0, len(usable))
@@ -254,9 +257,9 @@
 	return list
 }
 
-// deciderCount returns how many daemons share the pool's slots when this one decides: one if it
-// leads the pool. If it decides without the leader, the other daemons of its data centre are
-// assumed to do so too, and each uses its share of the slots.
+// deciderCount returns how many daemons share the pool's slots when this daemon decides. If this
+// daemon leads the pool, it is the only one. If it decides without the leader, it assumes that the
+// other daemons of its data centre do so too, and each daemon uses an equal share of the slots.
 func (gate *Gate) deciderCount(sched *scheduler) int {
 	if sched.leads {
 		return 1
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -12,18 +12,18 @@
 // placement is one request's wait for a target and its run there. Apart from the channel
 // decision, it belongs to the control goroutine.
 type placement struct {
-	// req is the caller's request. Of its fields, the control goroutine may read only those
-	// that no longer change.
+	// req is the caller's request. Of its fields, the control goroutine may read only those that no
+	// longer change and those that belong to the control goroutine.
 	req  *callerRequest
 	pool yuccaid.Pool
-	// request is the description of req that schedulers decide on.
+	// request holds what schedulers need to know of req to decide on it.
 	request yuccagrant.Request
 	// decision receives the one decision on the placement.
 	decision chan decision
 
-	// submittedAt is when the request was last submitted, and waitConfirmedAt when the pool's
-	// leader last responded that the request waits, zero if it hasn't since then. If
-	// decidedLocally is set, this daemon decides on the request, not the leader.
+	// submittedAt is when the request was last submitted. waitConfirmedAt is when the pool's leader
+	// last responded that the request waits, zero if the leader hasn't since the request was
+	// submitted. If decidedLocally is set, this daemon decides on the request, not the leader.
 	submittedAt     time.Time
 	waitConfirmedAt time.Time
 	decidedLocally  bool
@@ -52,7 +52,7 @@
 type decisionInputs struct {
 	leader yuccaid.VM
 	// expectedFirst is the predicted time from sending to the first event, and busy the number of
-	// runs that the target had before.
+	// runs that the target had before this request.
 	expectedFirst time.Duration
 	busy          int
 	// platformRevision is the revision up to which the platform had been read, and platformAge
@@ -76,7 +76,9 @@
 	}
 }
 
-// place submits a request. The first time, it charges the request to its account's quota before.
+// place submits a request to the scheduler of its pool. Before the first submission, place charges
+// the request to its account's quota. If the quota refuses the request, the decision is the
+// problem.
 func (gate *Gate) place(now time.Time, req *callerRequest, plc *placement) {
 	if !req.quotaChecked {
 		req.quotaChecked = true
@@ -128,8 +130,8 @@
 	gate.reportFinished(now, gate.scheduler(now, plc.pool), result)
 }
 
-// chargeResend reports whether the resend budget allows to send a request that has reached a
-// target to another one, and counts the resend if so.
+// chargeResend reports whether the resend budget allows a request that has reached one target to be
+// sent to another target. If so, it counts the resend.
 func (gate *Gate) chargeResend(pool yuccaid.Pool) bool {
 	allowed := false
 	gate.control.Call(func(now time.Time) {
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -9,8 +9,9 @@
 )
 
 const (
-	// usageRole is the key under which the data centre chooses the daemon that casts its usage
-	// to the other data centres. No pool has this name, since names of pools have no spaces.
+	// usageRole stands for the name of a pool when the data centre chooses the daemon that casts
+	// its usage to the other data centres, because that daemon is chosen in the same way as the
+	// leader of a pool. The role can't collide with a pool, since names of pools have no spaces.
 	usageRole = yuccaid.Pool("use of quotas")
 	// usageIntervalPerPeer, multiplied by the number of peers in the data centre, is the time
 	// between two reports of usage. Each report goes to all of these peers, so with a fixed
@@ -19,14 +20,14 @@
 	// remoteUsageDelay is the time that a report takes to the other data centres besides the
 	// intervals between reports: two ticks, three hops and the latency between regions.
 	remoteUsageDelay = 100 * time.Millisecond
-	// fullUsageInterval is the shortest time between two casts of all usage of a data centre
-	// within the quotas' windows. They are needed because casts are lost when connections break
-	// and when another daemon takes over casting.
+	// fullUsageInterval is the shortest time between two casts of all usage of a data centre within
+	// the quotas' windows. These full casts are needed because casts are lost when connections
+	// break and when another daemon takes over casting.
 	fullUsageInterval = 2 * time.Second
-	// startupShare is the share of quotas that a daemon uses for some tenths of a second after
-	// its start, before it has received the usage of the other daemons. It may be this large
-	// because in so short a time accounts use only what they request. With a smaller share,
-	// callers that retry after an outage would be refused.
+	// startupShare is the share of quotas that a daemon uses for some tenths of a second after its
+	// start, before it has received the usage of the other daemons. The share may be this large
+	// because in so short a time an account uses no more than its callers request. With a smaller
+	// share, callers that retry after an outage would be refused.
 	startupShare = 0.15
 	// unreachableShareUsed is the fraction of the unreachable daemons' share of the quotas that
 	// the larger side of a network partition uses.
@@ -85,9 +86,11 @@
 	gate.castUsage(now, spacing)
 }
 
-// quotaShare returns the share of the quotas that this daemon uses. A daemon that restarts in a
-// running fleet and has received the usage of the other daemons uses the whole quota. With
-// startupShare it would refuse accounts within their quotas until it is connected to all daemons.
+// quotaShare returns the share of the quotas that this daemon uses. A daemon that has settled or
+// has no seeds uses reachableShare. A daemon that restarts in a running fleet and has received the
+// usage of the other daemons uses the whole quota until it has settled, because with startupShare
+// it would refuse accounts within their quotas until it is connected to all daemons. Any other
+// daemon uses startupShare.
 func (gate *Gate) quotaShare(now time.Time, visible, total int) float64 {
 	switch {
 	case gate.settled || len(gate.settings.Seeds) == 0:
@@ -98,8 +101,8 @@
 	return startupShare
 }
 
-// reachableShare returns the share of the quotas for a daemon that has recent state from the given
-// number of all daemons.
+// reachableShare returns the share of the quotas for a daemon that has recent state from visible
+// daemons out of total, itself included.
 //
 // A daemon on one side of a network partition can't know what the other side admits. If both
 // sides used the whole quota, an account would get twice as much, so each side uses its share.
@@ -142,11 +145,12 @@
 	}
 }
 
-// onUse handles a report of usage from one daemon. When a connection is opened, the peer sends
-// totals. A peer of this data centre sends them because what it admitted before was not reported
-// to this daemon; if the peer has no usage history, they contain nothing else. Usage of another
-// data centre arrives with casts. The totals of its daemons are needed only for what this daemon
-// lost in a restart, so they are used only if the sender has usage history.
+// onUse handles usage that one other daemon sends: a report, or the totals that the peer sends when
+// a connection is opened. Totals of a peer in this data centre are needed because the peer didn't
+// report to this daemon what it admitted before the connection. If that peer has no usage history,
+// its totals contain nothing else. Usage of another data centre arrives with casts. Totals of a
+// peer there are needed only for what this daemon lost in a restart, so they are used only if that
+// peer has usage history.
 func (gate *Gate) onUse(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	peer, found := gate.peers.Find(from.VM)
 	remote := found && peer.Centre != gate.settings.Centre
@@ -161,10 +165,11 @@
 	}
 }
 
-// mergeTotals merges the totals that a local daemon sends when a connection to it is opened. If
-// that daemon has usage history, its totals include its own usage, and may include usage that
-// other daemons have already reported here. So when this daemon connects to it for the first
-// time, its own totals are not counted separately.
+// mergeTotals merges the totals that a peer of this data centre sends when a connection to the peer
+// is opened. If the peer has usage history, its totals of all daemons (message.All) include the
+// peer's own usage (message.Mine), and may include usage that other daemons have already reported
+// to this daemon. So when this daemon connects to such a peer for the first time, message.Mine is
+// not counted separately.
 func (gate *Gate) mergeTotals(now time.Time, from yuccaid.Incarnation, message yuccawire.Use) {
 	daemonTotals := message.Mine
 	if message.Knows && !gate.ledger.ConnectedBefore(from) {
@@ -177,7 +182,8 @@
 }
 
 // onCentreUse handles a cast of another data centre's usage. If that data centre is new or has sent
-// nothing for centreFreshFor, it may have missed usage of this one.
+// nothing for centreFreshFor, it may have missed usage of this data centre, so all of that usage is
+// cast again.
 func (gate *Gate) onCentreUse(now time.Time, message yuccawire.Cast) {
 	before := gate.remoteCentres[message.Centre]
 	if before == nil || now.Sub(before.receivedAt) > centreFreshFor {
