--- a/io/yuccagate/peers.go
+++ b/io/yuccagate/peers.go
@@ -58,7 +58,8 @@
 	Listings []yuccapeer.Listing `msgpack:"listings"`
 }
 
-// onUp sends a newly connected peer what it may have missed while there was no connection.
+// onUp sends a newly connected peer what the peer may have missed while there was no connection:
+// totals of usage, and this daemon's requests if the peer leads their pools.
 func (gate *Gate) onUp(member yuccapeer.Member) {
 	gate.control.Post(func(now time.Time) {
 		gate.log.stateChange("peer reached", "peer", member.VM, "centre", member.Centre)
@@ -80,7 +81,9 @@
 	})
 }
 
-// onFault handles a failed connection to the daemon at the address.
+// onFault handles a failed connection to the daemon at the address. If the connection was refused,
+// the time is recorded, because a daemon that refuses connections has stopped (see
+// expectedDaemons).
 func (gate *Gate) onFault(address string, err error) {
 	gate.control.Post(func(now time.Time) {
 		if errors.Is(err, syscall.ECONNREFUSED) {
--- a/io/yuccagate/room.go
+++ b/io/yuccagate/room.go
@@ -100,8 +100,8 @@
 	return req.route.Rank
 }
 
-// readAll reads a body of the given length, or of unknown length if that is negative. It reserves
-// memory as the bytes arrive, doubling the buffer each time it is full.
+// readAll reads a body of the given length. A negative length means that the length is unknown. It
+// reserves memory as the bytes arrive, doubling the buffer each time it is full.
 func readAll(body io.Reader, length int64, reserve func(yuccaid.Bytes) bool) ([]byte, error) {
 	var buf []byte
 	for {
--- a/io/yuccagate/run.go
+++ b/io/yuccagate/run.go
@@ -43,8 +43,8 @@
 // target, provided that the failed target certainly didn't run the request or that the request may
 // be repeated.
 func (req *callerRequest) run(ctx context.Context) *Problem {
-	// failure is the last attempt if a target responded to it with an error. It is kept until
-	// another target is found: if there is none, its response is relayed.
+	// failure is the last attempt if its target responded with an error. It is kept until another
+	// target is found. If no other target is found, the error response of this attempt is relayed.
 	var failure *attempt
 	for {
 		plc, dec, prob := req.awaitTarget(ctx)
--- a/io/yuccagate/startup.go
+++ b/io/yuccagate/startup.go
@@ -12,8 +12,9 @@
 // attempts.
 const firstConfigurationWait = 600 * time.Millisecond
 
-// awaitTable returns the configuration in force, or nil if there still is none after the wait for
-// the first one.
+// awaitTable returns the configuration in force. If there is none yet, it waits for the first
+// configuration until firstConfigurationWait after the daemon's start, and returns nil if none has
+// arrived by then or the context ends first.
 //
 // After all daemons were killed, the balancer sends callers to daemons that have just started.
 // Without a wait, even a request that arrives a millisecond before the configuration would be
--- a/io/yuccagate/targets.go
+++ b/io/yuccagate/targets.go
@@ -35,8 +35,8 @@
 	startupReadTime = 700 * time.Millisecond
 )
 
-// platformReport is a peer's report on what it has read from the platform: up to which
-// revision, and how long before the report the platform responded.
+// platformReport is a peer's report on what it has read from the platform: revision is how far the
+// peer has read, and age is how long before the report the platform last responded to the peer.
 type platformReport struct {
 	revision   yuccaroster.Revision
 	age        time.Duration
@@ -61,8 +61,8 @@
 	})
 }
 
-// RecordPlatformRevision records that the platform has responded, and the revision up to which
-// it has been read.
+// RecordPlatformRevision records that the platform has responded, and the revision up to which the
+// platform has been read.
 func (gate *Gate) RecordPlatformRevision(at yuccaroster.Revision) {
 	gate.control.Post(func(now time.Time) {
 		gate.platformRespondedAt = now
@@ -145,9 +145,9 @@
 // pullFromAnyPeer requests the targets from a random peer while no daemon of this data centre
 // reaches the platform.
 //
-// A data centre may lose its connection to the platform but not to other data centres. Without
-// these requests its daemons would send requests to targets that have been removed, and restarted
-// daemons would have no targets.
+// A data centre may lose its connection to the platform but not to other data centres. If its
+// daemons didn't request targets from peers, they would send callers' requests to targets that have
+// been removed, and restarted daemons would have no targets.
 func (gate *Gate) pullFromAnyPeer(now time.Time) {
 	platformSilent := gate.platformRespondedAt.IsZero() || now.Sub(gate.platformRespondedAt) > platformStaleAfter
 	if !platformSilent || gate.hasFreshReport(now) || now.Sub(gate.startedAt) < startupReadTime || now.Sub(gate.targetsPulledAt) < anyPeerPullInterval {
--- a/io/yuccagate/ticket.go
+++ b/io/yuccagate/ticket.go
@@ -61,8 +61,8 @@
 	platformAge      time.Duration
 }
 
-// acquire waits for the decision on a request. If the context ends first, the request is withdrawn
-// and the context's cause returned.
+// acquire waits for the decision on a request. If the context ends first, acquire withdraws the
+// request and returns the context's cause.
 func (gate *Gate) acquire(ctx context.Context, req *callerRequest) (*placement, decision, error) {
 	plc := &placement{req: req, pool: req.pool, request: req.schedulerRequest(), decision: make(chan decision, 1)}
 	plc.request.ID = yuccagrant.ID{Owner: gate.incarnation, Number: gate.lastPlacement.Add(1)}
--- a/io/yuccagate/use.go
+++ b/io/yuccagate/use.go
@@ -17,8 +17,9 @@
 	// between two reports of usage. Each report goes to all of these peers, so with a fixed
 	// interval the number of messages would grow with the square of the number of daemons.
 	usageIntervalPerPeer = 10 * time.Millisecond
-	// remoteUsageDelay is the time that a report takes to the other data centres besides the
-	// intervals between reports: two ticks, three hops and the latency between regions.
+	// remoteUsageDelay is the part of the time that a report takes to the other data centres which
+	// doesn't come from the intervals between reports. It covers two ticks, three hops and the
+	// latency between regions.
 	remoteUsageDelay = 100 * time.Millisecond
 	// fullUsageInterval is the shortest time between two casts of all usage of a data centre within
 	// the quotas' windows. These full casts are needed because casts are lost when connections
@@ -104,10 +105,10 @@
 // reachableShare returns the share of the quotas for a daemon that has recent state from visible
 // daemons out of total, itself included.
 //
-// A daemon on one side of a network partition can't know what the other side admits. If both
-// sides used the whole quota, an account would get twice as much, so each side uses its share.
-// The larger side also uses unreachableShareUsed of the unreachable daemons' share, because more
-// daemons are unreachable because their processes ended than because of a partition.
+// A daemon on one side of a network partition can't know what the other side admits. If both sides
+// used the whole quota, an account would get twice its quota, so each side uses only the share of
+// its daemons. The larger side also uses unreachableShareUsed of the unreachable daemons' share,
+// because unreachable daemons have more often ended than been cut off by a partition.
 func reachableShare(visible, total int) float64 {
 	if 2*visible <= total {
 		return float64(visible) / float64(total)
@@ -115,8 +116,8 @@
 	return (float64(visible) + unreachableShareUsed*float64(total-visible)) / float64(total)
 }
 
-// castUsage sends this data centre's usage to the other data centres if this daemon is the one
-// chosen for that.
+// castUsage sends this data centre's usage to the other data centres if this daemon is the daemon
+// chosen for usageRole.
 func (gate *Gate) castUsage(now time.Time, spacing time.Duration) {
 	if now.Sub(gate.usageCastAt) < spacing {
 		return
