--- a/core/yuccapool/configure.go
+++ b/core/yuccapool/configure.go
@@ -46,7 +46,8 @@
 }
 
 // targetSetIndex returns the index in Leader.targetSets of the set of the given targets.
-// It adds the set unless an earlier account has the same one.
+// It adds the set to Leader.targetSets unless an earlier account has the same targets. A key
+// of indexByKey is the sorted names of a set's targets, joined by spaces.
 func (lead *Leader) targetSetIndex(indexByKey map[string]int, targets []yuccaid.Target) int {
 	names := make([]string, 0, len(targets))
 	for _, tgt := range targets {
--- a/core/yuccapool/data.go
+++ b/core/yuccapool/data.go
@@ -7,10 +7,11 @@
 	// delay between data centres and a pause of the owner's process together; the slot
 	// of an unused grant stays idle for this time.
 	grantTTL = 2 * time.Second
-	// evictionLead is how long before the last moment at which it still helps a request
-	// a run of a lower tier is cancelled. It covers two ticks of the daemon and the
-	// delay of the cancel on its way to the target. If it were shorter, the slot would
-	// be free too late; if it were longer, runs would be cancelled that might have
+	// evictionLead is the safety margin of a cancellation. There is a last moment at which
+	// cancelling a run of a lower tier still helps a waiting request; the run is cancelled
+	// evictionLead before that moment. The margin covers two ticks of the daemon and the
+	// delay of the cancel message on its way to the target. With a shorter margin, the slot
+	// would be free too late. With a longer margin, runs would be cancelled that might have
 	// finished by themselves.
 	evictionLead = 250 * time.Millisecond
 	// burstSpan is the time over which an account's rate limits allow bursts: a bucket
--- a/core/yuccapool/decide.go
+++ b/core/yuccapool/decide.go
@@ -46,7 +46,7 @@
 // admit applies the checks that need no queue: the account's rate limits, its targets,
 // and whether even an idle pool could meet the deadline. A caller that is refused at
 // once has time left to try elsewhere. While the leader gathers, every request is
-// admitted.
+// admitted, and its account is not charged.
 func (lead *Leader) admit(now time.Time, acc *account, req *Request, dec *Decisions) bool {
 	if lead.gathering(now) {
 		return true
@@ -172,9 +172,9 @@
 
 // check handles a request that is about to miss its deadline.
 //
-// First the request may use the slots that are reserved for short requests or for higher
-// tiers, unless a request of a higher tier waits; then a run of a lower tier is cancelled
-// for it. If the request has no slot by Params.LatestStart, it is refused at once: served
+// Unless a request of a higher tier waits, the request may now use slots that are reserved
+// for short requests or for higher tiers. If it gets none of them, a run of a lower tier is
+// cancelled for it. If it has no slot by Params.LatestStart, it is refused at once: served
 // late, it would take target time from requests that can still meet their deadlines.
 func (lead *Leader) check(now time.Time, item *yuccaqueue.Item, dec *Decisions) {
 	if !now.After(item.Params.LatestStart) && lead.placeOrEvict(now, item, dec) {
@@ -192,9 +192,10 @@
 	lead.queue.Defer(item, lead.nextCheck(now, item))
 }
 
-// nextCheck returns when to check a request again that could not be placed. If its
-// account is at its limit of running requests, it may be placed as soon as another run
-// of the account has finished.
+// nextCheck returns when to check a request again after it could not be placed. That is
+// Params.LatestStart, when the request will be refused. If the request's account is at its
+// limit of running requests, the next check comes after evictionLead, because the request
+// may be placed as soon as another run of the account has finished.
 func (lead *Leader) nextCheck(now time.Time, item *yuccaqueue.Item) time.Time {
 	recheck := now.Add(evictionLead)
 	if lead.account(item.Request.Account).atRunningLimit() && recheck.Before(item.Params.LatestStart) {
@@ -212,9 +213,9 @@
 	return lead.evictIfDue(now, item, dec)
 }
 
-// evictIfDue cancels runs for a waiting request if the last moment at which that helps is
-// at most evictionLead away. Otherwise it defers the check, because a run may finish by
-// itself until then.
+// evictIfDue cancels runs for a waiting request if the last moment at which a cancellation
+// helps is at most evictionLead away. If that moment is further away, evictIfDue defers the
+// check, because a run may finish by itself in the meantime.
 func (lead *Leader) evictIfDue(now time.Time, item *yuccaqueue.Item, dec *Decisions) bool {
 	eviction, found := lead.eviction(now, &item.Request, item.Deadline)
 	if !found {
--- a/core/yuccapool/doc.go
+++ b/core/yuccapool/doc.go
@@ -6,8 +6,8 @@
 // The package uses yuccaqueue to order requests and yuccaplace to choose targets. It
 // enforces the limits of accounts, keeps a slot for each grant until the owner reports
 // that the run has finished, and frees the slots of runs whose owner is lost. By
-// preemption (also called eviction) it cancels a run of a lower tier for a request that
-// would otherwise be refused. The caller passes in each event with the present time,
+// preemption (also called eviction) the leader cancels a run of a lower tier so that a
+// request gets the run's slot instead of being refused. The caller passes in each event with the present time,
 // sends the returned decisions and calls Tick at least every 100 milliseconds.
 //
 // The leader's state is not stored. Two leaders at the same time can overcommit a
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -22,9 +22,9 @@
 	return func(lead *Leader) { lead.fleet = yuccaplace.New(options...) }
 }
 
-// grantedRun is a grant together with the run that it allows; it holds its slot until
-// endRun. dispatched says that the owner has used the grant; orphaned says that the
-// owner is lost.
+// grantedRun is a grant together with the run that the grant allows. The run holds its slot
+// from startRun until endRun. dispatched says that the owner has used the grant; orphaned
+// says that the owner is lost.
 type grantedRun struct {
 	yuccaplace.Run
 	req        Request
@@ -93,8 +93,9 @@
 	return now.Before(lead.holdGrantsUntil)
 }
 
-// AddRunning adds a run that its owner reports to a new leader. It ignores a run that the
-// leader already has and one on a target that is not in the configuration.
+// AddRunning adds a run that its owner reports to a new leader. If the run's request is
+// waiting in the queue, AddRunning removes it from there. It ignores a run that the leader
+// already has, and a run on a target that is not in the configuration.
 func (lead *Leader) AddRunning(now time.Time, running Running) {
 	node, found := lead.fleet.TargetState(running.Target)
 	if _, known := lead.runs[running.Request.ID]; known || !found {
@@ -111,7 +112,8 @@
 	}
 }
 
-// RunProgressed records how far a run has come.
+// RunProgressed records how far a run has come. The end of a prefill can make the target
+// suitable for waiting requests, so they are tried again then.
 func (lead *Leader) RunProgressed(now time.Time, progress Progress) Decisions {
 	var dec Decisions
 	run, found := lead.runs[progress.ID]
@@ -128,8 +130,9 @@
 	return dec
 }
 
-// RunFinished frees the slot of a grant and updates the estimates of speeds and answer
-// lengths with the measurements of the run.
+// RunFinished frees the slot of a grant. If the request ran, RunFinished updates the
+// estimates of speeds and answer lengths with the measurements of the run. Otherwise it
+// gives the request's cost back to the account's rate limits.
 func (lead *Leader) RunFinished(now time.Time, done Finished) Decisions {
 	var dec Decisions
 	if done.Leaving {
@@ -193,9 +196,9 @@
 	return dec
 }
 
-// endOrphanedRuns ends runs of lost owners when a target's report shows fewer runs than
-// the leader counts there, as many as the report lacks. Only runs that started before
-// the report was made are counted.
+// endOrphanedRuns ends runs of lost owners when a target's report shows fewer requests
+// than the leader counts runs on that target. It ends as many as the report lacks. It counts
+// only runs that started before the report was made.
 func (lead *Leader) endOrphanedRuns(now time.Time, report *LoadReport) {
 	reportedAt := now.Add(-report.Age)
 	var orphaned []*grantedRun
@@ -233,7 +236,7 @@
 }
 
 // NextCheck returns when a waiting request has to be checked, or false if none waits.
-// While the leader gathers, nothing is checked before the end of that time.
+// While the leader gathers, no request is checked before holdGrantsUntil.
 func (lead *Leader) NextCheck(now time.Time) (time.Time, bool) {
 	check, found := lead.queue.NextCheck()
 	if found && lead.gathering(now) && check.Before(lead.holdGrantsUntil) {
--- a/core/yuccapool/limit.go
+++ b/core/yuccapool/limit.go
@@ -11,8 +11,9 @@
 	filledAt time.Time
 }
 
-// setRate changes the rate and keeps the level, so that a new configuration does not allow
-// a new burst.
+// setRate changes the rate. It keeps the level, unless that exceeds the new burst, so that
+// a new configuration does not allow a second burst. A bucket that had no rate until now
+// starts full.
 func (bk *bucket) setRate(now time.Time, rate float64) {
 	bk.fill(now)
 	if bk.filledAt.IsZero() || bk.rate <= 0 {
@@ -28,7 +29,7 @@
 	return max(rate*burstSpan.Seconds(), 1)
 }
 
-// fill adds what the rate has given since the last call.
+// fill adds what the rate has given since filledAt, up to the burst.
 func (bk *bucket) fill(now time.Time) {
 	if bk.filledAt.IsZero() || bk.rate <= 0 {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// wait returns how long it takes until the bucket has reached the given level, or zero
-// if it has reached it already.
+// wait returns how long it takes until the bucket reaches the given level. It returns zero
+// if the bucket has already reached the level or has no rate, which means no limit.
 func (bk *bucket) wait(now time.Time, level float64) time.Duration {
 	if bk.rate <= 0 {
 		return 0
@@ -61,8 +62,7 @@
 // account is the leader's state of one client account.
 //
 // The leader sees every request of the account to this pool, so it enforces the limits
-// exactly.
-// Charges of a grant that was not used are refunded.
+// exactly. If a grant is not used, what the account was charged for it is refunded.
 type account struct {
 	// targetSet is the index in Leader.targetSets of the targets that the account may use.
 	targetSet int
--- a/core/yuccapool/load_test.go
+++ b/core/yuccapool/load_test.go
@@ -102,7 +102,7 @@
 	})
 
 	// Prompts a hundred times as long as a lookup arrive one after the other. A lookup
-	// that waits behind one of them misses its deadline; but if lookups always went
+	// that waits behind a long prompt misses its deadline. But if lookups always went
 	// first, the long prompts would starve.
 	It("serves short lookups beside long rulebooks and starves neither", func() {
 		sim := newSimulation(configWithFleet(4))
@@ -114,8 +114,8 @@
 	})
 
 	// Demand is twice the capacity for minutes; a leader that granted everything would
-	// finish nothing in time. Urgent requests leave letters 0.18 of the capacity that
-	// they need: 900 of the 1,920 slot seconds in two minutes and 960 in the following
+	// finish nothing in time. Urgent requests leave letters 0.18 of the capacity that the
+	// letters need: 900 of the 1,920 slot seconds in two minutes and 960 in the following
 	// minute, while each of the 600 letters takes 17 slot seconds.
 	It("when saturated, fills the fleet with requests that meet their deadline, and the lowest tier loses first", func() {
 		sim := newSimulation(configWithFleet(2))
@@ -183,8 +183,9 @@
 	})
 
 	// Guards against an urgent request that misses its deadline because runs of a lower
-	// tier hold all slots and continue to their end, and against cancelling the run
-	// whose prefill took longer, or a run that might still have finished by itself.
+	// tier hold all slots and continue to their end. Also guards against cancelling the
+	// run whose prefill took longer than that of another run, or a run that might still
+	// have finished by itself.
 	It("cancels the run that wastes the least prefill, at the last moment that helps", func() {
 		config := configWithFleet(2)
 		config.Targets[0].Slots, config.Targets[1].Slots = 1, 1
@@ -225,8 +226,8 @@
 		Expect(req.outcome).To(Equal(outcomeRunning))
 	})
 
-	// Guards against sending new requests to a target that is about to leave, which cuts
-	// them off when it leaves.
+	// Guards against sending new requests to a target that is about to leave. When the
+	// target leaves, it cuts these requests off.
 	DescribeTable("sends nothing to a target that leaves",
 		func(announce func(*simulation)) {
 			sim := newSimulation(configWithFleet(1))
@@ -288,8 +289,8 @@
 		Expect(lead.Submit(epoch, msg).Grants).To(HaveLen(1))
 	})
 
-	// During a partition two leaders fill the same target. If neither counted the runs of
-	// the other, each would see only that the target is slow.
+	// During a partition two leaders fill the same target. If neither leader counted the
+	// other leader's runs, each would see only that the target is slow.
 	It("counts runs of other leaders that a target's report shows", func() {
 		config := configWithFleet(1)
 		sim := newSimulation(config)
--- a/core/yuccapool/message.go
+++ b/core/yuccapool/message.go
@@ -68,9 +68,9 @@
 // Progress is an owner's report on a run: FirstToken says that the prefill has ended,
 // Answered how many answer tokens have been received.
 //
-// An owner sends a report without tokens when it dispatches the request, one at the first
-// token and several during the answer. The more often it reports, the sooner a straggler
-// is detected.
+// An owner sends a report without tokens when it dispatches the request, a second report at
+// the first token, and further reports during the answer. The more often owners report, the
+// sooner the leader detects a target that is a straggler.
 type Progress struct {
 	ID         yuccaid.RequestID `msgpack:"id"`
 	FirstToken bool              `msgpack:"firstToken"`
@@ -101,7 +101,7 @@
 	Decode  time.Duration  `msgpack:"decode"`
 }
 
-// LoadReport is a target's report on its load; Age is the time since it was made.
+// LoadReport is a target's report on its load. Age is the time since the report was made.
 //
 // Waiting and Running are the numbers of requests that wait and run inside the target,
 // whichever leader granted them; Queued is the number of tokens of the waiting ones.
--- a/core/yuccapool/oracle_test.go
+++ b/core/yuccapool/oracle_test.go
@@ -15,7 +15,7 @@
 	"yuccacleat/core/yuccaqueue"
 )
 
-// oracle checks the tier rule: no request is refused or kept waiting while one of a
+// oracle checks the tier rule: no request is refused or kept waiting while a request of a
 // lower tier is served instead. The rule breaks when a full queue refuses every
 // arrival, when a run of a lower tier keeps its slot to the end, or when the order
 // among waiting requests is not strict. The oracle reads the trace of decisions and
@@ -58,20 +58,20 @@
 	return faults[max(slices.IndexFunc(faults, func(s string) bool { return s != "" }), 0)]
 }
 
-// evicts reports whether a decision cancels a run on the target.
+// evicts reports whether a decision cancels a run on the given target.
 func evicts(dec yuccapool.Decisions, tgt yuccaid.Target) bool {
 	return slices.ContainsFunc(dec.Cancels, func(cancel yuccapool.Cancel) bool { return cancel.Target == tgt })
 }
 
-// stillWaits reports whether a request waits also after the decision.
+// stillWaits reports whether a request waits both before and after the decision.
 func (orc *oracle) stillWaits(req *request, dec yuccapool.Decisions) bool {
 	return req.outcome == outcomeWaiting &&
 		!slices.ContainsFunc(dec.Refusals, func(refusal yuccapool.Refusal) bool { return refusal.ID == req.ID }) &&
 		!slices.ContainsFunc(dec.Grants, func(grant yuccapool.Grant) bool { return grant.ID == req.ID })
 }
 
-// waitsBelow looks for a request of a lower tier that still waits while the given one is
-// refused.
+// waitsBelow looks for a request of a lower tier that still waits while the given request
+// is refused.
 func (orc *oracle) waitsBelow(req *request, dec yuccapool.Decisions) string {
 	for _, other := range orc.sim.reqs {
 		if other.Rank > req.Rank && orc.stillWaits(other, dec) {
@@ -114,8 +114,9 @@
 	return ""
 }
 
-// remainingRuns returns the requests that a target keeps after the decision, without the
-// runs that could be cancelled for the request, and the number of these runs.
+// remainingRuns returns the requests that a target keeps after the decision, except the
+// runs that could be cancelled for the given request. It also returns the number of the
+// runs that could be cancelled.
 func (orc *oracle) remainingRuns(eng *engine, req *request, dec yuccapool.Decisions) ([]*request, int) {
 	var remaining []*request
 	cancellable := 0
@@ -137,8 +138,8 @@
 	return remaining, cancellable
 }
 
-// prefillWait returns how long the remaining runs delay the prefill of a further request:
-// the prefill times of those without a first token.
+// prefillWait returns how long the remaining runs delay the prefill of a further request.
+// This is the sum of the prefill times of the runs that have no first token yet.
 func (orc *oracle) prefillWait(eng *engine, remaining []*request) time.Duration {
 	var sum time.Duration
 	for _, run := range remaining {
@@ -151,8 +152,8 @@
 
 // Margins by which an answer may outgrow its estimate and still meet the deadline. The
 // leader does not know the length of an answer. It prefers requests that would meet
-// their deadline even with a long answer, but refuses for load only those that would
-// miss it even with an ordinary answer beside the remaining runs.
+// their deadline even with a long answer. But it refuses for load only requests that would
+// miss their deadline beside the remaining runs even with an answer of ordinary length.
 const (
 	orderMargin   = 1.3
 	refusalMargin = 1.0
@@ -190,14 +191,14 @@
 	return limit > 0 && running >= limit
 }
 
-// longPrompt is a prompt that takes more than a second on the mean target. Such a
-// request may wait while a short one of a lower tier uses a slot that is reserved for
-// short ones, but may not be refused for that.
+// longPrompt is a prompt that takes more than a second on the mean target. A request with
+// such a prompt may wait while a short request of a lower tier uses a slot that is reserved
+// for short requests. But the long request may not be refused because of that.
 const longPrompt yuccaid.Tokens = 6000
 
-// slotsMayBeReserved reports whether slots may be reserved that a waiting request may
-// not use, but a smaller one of a lower tier may: they are reserved for short requests,
-// or for tiers above both.
+// slotsMayBeReserved reports whether there may be reserved slots that a waiting request may
+// not use although a smaller request of a lower tier may use them. Such slots are reserved
+// for short requests, or for tiers above the tiers of both requests.
 func slotsMayBeReserved(req *request) bool {
 	return req.Prompt >= longPrompt || req.Rank > 0
 }
@@ -221,8 +222,8 @@
 	return ""
 }
 
-// oracleConfig has three unequal targets, one account that may use only two of them and
-// one with a limit of running requests.
+// oracleConfig has three unequal targets, an account that may use only two of the targets
+// and an account with a limit of running requests.
 func oracleConfig() yuccapool.PoolConfig {
 	return yuccapool.PoolConfig{
 		ConfigNumber: 1,
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -15,8 +15,8 @@
 	Running int            `msgpack:"running" json:"running"`
 }
 
-// TargetStatus is the leader's view of one target; Backlog is the time that its waiting
-// prompts will take.
+// TargetStatus is the leader's view of one target. Backlog is the time that the prompts
+// waiting at the target will take.
 type TargetStatus struct {
 	Target  yuccaid.Target    `msgpack:"target" json:"target"`
 	Running int               `msgpack:"running" json:"running"`
--- a/core/yuccapool/view.go
+++ b/core/yuccapool/view.go
@@ -35,8 +35,9 @@
 // centre.
 //
 // PlainService marks a service that is not a model: its targets have slots but process no
-// tokens, and no run is cancelled. LongestRun bounds how long any run keeps its slot, so
-// that the run of a lost owner frees it.
+// tokens, and no run is cancelled. LongestRun bounds how long any run keeps its slot. It
+// ensures that the slot becomes free even if the run's owner is lost and never reports the
+// end of the run.
 type PoolConfig struct {
 	ConfigNumber yuccaid.ConfigNumber
 	Targets      []Target
--- a/core/yuccapool/world_test.go
+++ b/core/yuccapool/world_test.go
@@ -32,8 +32,8 @@
 	outcomeCancelled outcome = "cancelled"
 )
 
-// request is a request with its outcome, as its caller sees it. It starts on an engine at
-// startedAt; cached is the part of its prompt that the engine's cache held.
+// request is a request with the outcome that its caller sees. The request starts on an
+// engine at startedAt; cached is the part of its prompt that the engine's cache held.
 type request struct {
 	yuccapool.Request
 	arrived      time.Time
@@ -52,8 +52,8 @@
 
 // engine simulates a target with continuous batching: it prefills in the order of
 // arrival, decodes all running requests side by side and caches every prefix that it
-// has prefilled. Its times are slowdown times as long as the configuration states; a
-// stalled engine makes no progress.
+// has prefilled. It takes slowdown times as long as the configuration states; a stalled
+// engine makes no progress.
 type engine struct {
 	yuccapool.Target
 	slowdown       float64
@@ -96,8 +96,8 @@
 }
 
 // simulation runs a leader with simulated engines in virtual time. wasted counts the
-// prompt tokens that were prefilled for runs cancelled after their first token; check is called with each
-// decision of the leader before it is applied.
+// prompt tokens that were prefilled for runs cancelled after their first token. check is
+// called with the leader's decisions before they are applied.
 type simulation struct {
 	now      time.Time
 	lead     *yuccapool.Leader
--- a/core/yuccaqueue/account.go
+++ b/core/yuccaqueue/account.go
@@ -30,9 +30,9 @@
 // accountTier is the state of one client account in one tier.
 //
 // virtualService is the service that the account has received in the tier for each unit
-// of weight, in seconds. It is raised to the tier's floor when the account has requests
-// waiting again. Otherwise an account that was idle for long would be served before all
-// other accounts until it had caught up with them.
+// of weight, in seconds. If it is below the tier's floor when a request of the account
+// arrives and none was waiting, it is raised to the floor. Otherwise an account that was
+// idle for long would be served before all other accounts until it had caught up with them.
 type accountTier struct {
 	account        *account
 	tier           *tier
--- a/core/yuccaqueue/ask.go
+++ b/core/yuccaqueue/ask.go
@@ -8,15 +8,17 @@
 
 // BlockTokens is the number of prompt tokens that one prefix hash covers.
 //
-// Engines cache in blocks of 16 to 64 tokens. The coarser block of 256 loses less than
-// one block of each shared prefix, which is a few per cent of a long shared text such as
-// a rulebook, and keeps the message for a prompt of 30,000 tokens near one kilobyte.
+// Engines cache in blocks of 16 to 64 tokens. With the coarser blocks of 256 tokens, less
+// than one block at the end of each shared prefix isn't recognised as shared. That is a few
+// per cent of a long shared text such as a rulebook. In return, the message for a prompt of
+// 30,000 tokens stays near one kilobyte.
 const BlockTokens yuccaid.Tokens = 256
 
 // Request is what a pool's leader knows of a waiting request.
 //
 // Rank is the rank of the tier; rank 0 is served first. Remaining is the time left until
-// the deadline; a duration is sent because clocks of different VMs are never compared.
+// the deadline. It is sent instead of the deadline itself, because clocks of different VMs
+// are never compared.
 // Prompt and Answer are the owner's estimates of the lengths in tokens. Prefixes[i] is
 // the hash of the first (i+1)*BlockTokens tokens of the prompt.
 type Request struct {
--- a/core/yuccaqueue/bounds.go
+++ b/core/yuccaqueue/bounds.go
@@ -23,8 +23,8 @@
 	return BoundsFor(defaultRequests, defaultTokens)
 }
 
-// BoundsFor returns the bounds for a whole queue of the given size, with the bounds of
-// accounts and of the lower tiers as fixed fractions of it.
+// BoundsFor returns the bounds of a queue that holds the given numbers of requests and
+// tokens. The bounds of each account and of the lower tiers are fixed fractions of them.
 func BoundsFor(requests int, tokens yuccaid.Tokens) Bounds {
 	scale := func(fraction float64) (int, yuccaid.Tokens) {
 		return max(int(float64(requests)*fraction), 1), max(yuccaid.Tokens(float64(tokens)*fraction), 1)
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -25,21 +25,23 @@
 // class is the part of a tier whose requests can use the same free slots: those with
 // one target set that are all short or all long.
 //
-// Accounts whose virtual service is at most window above that of the account served
-// least compete by deadline; accounts further ahead wait until that account has caught
-// up. With spare capacity all accounts are within the window, and in pure deadline order
-// no request that could meet its deadline misses it. Under load an account with many
-// requests cannot push back one with few by early deadlines alone.
+// Accounts whose virtual service is at most window above floor compete by deadline.
+// Accounts further ahead wait until the floor has risen. With spare capacity all accounts
+// are within the window, so the order is pure deadline order, in which no request that
+// could meet its deadline misses it. Under load an account with many requests cannot delay
+// an account with few requests merely by early deadlines.
 //
 // byService holds all flows that have a request to serve, the least virtual service
-// first. Each of them is also in eligible, ordered by deadline, if it is within the
-// window, otherwise in ahead, ordered by virtual service. floor is the highest value so
-// far of the least virtual service among the class's flows.
+// first. Held requests and requests of blocked accounts are not to be served. Each flow in
+// byService is also in a second heap: in eligible, ordered by Params.Key, if its account
+// is within the window, otherwise in ahead, ordered by virtual service. floor is the
+// highest value so far of the least virtual service among the flows in byService.
 //
-// parked says that no request of the class finds a free slot; held lists requests for
-// which the free slots are unsuitable. Parked classes and held requests are not tried
-// again before unpark. lastSetAside is the value of Queue.serveTurn when the class was
-// last parked or one of its requests held.
+// held lists requests for which the free slots are unsuitable. parked says that none of
+// the class's requests is tried, because one of them found no free slot or because
+// maxHeldItems of them are held. Parked classes and held requests are not tried again
+// before unpark. lastSetAside is the value of Queue.serveTurn when the class was last
+// parked or when one of its requests was last held.
 type class struct {
 	targetSet    TargetSet
 	long         bool
@@ -104,7 +106,8 @@
 	}
 }
 
-// head returns the flow to be served next, or nil if the class is parked or has none.
+// head returns the flow to be served next, or nil if the class is parked or no flow is
+// eligible.
 func (cls *class) head() *flow {
 	if cls.parked || cls.eligible.len() == 0 {
 		return nil
@@ -149,7 +152,8 @@
 	cls.held = cls.held[:0]
 }
 
-// release removes a request from held without adding it to its flow again.
+// release removes a request from the list of held requests. It does not add the request
+// to its flow again.
 func (cls *class) release(item *Item) {
 	for i, other := range cls.held {
 		if other == item {
--- a/core/yuccaqueue/data.go
+++ b/core/yuccaqueue/data.go
@@ -9,8 +9,8 @@
 const (
 	// defaultRequests bounds memory: a waiting request takes about a kilobyte with its
 	// prefixes, so a full queue takes some 20 MB of a small VM. At the target load of
-	// 365 requests/s it holds the arrivals of 45 s, longer than urgent requests can
-	// wait.
+	// 365 requests/s a full queue holds the arrivals of 45 s. Urgent requests can't wait
+	// that long.
 	defaultRequests = 16384
 	// defaultTokens bounds the amount of queued work: 2,000 tokens, the mean length of
 	// the mixed workload, for each request of a full queue.
@@ -20,15 +20,15 @@
 	// accounts.
 	accountFraction = 0.25
 	// lowerTierFraction is the fraction of the queue that the tiers below the top may
-	// fill. The rest keeps a burst of low-tier requests from making every urgent
-	// arrival displace one of them, because a refusal at arrival costs a caller less
-	// than a displacement after a wait.
+	// fill. The rest of the queue is kept for the top tier. Otherwise, after a burst of
+	// low-tier requests, every urgent arrival would have to displace a low-tier request.
+	// A low-tier request is better refused at its arrival, because that costs its caller
+	// less than a displacement after a wait.
 	lowerTierFraction = 0.75
-	// fairWindow is how far, in seconds of service for each unit of weight, an account
-	// may be ahead of the account served least and still compete by deadline. Zero gives
-	// pure weighted fair order, infinity pure deadline order. Windows from 1 to 20
-	// serve almost the same share of requests, so a short one that stays near fair
-	// order is used.
+	// fairWindow is the default of WithFairWindow, in seconds of service for each unit of
+	// weight. Zero gives pure weighted fair order, infinity pure deadline order. Windows
+	// from 1 to 20 serve almost the same share of requests, so a short window is used,
+	// which stays near fair order.
 	fairWindow = 5.0
 	// maxHeldItems is how many requests of a class may be held because the free slots
 	// are unsuitable, before the whole class is parked (see class). It bounds the work
--- a/core/yuccaqueue/doc.go
+++ b/core/yuccaqueue/doc.go
@@ -5,8 +5,8 @@
 // Within a tier, weighted fairness between client accounts comes first, with some
 // tolerance (the fair window), and the deadline second. Bounds on requests and tokens
 // keep an overload from turning into waits longer than any deadline. When the queue is
-// full, a request of a higher tier displaces the newest request of the lowest tier.
-// Each step takes logarithmic time in the number of waiting requests; only tiers and the
+// full, an arriving request displaces the newest request of the lowest tier, if that tier
+// is below its own. Each step takes logarithmic time in the number of waiting requests; only tiers and the
 // distinct sets of targets that accounts may use are scanned.
 //
 // The package holds metadata of requests, not their bodies; the caller chooses targets.
--- a/core/yuccaqueue/heap.go
+++ b/core/yuccaqueue/heap.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// fix restores the order after an element's key has changed, or adds the element if it
-// is not in the heap.
+// fix restores the order after a change of the values by which less compares the element.
+// If the element is not in the heap, fix adds it.
 func (hp *heap[T]) fix(elem T) {
 	pos := *hp.position(elem) - 1
 	if pos < 0 {
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -5,8 +5,9 @@
 // TargetSet is the number of a set of targets that a request may use. The caller
 // assigns the numbers; the queue only compares them.
 //
-// If one request finds no free slot, no other request with the same target set and the
-// same value of Params.Long would find one, so none of them is tried.
+// If one request finds no free slot, no other request of its tier with the same target
+// set and the same value of Params.Long would find a free slot. So the queue doesn't try
+// those other requests.
 type TargetSet uint32
 
 // Params holds the scheduling parameters that the caller computes for a request.
@@ -14,8 +15,9 @@
 	TargetSet TargetSet
 	// Long marks a prompt that occupies a target long enough to delay short requests.
 	Long bool
-	// Key orders the requests of one account, and those of the accounts that compete by
-	// deadline, the earliest first.
+	// Key is the time by which requests are ordered, the earliest first. It orders the
+	// requests of one account. It also orders the first requests of all accounts that
+	// compete by deadline (see class).
 	Key time.Time
 	// CheckAt is the time from which NextToCheck returns the request if it still waits.
 	CheckAt time.Time
@@ -48,7 +50,8 @@
 	older, newer *Item
 }
 
-// The two arrival lists that each item is in: its tier's and its accountTier's.
+// The kinds of arrival lists. Each item is in two lists: that of its tier and that of its
+// accountTier.
 const (
 	listOfTier = iota
 	listOfAccountTier
--- a/core/yuccaqueue/push.go
+++ b/core/yuccaqueue/push.go
@@ -17,13 +17,13 @@
 
 // Push queues a request, or returns the reason why it cannot.
 //
-// When the queue is full, an arrival displaces the newest request of the lowest tier,
-// if that tier is below its own, because the newest has waited least and its caller
-// loses least. When the arrival's account is at its own bound, it displaces a request
-// of the same account only. Displaced requests have left the queue, and the caller has
-// to refuse them. An arrival is refused only when no lower tier has a waiting request
-// that it may displace. Once an arrival has displaced a request it is queued, even if a
-// bound is still reached.
+// When the queue is full, an arrival displaces the newest request of the lowest tier, if
+// that tier is below the arrival's tier. The newest request is displaced because it has
+// waited least, so its caller loses least. When the bound of the arrival's account is
+// reached, the arrival displaces only a request of the same account. Displaced requests
+// have left the queue, and the caller of Push has to refuse them. An arrival is refused
+// only when no lower tier has a waiting request that the arrival may displace. Once an
+// arrival has displaced a request, the arrival is queued even if a bound is still reached.
 func (q *Queue) Push(now time.Time, req Request, params Params) ([]Displaced, Reason) {
 	acc := q.account(req.Account)
 	tr := q.tier(req.Tier, req.Rank)
@@ -47,10 +47,10 @@
 	return displaced, ""
 }
 
-// Restore queues a request again that was placed and then lost its target before the
-// grant was sent. It checks no bound: a request that was admitted in the meantime may
-// have exceeded the bound on tokens, and the restored request, which was admitted
-// earlier, must not be refused because of that.
+// Restore queues a request again after the request was placed and lost its target before
+// the grant was sent. Restore checks no bound, because another request that was admitted in
+// the meantime may have exceeded the bound on tokens. The restored request was admitted
+// earlier, so it must not be refused because of the other request.
 func (q *Queue) Restore(now time.Time, req Request, params Params) {
 	q.add(now, q.account(req.Account), q.tier(req.Tier, req.Rank), req, params)
 }
@@ -77,8 +77,10 @@
 	return sum
 }
 
-// victim returns the newest waiting request of the lowest tier below the given rank: of
-// the account if its own bound is reached, otherwise of the whole pool.
+// victim returns the request that an arrival of the given rank displaces: the newest
+// waiting request of the lowest tier below that rank, or nil if there is none. If the
+// reason is ReasonLimit, only requests of the account are considered, otherwise requests of
+// all accounts.
 func (q *Queue) victim(acc *account, rank int, reason Reason) *Item {
 	if !q.displaces {
 		return nil
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -12,10 +12,10 @@
 
 // The results of the callback of Serve.
 const (
-	// Placed says that the request got a target; it leaves the queue.
+	// Placed says that the request got a target, so Serve removes it from the queue.
 	Placed ServeResult = iota
-	// NoFreeSlot says that no request with this target set and length finds a free
-	// slot.
+	// NoFreeSlot says that neither this request nor any other request of its class finds
+	// a free slot (see Serve).
 	NoFreeSlot
 	// Unsuitable says that there are free slots, but none that suits this request.
 	Unsuitable
@@ -29,26 +29,29 @@
 	return func(q *Queue) { q.bounds = bounds }
 }
 
-// WithFairWindow sets how many seconds of service for each unit of weight an account
-// may be ahead of the account served least and still compete by deadline.
+// WithFairWindow sets the fair window: how far an account may be ahead of the account with
+// the least virtual service and still compete by deadline. Its unit is a second of service
+// for each unit of the account's weight.
 func WithFairWindow(seconds float64) Option {
 	return func(q *Queue) { q.window = seconds }
 }
 
-// WithoutDisplacement makes a full queue refuse every arrival. It exists for tests,
-// which show that the tier rule needs displacement.
+// WithoutDisplacement makes a full queue refuse every arrival. It exists for tests, which
+// show that the tier rule needs displacement. The tier rule is that no request is refused
+// or kept waiting while a request of a lower tier is served instead.
 func WithoutDisplacement() Option {
 	return func(q *Queue) { q.displaces = false }
 }
 
-// WithoutRecheck keeps parked classes and held requests set aside until Unpark. It
-// exists for tests, which show that the tier rule needs the recheck in Serve.
+// WithoutRecheck keeps parked classes and held requests set aside until Unpark, so that
+// Serve doesn't try them again by itself. It exists for tests, which show that the tier
+// rule (see WithoutDisplacement) needs this second try in Serve.
 func WithoutRecheck() Option {
 	return func(q *Queue) { q.rechecks = false }
 }
 
-// Queue holds one pool's waiting requests in strict tiers; within a tier, requests are
-// in deadline order between accounts that are within a window of their fair share.
+// Queue holds one pool's waiting requests in strict tiers. Within a tier, the accounts
+// that are within the fair window compete by deadline, and accounts further ahead wait.
 //
 // byCheckAt orders all waiting requests by Params.CheckAt; serveTurn counts the calls of
 // Serve.
@@ -140,8 +143,8 @@
 }
 
 // RemoveServed removes a request that got a target and charges its work to its account.
-// It is meant for requests that the caller placed outside Serve; Serve does this for
-// those that it places.
+// It is meant for requests that the caller placed outside Serve. For a request that the
+// callback of Serve placed, Serve itself calls RemoveServed.
 func (q *Queue) RemoveServed(item *Item) {
 	q.Remove(item)
 	item.flow.accountTier.charge(item.Params.Work.Seconds())
@@ -189,7 +192,8 @@
 }
 
 // unparkAbove unparks the classes in the tiers above q.tiers[tierIndex] that an earlier
-// call of Serve parked or in which it held requests. It reports whether there were any.
+// call of Serve parked, or of which an earlier call held requests. It reports whether it
+// unparked any class.
 func (q *Queue) unparkAbove(tierIndex int) bool {
 	unparked := false
 	if !q.rechecks {
@@ -217,8 +221,8 @@
 	}
 }
 
-// NextToCheck returns the request with the earliest Params.CheckAt if that time has
-// come, or nil.
+// NextToCheck returns the request with the earliest Params.CheckAt. It returns nil if no
+// request waits or if that CheckAt is after now.
 func (q *Queue) NextToCheck(now time.Time) *Item {
 	if q.byCheckAt.len() == 0 || q.byCheckAt.top().Params.CheckAt.After(now) {
 		return nil
@@ -242,8 +246,8 @@
 }
 
 // WorkAhead returns the total work that would be served before a request of the given
-// rank and deadline that arrives now: all work of the higher tiers, and that of earlier
-// deadlines in its own tier.
+// rank and deadline that arrives now. This is all work of the higher tiers, and in the
+// tier of that rank the work of the requests with earlier deadlines.
 func (q *Queue) WorkAhead(now time.Time, rank int, deadline time.Time) time.Duration {
 	var sum time.Duration
 	for _, tr := range q.tiers {
@@ -305,7 +309,7 @@
 }
 
 // PruneClasses removes empty classes. The caller calls it after it has renumbered the
-// target sets.
+// target sets, because otherwise classes whose numbers are no longer used would remain.
 func (q *Queue) PruneClasses() {
 	empty := func(cls *class) bool { return cls.byService.len() == 0 && len(cls.held) == 0 }
 	for _, acc := range q.accounts {
@@ -363,8 +367,9 @@
 	return accTier
 }
 
-// FirstAtOrAbove returns the request that is served first among those of the given rank
-// and the higher tiers, whether or not it finds a free slot, or nil.
+// FirstAtOrAbove returns the first request in the order of service among the tier of the
+// given rank and the higher tiers, or nil. Requests of parked classes count, although they
+// found no free slot. Held requests and requests of blocked accounts don't count.
 func (q *Queue) FirstAtOrAbove(rank int) *Item {
 	for _, tr := range q.tiers {
 		if tr.rank > rank {
--- a/core/yuccaqueue/queue_test.go
+++ b/core/yuccaqueue/queue_test.go
@@ -103,8 +103,9 @@
 		Expect(reason).To(BeEmpty())
 	})
 
-	// Guards against a wrong sum, from which callers would be told to retry too early or
-	// too late: the tier below and later deadlines in the same tier do not count.
+	// The work ahead of a request includes neither the work of lower tiers nor that of
+	// later deadlines in the same tier. With a wrong sum, callers would be told to retry too
+	// early or too late.
 	It("sums the work ahead of a request", func() {
 		q := yuccaqueue.New()
 		push(q, "note", "hotline", 0, time.Hour)
@@ -116,7 +117,7 @@
 })
 
 // Guards against requests that are lost in the queue and wait for ever, and against
-// requests that are served twice or before a higher tier. Either happens when the heaps
+// requests that are served twice or before a higher tier. These faults arise when the heaps
 // and lists that hold an item disagree. The queue is compared with a plain map from the
 // id to the rank of each waiting request.
 func TestQueueKeepsEverything(t *testing.T) {
--- a/core/yuccaqueue/tier.go
+++ b/core/yuccaqueue/tier.go
@@ -15,8 +15,8 @@
 	arrivals arrivals
 	classes  []*class
 	work     histogram
-	// floor is the virtual service to which an account is raised, if it has less, when
-	// a request of it arrives and none was waiting.
+	// floor is the least virtual service with which an account enters the tier: an account
+	// without waiting requests is raised to it when one of its requests arrives.
 	floor float64
 }
 
@@ -33,10 +33,10 @@
 
 // next returns the flow to be served next over all classes that are not parked, or nil.
 //
-// A class is passed over if the flow that it would serve next is more than a window
-// ahead of the least served flow of all classes that are not parked, so that fairness
-// holds across classes too. The scan is over the classes, at most two for each distinct
-// set of targets, not over accounts.
+// A class is passed over if the flow that it would serve next is more than a window ahead
+// of the least served flow of all classes that are not parked. This makes the tier fair
+// across classes too. The scan is over classes, not over accounts. For each distinct set of
+// targets there are at most two classes, one for short and one for long requests.
 func (tr *tier) next() *flow {
 	var best *flow
 	leastService := math.Inf(1)
