--- a/core/yuccapeer/candidate.go
+++ b/core/yuccapeer/candidate.go
@@ -20,8 +20,9 @@
 }
 
 // SetListings replaces the platform's list of VMs and deletes the candidates received from
-// peers. The list only names candidates. It lags behind by a different time on each daemon,
-// so if it decided who is a member, the views of two daemons would differ for that time.
+// peers. The list only names candidates, because it lags behind by a different time on each
+// daemon. If the list decided who is a member, the views of two daemons would differ until
+// both daemons have the same list.
 func (peers *Peers) SetListings(_ time.Time, listings []Listing) {
 	peers.invalidate()
 	clear(peers.listed)
@@ -57,8 +58,9 @@
 }
 
 // AllCandidates returns all candidates that this daemon knows, itself included, in the order of
-// their VMs' names. It is sent to peers that can't read the platform's list. In this package
-// a roster lists daemons, unlike that of package yuccaroster, which lists targets.
+// their VMs' names. The result is this daemon's roster, which is sent to peers that can't
+// read the platform's list. In this package a roster lists daemons; in package yuccaroster a
+// roster lists targets.
 func (peers *Peers) AllCandidates() []Listing {
 	return slices.SortedFunc(maps.Values(peers.candidates()), compareListings)
 }
@@ -70,12 +72,13 @@
 // sendsRosterTo reports whether this daemon sends its roster to the sender of a heartbeat,
 // which hasn't read the platform's list.
 //
-// If all daemons sent theirs, a new daemon in a fleet of 300 that connects to 100 of them would
-// get 100 rosters of 300 names, more traffic than all other messages. A daemon that knows
-// less than half of the candidates gets the roster of each daemon that it connects to. Later
-// rosters only add what has changed meanwhile, so those of rosterSenders daemons and of the
-// seeds are enough. All daemons dial the seeds, so two daemons that start together always
-// learn of each other.
+// If all daemons sent their rosters, a new daemon in a fleet of 300 that connects to 100
+// others would get 100 rosters of 300 names, more traffic than all other messages. A daemon
+// that knows less than half of the candidates gets the roster of each daemon that it connects
+// to. Later rosters only add what has changed meanwhile, so the rosters of rosterSenders
+// daemons and of the seeds are enough. All daemons dial the seeds, so two daemons that start
+// together always learn of each other. The limit of rosterSenders only applies within a data
+// centre: a daemon of another data centre always gets the roster.
 func (peers *Peers) sendsRosterTo(heartbeat *Heartbeat) bool {
 	own := peers.self.Centre
 	if heartbeat.Centre != own || 2*heartbeat.Knows < peers.candidateCount(own) || slices.Contains(peers.seeds, peers.self.Address) {
@@ -103,7 +106,7 @@
 }
 
 // candidateCount returns the number of a data centre's candidates. Each full heartbeat
-// contains it, so it is counted without building the sorted list.
+// contains this number, so the candidates are counted without building the sorted list.
 func (peers *Peers) candidateCount(centre yuccaid.Centre) int {
 	return cached(&peers.viewCache.candidateCount, centre, func() int {
 		count := 0
@@ -116,8 +119,9 @@
 	})
 }
 
-// candidates merges the platform's list, the listings received from peers and the members
-// in the view. If a VM is in several of them, the last in this order counts.
+// candidates merges the platform's list, the listings received from peers, the members in
+// the view and this daemon. If several of these sources have a listing of the same VM, the
+// last source in this order counts.
 func (peers *Peers) candidates() map[yuccaid.VM]Listing {
 	all := maps.Clone(peers.listed)
 	for vm, candidate := range peers.received {
--- a/core/yuccapeer/cost_test.go
+++ b/core/yuccapeer/cost_test.go
@@ -15,17 +15,19 @@
 	// second.
 	costLimit = 3000
 	// headerBytes is the length of an IPv4 header and a TCP header with timestamps. In the
-	// worst case each frame is sent in a packet of its own and acknowledged by another.
+	// worst case each frame is sent in a packet of its own, and a packet of its own
+	// acknowledges the frame.
 	headerBytes = 20 + 32
 )
 
 // cost is what membership costs a daemon. Bytes are totals in fleet.costs, and per second in
 // the result of measure.
 type cost struct {
-	// frames is the bytes of the frames that the daemon sent. sent and received are its bytes
-	// including headers and acknowledgements.
+	// frames is the number of bytes in the frames that the daemon sent. sent and received are
+	// the numbers of bytes that it sent and received, including headers and acknowledgements.
 	frames, sent, received float64
-	// connectionCount counts all connections, and remoteCount those to other data centres.
+	// connectionCount counts all connections, remoteCount the connections to other data
+	// centres.
 	connectionCount, remoteCount int
 }
 
--- a/core/yuccapeer/derived.go
+++ b/core/yuccapeer/derived.go
@@ -3,8 +3,8 @@
 import "yuccacleat/core/yuccaid"
 
 // maxCachedPerKind bounds the entries of each map of a viewCache; a full map is cleared.
-// Pools are also named by requests, so without a bound requests for many pools that don't
-// exist would fill the memory.
+// Leaders are cached for every pool that a request names, whether or not the pool exists.
+// Without a bound, requests for many pools that don't exist would fill the memory.
 const maxCachedPerKind = 1024
 
 // viewCache holds results computed from the view until the view changes.
@@ -27,7 +27,8 @@
 	peers.viewCache = viewCache{}
 }
 
-// cached returns the cached value of a key, or computes and caches it. It clears a map that
+// cached returns the value that one map of a viewCache holds for a key. If the map holds no
+// value for the key, cached computes and stores it. Before that, it clears the map if the map
 // has maxCachedPerKind entries.
 func cached[K comparable, V any](values *map[K]V, key K, compute func() V) V {
 	if value, found := (*values)[key]; found {
--- a/core/yuccapeer/dial.go
+++ b/core/yuccapeer/dial.go
@@ -20,17 +20,18 @@
 	tried map[yuccaid.VM]bool
 }
 
-// WantedConnections returns the addresses that this daemon must have a control connection to: those of
-// all candidates of its own data centre, one in each data centre that it is a gateway to,
-// and the seeds that are still to be dialled.
+// WantedConnections returns the addresses that this daemon must have a control connection to.
+// They are the addresses of all candidates of its own data centre, one address in each data
+// centre that it is a gateway to, and the seeds that are still to be dialled.
 func (peers *Peers) WantedConnections() []string {
 	candidates := peers.candidates()
 	addresses := make(map[string]bool)
 	for vm, listing := range candidates {
 		if listing.Centre == peers.self.Centre {
 			addresses[listing.Address] = true
-			// If the list has another address, the candidate's may be that of a replaced
-			// process, while its successor listens at the address in the list.
+			// If the platform's list has another address for the VM, the candidate's address
+			// may be the address of a replaced process. The successor of that process then
+			// listens at the address in the list.
 			addresses[peers.listed[vm].Address] = true
 		}
 	}
@@ -46,8 +47,8 @@
 	return slices.Sorted(maps.Keys(addresses))
 }
 
-// unknownSeeds returns the seeds that aren't the address of any candidate, until the
-// platform's list has been read.
+// unknownSeeds returns the seeds that aren't the address of any candidate. Once the
+// platform's list has been read, it returns none.
 //
 // Seeds are dialled even when a candidate of this data centre is known, because they also
 // lead to other data centres: if a daemon stopped dialling them once it had found a daemon
@@ -73,9 +74,9 @@
 }
 
 // updateGatewayLinks updates which other data centres this daemon is a gateway to, and the VM
-// that it dials in each. The dial plan is only made again when the candidates or the view
-// have changed, because with 400 VMs that takes half a millisecond, too much for a small VM
-// to spend at each heartbeat.
+// that it dials in each. The dial plan is only made again when the candidates, the view or
+// the result of Settled have changed. Making the plan takes half a millisecond with 400 VMs,
+// too much for a small VM to spend at each heartbeat.
 func (peers *Peers) updateGatewayLinks(now time.Time) {
 	if settled := peers.Settled(); peers.dialPlan == nil || peers.dialPlanStale || peers.dialPlanSettled != settled {
 		peers.dialPlan = peers.makeDialPlan()
@@ -101,8 +102,8 @@
 	}
 	own := peers.self.Centre
 	if peers.Settled() {
-		// Until it has settled, the view may hold this daemon alone, which would make it a
-		// gateway to every data centre, so the candidates are used.
+		// Until this daemon has settled, its view may hold no other daemon, and this daemon
+		// would become a gateway to every data centre. So the candidates are used until then.
 		byCentre[own] = vmsOf(peers.Live(own))
 	}
 	plan := make(map[yuccaid.Centre][]yuccaid.VM)
@@ -135,7 +136,7 @@
 // With rendezvous hashing all daemons make the same choice, and it stays the same when
 // other daemons join or leave. Hashing alone would give some daemons several times as
 // many links as others, and each link costs heartbeats. So a daemon that already has
-// evenShare links is only picked for another when no daemon with fewer is left.
+// evenShare links is only picked for a further link when no daemon with fewer links is left.
 func (peers *Peers) assignGateways(byCentre map[yuccaid.Centre][]yuccaid.VM, from yuccaid.Centre) map[yuccaid.Centre][]yuccaid.VM {
 	vms := byCentre[from]
 	otherCentres := slices.DeleteFunc(slices.Sorted(maps.Keys(byCentre)), func(centre yuccaid.Centre) bool {
@@ -162,9 +163,10 @@
 }
 
 // dialOrder returns another data centre's VMs in the order in which this daemon dials them,
-// given its index among this data centre's gateways. The other data centre's gateway with
-// the same index comes first: it dials this daemon too, so both need only one connection.
-// Then come its other gateways, then all other VMs.
+// given this daemon's index among its own data centre's gateways. The first is the other data
+// centre's gateway with the same index. That gateway dials this daemon too, so the two
+// gateways need only one connection. Then come the other gateways of the other data centre,
+// then all other VMs there.
 func (peers *Peers) dialOrder(byCentre map[yuccaid.Centre][]yuccaid.VM, centre yuccaid.Centre, index int) []yuccaid.VM {
 	order := slices.Clone(peers.assignGateways(byCentre, centre)[peers.self.Centre])
 	if index < len(order) {
@@ -179,8 +181,9 @@
 }
 
 // updateGatewayLink updates which VM of another data centre this daemon dials. It keeps the
-// current VM while it is connected, and for GatewayConnectTimeout after it was last connected
-// or first dialled. Then it switches to the next VM in the order that hasn't been tried yet.
+// current VM while that VM is connected, and for GatewayConnectTimeout after the VM was last
+// connected or first dialled. After that, or at once if the VM is no longer in the order, it
+// switches to the next VM in the order that hasn't been tried yet.
 func (peers *Peers) updateGatewayLink(now time.Time, centre yuccaid.Centre, order []yuccaid.VM) {
 	link := peers.gatewayLinks[centre]
 	if link == nil {
@@ -202,8 +205,8 @@
 	link.since = now
 }
 
-// nextVM returns the first VM that wasn't tried. Once all were, it starts again at the
-// first.
+// nextVM returns the first VM in the order that hasn't been tried. Once all VMs have been
+// tried, it starts again at the first VM. It returns "" if the order is empty.
 func (link *gatewayLink) nextVM(order []yuccaid.VM) yuccaid.VM {
 	for _, vm := range order {
 		if !link.tried[vm] {
--- a/core/yuccapeer/leader.go
+++ b/core/yuccapeer/leader.go
@@ -41,8 +41,8 @@
 	return best
 }
 
-// hashWeight returns the rendezvous hash of a topic and a name. They are separated by a
-// zero byte, which neither contains.
+// hashWeight returns the rendezvous hash of a topic and a name. A zero byte separates the
+// topic from the name, because neither of them contains a zero byte.
 func hashWeight(topic, name string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/core/yuccapeer/member.go
+++ b/core/yuccapeer/member.go
@@ -37,12 +37,12 @@
 	Number  yuccaid.ConfigNumber `msgpack:"number"`
 	Digest  yuccaid.Digest       `msgpack:"digest"`
 	Leaving bool                 `msgpack:"leaving"`
-	// Sequence is greater than that of each earlier heartbeat or pulse that the sender sent to
-	// this receiver. Version increases when Number, Digest or Leaving changes.
+	// Sequence increases with each heartbeat or pulse that the sender sends to this receiver.
+	// Version increases when Number, Digest or Leaving changes.
 	Sequence uint64 `msgpack:"sequence"`
 	Version  uint64 `msgpack:"version"`
 	// Unlisted is set until the sender has read the platform's list. Knows is the number of
-	// candidates in its data centre that it knows, itself included.
+	// candidates of its own data centre that the sender knows, itself included.
 	Unlisted bool `msgpack:"unlisted"`
 	Knows    int  `msgpack:"knows"`
 }
@@ -59,8 +59,8 @@
 // pulseFields is the number of elements in an encoded pulse.
 const pulseFields = 3
 
-// EncodeMsgpack writes an array without keys, because a pulse is sent hundreds of times more
-// often than a full heartbeat and keys would be most of its length.
+// EncodeMsgpack writes an array without field names. A pulse is sent hundreds of times more
+// often than a full heartbeat, and field names would be most of the pulse's length.
 func (pulse Pulse) EncodeMsgpack(enc *msgpack.Encoder) error {
 	return errors.Join(
 		enc.EncodeArrayLen(pulseFields),
--- a/core/yuccapeer/option.go
+++ b/core/yuccapeer/option.go
@@ -10,10 +10,10 @@
 	// in others stays under 3 KB/s including all headers; a shorter interval would
 	// exceed that.
 	HeartbeatEvery time.Duration
-	// ExpireAfter is how long a peer stays live without a heartbeat or a pulse. By
-	// default three in a row may be lost or late. With a shorter value, a peer that
-	// stalls briefly is removed and its pools change leaders needlessly. With a
-	// longer one, the requests queued at a dead leader wait longer for its successor.
+	// ExpireAfter is how long a peer stays live without a heartbeat or a pulse. With the
+	// default, three messages in a row may be lost or late. With a shorter value, a peer
+	// that stalls briefly is removed and its pools change leaders needlessly. With a
+	// longer value, the requests queued at a dead leader wait longer for its successor.
 	ExpireAfter time.Duration
 	// DisconnectGrace replaces ExpireAfter once the last connection to a peer has
 	// broken. It is long enough to dial again, so that one broken connection
@@ -29,10 +29,11 @@
 	SettleFor time.Duration
 	// ForgetAfter is how long a replaced incarnation is remembered. Until then, its
 	// messages don't add it to the view again, whether they arrive late or its
-	// process resumes after a pause. Listings from other daemons are kept as long.
+	// process resumes after a pause. Listings from other daemons are also kept for
+	// ForgetAfter.
 	ForgetAfter time.Duration
 	// GatewayConnectTimeout is how long a gateway tries to connect to a VM of
-	// another data centre before it tries the next one.
+	// another data centre before it tries the next VM.
 	GatewayConnectTimeout time.Duration
 }
 
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -12,7 +12,8 @@
 	// self is this daemon's state, as its full heartbeats report it.
 	self   Heartbeat
 	timing Timing
-	// gatewayCount is how many daemons of a data centre are gateways to each other one.
+	// gatewayCount is how many daemons of a data centre are gateways to each other data
+	// centre.
 	gatewayCount int
 	// seeds are the addresses that are dialled until the platform's list has been read.
 	seeds []string
@@ -23,8 +24,8 @@
 	received map[yuccaid.VM]receivedListing
 	// byVM has the peer on each VM, in the view or not.
 	byVM map[yuccaid.VM]*peer
-	// replaced are the incarnations that were replaced by another on their VM, with the time at
-	// which each is forgotten.
+	// replaced has the incarnations that another incarnation on their VM has replaced, each
+	// with the time at which it is forgotten.
 	replaced map[yuccaid.Incarnation]time.Time
 	// connected are the incarnations with a connection to this daemon.
 	connected map[yuccaid.Incarnation]Member
@@ -32,9 +33,9 @@
 	// roster were sent for each full heartbeat, each change would cause as many rosters as
 	// the square of the number of daemons.
 	rosterSent map[yuccaid.Incarnation]bool
-	// dialPlan has the VMs to dial in each data centre that this daemon is a gateway to, in
-	// order. It has to be made again if dialPlanStale is set, or if Settled no longer
-	// returns dialPlanSettled.
+	// dialPlan has, for each data centre that this daemon is a gateway to, the VMs there in the
+	// order in which they should be dialled. It has to be made again if dialPlanStale is set,
+	// or if Settled no longer returns dialPlanSettled.
 	dialPlan map[yuccaid.Centre][]yuccaid.VM
 	// gatewayVMs are the VMs of this data centre that are gateways according to the dial plan.
 	gatewayVMs      map[yuccaid.VM]bool
@@ -45,7 +46,7 @@
 	gatewayLinks map[yuccaid.Centre]*gatewayLink
 	// lastTick is the time of the last Tick, and zero before the first.
 	lastTick time.Time
-	// settledAt is from when this daemon may name leaders.
+	// settledAt is the time from which this daemon may name leaders.
 	settledAt time.Time
 	// lastSentToAll is when full heartbeats or pulses were last sent to all connected peers.
 	lastSentToAll time.Time
@@ -55,13 +56,13 @@
 type peer struct {
 	member Member
 	config PeerConfig
-	// sequence is that of the last message that was accepted from the peer, and version that
-	// of its last full heartbeat.
+	// sequence is the sequence number of the last message that was accepted from the peer.
+	// version is the version in its last full heartbeat.
 	sequence uint64
 	version  uint64
 	// inView is set by a full heartbeat, and reset when the peer's heartbeats are overdue
-	// or this process was paused. The other fields are kept then, so that a late message
-	// can still be recognised by its sequence number.
+	// or this process was paused. The other fields are kept when inView is reset, so that a
+	// late message can still be recognised by its sequence number.
 	inView bool
 	// expiresAt is when the peer is removed from the view unless it sends a message.
 	expiresAt time.Time
@@ -127,9 +128,9 @@
 }
 
 // HandleConnect records that a connection to the member is up and returns the full heartbeat
-// to send to it. The member joins the view with its own first heartbeat. A member on this
-// daemon's own VM, which is this process's predecessor or successor, is ignored, and so is a
-// replaced incarnation.
+// to send to the member. The member joins the view with its own first heartbeat. A replaced
+// incarnation is ignored. A member on this daemon's own VM is also ignored, because it is the
+// predecessor or the successor of this process.
 func (peers *Peers) HandleConnect(_ time.Time, member Member) Change {
 	_, replaced := peers.replaced[member.Incarnation]
 	if replaced || member.VM == peers.self.Incarnation.VM {
@@ -153,8 +154,9 @@
 	}
 }
 
-// HandleHeartbeat applies a full heartbeat. It is ignored if its sender isn't connected:
-// HandleConnect must have been called for the sender, and HandleDisconnect not since.
+// HandleHeartbeat applies a full heartbeat. A heartbeat is ignored if its sender isn't
+// connected. A sender is connected from the call of HandleConnect until the call of
+// HandleDisconnect.
 func (peers *Peers) HandleHeartbeat(now time.Time, heartbeat Heartbeat) Change {
 	var change Change
 	sender := peers.accept(now, heartbeat.Incarnation, heartbeat.Sequence, &change)
@@ -182,9 +184,9 @@
 	return change
 }
 
-// HandlePulse applies a pulse from an incarnation. The change contains this daemon's full
-// heartbeat if the pulse requests it. If the full heartbeat of the pulse's version hasn't been
-// received, the change contains a pulse that requests that.
+// HandlePulse applies a pulse from an incarnation. If the pulse requests this daemon's full
+// heartbeat, the change contains it. If this daemon lacks the sender's full heartbeat of the
+// pulse's version, the change contains a pulse that requests that heartbeat.
 func (peers *Peers) HandlePulse(now time.Time, from yuccaid.Incarnation, pulse Pulse) Change {
 	var change Change
 	sender := peers.accept(now, from, pulse.Sequence, &change)
@@ -203,9 +205,10 @@
 // Tick removes the peers whose heartbeats are overdue and returns the pulses that are due.
 // A long gap since the last call shows that this process was paused.
 //
-// After a pause a process would find the heartbeats of all peers overdue, or would still act
-// as a leader although another daemon leads the pool by now. So the whole view expires
-// first, and the daemon names no leader until it has received heartbeats for SettleFor.
+// A process that resumes after a pause would find the heartbeats of all peers overdue, or
+// would still act as a leader although another daemon leads the pool by now. So after a pause
+// the whole view expires first. Then the daemon names no leader until it has received
+// heartbeats for SettleFor.
 func (peers *Peers) Tick(now time.Time) Change {
 	if peers.lastTick.IsZero() {
 		peers.settledAt = now.Add(peers.timing.SettleFor)
@@ -254,8 +257,9 @@
 // SetSeeds replaces the addresses of daemons to dial until the platform's list is read.
 func (peers *Peers) SetSeeds(addresses []string) { peers.seeds = addresses }
 
-// Find returns the live member on a VM, or else the VM's candidate, whose incarnation is
-// unknown. It returns false if the VM is neither.
+// Find returns the live member on a VM, which may be this daemon. If there is none, it
+// returns the candidate on the VM, as a member of unknown incarnation. It returns false if
+// the VM has neither a live member nor a candidate.
 func (peers *Peers) Find(vm yuccaid.VM) (Member, bool) {
 	if vm == peers.self.Incarnation.VM {
 		return peers.Self(), true
--- a/core/yuccapeer/peers_test.go
+++ b/core/yuccapeer/peers_test.go
@@ -28,9 +28,9 @@
 	return all
 }
 
-// disagreement compares the views of the processes that can reach each other with one
-// another and with the actual state of the world. It describes the first difference, and is
-// empty if there is none.
+// disagreement compares the views of processes that can reach each other. It also compares
+// each view with the actual state of the world. It returns a description of the first
+// difference, or "" if there is none.
 func (wld *world) disagreement() string {
 	for _, proc := range wld.current() {
 		for _, member := range proc.view.Live(proc.Centre) {
@@ -70,9 +70,9 @@
 	return ""
 }
 
-// lacksSuccessor reports whether a replaced process still runs on a side of the partition,
-// and its successor on the other side. The daemons on the first side can't know that the
-// process was replaced, so their views may differ.
+// lacksSuccessor reports whether a replaced process is still alive on the given side of the
+// partition while none of its successors runs on that side. The daemons on that side can't
+// know that the process was replaced, so their views may differ.
 func (wld *world) lacksSuccessor(side int) bool {
 	return slices.ContainsFunc(wld.processes, func(old *process) bool {
 		return old.side == side && !old.dead && wld.replaced[old.Incarnation] &&
@@ -329,9 +329,10 @@
 		Expect(newcomer.WantedConnections()).To(ContainElement(remote.Address), "the seed should be dialled again once its listing is forgotten")
 	})
 
-	// While the platform's list can't be read, full heartbeats are answered by a roster. Each
-	// change of the configuration causes a full heartbeat from every peer, so if each
-	// heartbeat were answered, a hundred daemons would send one another ten thousand rosters.
+	// While the platform's list can't be read, a daemon answers a peer's full heartbeat by its
+	// roster. Each change of the configuration causes a full heartbeat from every peer. If each
+	// of these heartbeats were answered by a roster, a hundred daemons would send one another
+	// ten thousand rosters.
 	It("sends a roster once for each connection", func() {
 		unlisted := second.view.Heartbeat()
 		unlisted.Unlisted = true
--- a/core/yuccapeer/roster_test.go
+++ b/core/yuccapeer/roster_test.go
@@ -25,15 +25,15 @@
 	byAddress map[string]int
 	// connected has the pairs of indices of daemons that are connected, in both orders.
 	connected map[[2]int]bool
-	// queues has the messages that were sent from one daemon to another and haven't arrived,
-	// by the indices of the two.
+	// queues has the messages that were sent from one daemon to another and haven't arrived.
+	// The map's key is the index of the sender and the index of the receiver.
 	queues map[[2]int][]any
 	// rosters counts the rosters that were sent.
 	rosters int
 }
 
-// newColdStart creates count daemons. The seeds are the first seedCount of them, and one
-// address at which no daemon listens.
+// newColdStart creates count daemons. The seeds are the addresses of the first seedCount
+// daemons, and one address at which no daemon listens.
 func newColdStart(pick func(int) int, count, seedCount int) *coldStart {
 	cold := &coldStart{pick: pick, now: time.Unix(1e6, 0), byAddress: make(map[string]int), connected: make(map[[2]int]bool), queues: make(map[[2]int][]any)}
 	for i := range count {
@@ -121,9 +121,9 @@
 }
 
 // All daemons of a data centre were killed and start at the same time, while the platform's
-// list can't be read. Each gets the rosters of a few daemons only. If two never learnt of each
-// other, they would name different leaders until one of them restarts, and would count the
-// usage of quotas separately.
+// list can't be read. Each daemon gets the rosters of a few daemons only. If two daemons never
+// learnt of each other, they would name different leaders until one of the two restarts, and
+// would count the usage of quotas separately.
 func TestDaemonsThatStartTogetherAllMeet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		pick := func(count int) int { return rapid.IntRange(0, count-1).Draw(rt, "next") }
@@ -138,8 +138,8 @@
 	})
 }
 
-// One VM of a large data centre is replaced. If it exchanged rosters with each of the other
-// 39 daemons, those 78 rosters would be most of the fleet's membership traffic.
+// One VM of a large data centre is replaced. If its new daemon exchanged rosters with each of
+// the other 39 daemons, those 78 rosters would be most of the fleet's membership traffic.
 func TestANewcomerGetsTheRostersOfAFew(t *testing.T) {
 	const daemons, maxRosters = 40, 40
 	for seed := range uint64(5) {
--- a/core/yuccapeer/share.go
+++ b/core/yuccapeer/share.go
@@ -43,9 +43,9 @@
 	return share.whole || share.liveVMs[highestWeight(share.candidates, string(tgt)).VM]
 }
 
-// Select returns those of a pool's targets that are in the share. If none is, it returns all
-// of them, because requests that wait behind those of the other side are better than
-// requests that can't run at all.
+// Select returns the targets of a pool that are in the share. If none of the pool's targets
+// is in the share, it returns all of them. Requests that wait behind the requests of the
+// other side are better than requests that can't run at all.
 func (share TargetShare) Select(targets []yuccaid.Target) []yuccaid.Target {
 	var selected []yuccaid.Target
 	for _, tgt := range targets {
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -8,13 +8,15 @@
 )
 
 // accept returns the peer that sent a message with a sequence number, and records that the
-// peer is alive. It returns nil for a message that is late or a duplicate, that comes from this
-// daemon's own VM, from a replaced incarnation or from one that isn't connected.
+// peer is alive. It returns nil for a message that is late or a duplicate. It also returns
+// nil if the sender is a replaced incarnation, isn't connected, runs on this daemon's own VM
+// or may not replace the current incarnation on its VM.
 //
 // Two incarnations of one VM may both send messages: the old process was paused while its VM
 // was replaced, and resumes with its connections and its address. If the latest message
-// decided, the two would replace each other in turn. So the current incarnation stays while
-// it is connected, unless the platform's list has the address of the new one.
+// decided which of them is current, the two would replace each other in turn. So the current
+// incarnation stays while it is connected, unless the platform's list has the address of the
+// other incarnation.
 func (peers *Peers) accept(now time.Time, inc yuccaid.Incarnation, sequence uint64, change *Change) *peer {
 	if _, replaced := peers.replaced[inc]; replaced || !peers.isConnected(inc) {
 		return nil
@@ -58,8 +60,9 @@
 
 // tryReplace removes the current incarnation on a VM if the newcomer may replace it, and
 // reports whether it did. The removed incarnation counts as replaced from then on, unless
-// the platform's list has its address: then the newcomer may be its predecessor, which sends
-// messages while the removed incarnation is cut off, and the latter may return.
+// the platform's list has its address and not the newcomer's. In that case the newcomer may
+// be the older process, which sends messages while the removed incarnation is cut off. The
+// removed incarnation must then be accepted again when it returns.
 func (peers *Peers) tryReplace(now time.Time, current *peer, newcomer Member, change *Change) bool {
 	inc := current.member.Incarnation
 	listedAddress := peers.listed[inc.VM].Address
@@ -86,11 +89,11 @@
 	}
 }
 
-// expireSilent removes the peers whose heartbeats are overdue from the view. They don't
-// count as replaced, even when they were leaving: such a daemon may have been cut off while
-// it finishes its requests. If the other daemons ignored its messages from then on, it would
-// still have them in its view, but name other leaders than they do, and send requests to
-// the wrong one.
+// expireSilent removes the peers whose heartbeats are overdue from the view. These peers
+// don't count as replaced, even if they were leaving, because a leaving daemon may have been
+// cut off while it finishes its requests. If the other daemons ignored its messages from then
+// on, the leaving daemon would still have the others in its view. But it would name other
+// leaders than the others do, and send requests to the wrong leader.
 func (peers *Peers) expireSilent(now time.Time, change *Change) {
 	for _, other := range peers.byVM {
 		if !now.Before(other.expiresAt) {
@@ -113,8 +116,8 @@
 	return change
 }
 
-// deleteOld deletes the expired peers, received listings and replaced incarnations that are
-// older than ForgetAfter. VMs are replaced all the time, so otherwise the maps would grow
+// deleteOld deletes the peers that expired, the listings that were received and the
+// incarnations that were replaced more than ForgetAfter ago. VMs are replaced all the time, so otherwise the maps would grow
 // without bound.
 func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.byVM {
@@ -136,8 +139,9 @@
 }
 
 // NewerConfig returns the configuration with the highest number among the peers in the view,
-// or the zero value if no number is above this daemon's. If several peers have it, the first
-// by name is returned, so that the choice is stable.
+// or the zero value if no number is above this daemon's. If several peers have the highest
+// number, the configuration of the first peer by name is returned, so that the choice is
+// stable.
 func (peers *Peers) NewerConfig() PeerConfig {
 	best := PeerConfig{Number: peers.self.Number}
 	for _, other := range peers.byVM {
--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -35,7 +35,8 @@
 	// onSend is called for each message that is sent.
 	onSend func(from, to *process, message yuccapeer.Message)
 	// violation describes an incarnation that a process added to its view again after that
-	// incarnation had been replaced, or had reported that it is leaving. It is empty if none was.
+	// incarnation had been replaced, or had reported that it is leaving. It is empty if no
+	// process has done so.
 	violation string
 	// replaced are the incarnations that have a successor on their VM.
 	replaced map[yuccaid.Incarnation]bool
@@ -58,8 +59,8 @@
 	received map[yuccaid.Incarnation]time.Time
 	// latest is the incarnation on each VM that last joined this process's view.
 	latest map[yuccaid.VM]yuccaid.Incarnation
-	// seenReplaced are the incarnations that a successor replaced in this process's view, and
-	// seenLeaving those that have reported that they are leaving.
+	// seenReplaced are the incarnations that a successor replaced in this process's view.
+	// seenLeaving are the incarnations that this process has seen reported as leaving.
 	seenReplaced, seenLeaving map[yuccaid.Incarnation]bool
 }
 
@@ -243,13 +244,14 @@
 	wld.apply(proc, proc.view.HandlePulse(wld.now, from, dlv.message.Pulse))
 }
 
-// canReach reports whether two processes run on the same side of the network partition.
+// canReach reports whether two processes are alive and on the same side of the network
+// partition.
 func (wld *world) canReach(a, b *process) bool {
 	return a.side == b.side && !a.dead && !b.dead
 }
 
-// connect opens the connections that the processes' Dial asks for, if both ends run and can
-// reach each other.
+// connect opens the connections that WantedConnections of each process asks for, if the
+// processes at both ends run and can reach each other.
 func (wld *world) connect() {
 	byAddress := make(map[string]*process)
 	for _, proc := range wld.processes {
@@ -278,8 +280,8 @@
 	wld.apply(b, b.view.HandleConnect(wld.now, a.Member))
 }
 
-// closeSilent closes the connections that have delivered no message for silenceLimit, and
-// those that have a dead process at either end.
+// closeSilent closes the connections that are broken, that have delivered no message for
+// silenceLimit or that have a dead process at either end.
 func (wld *world) closeSilent() {
 	for _, proc := range wld.processes {
 		for inc, conn := range proc.connections {
@@ -305,8 +307,8 @@
 	})
 }
 
-// quiet reports whether nothing has disturbed the world for longer than two daemons may both
-// lead a pool.
+// quiet reports whether nothing has disturbed the world for some time. That time is longer
+// than the time for which two daemons may both lead a pool.
 func (wld *world) quiet() bool {
 	timing := yuccapeer.DefaultTiming()
 	bound := timing.ExpireAfter + timing.HeartbeatEvery + messageDelay + 3*wld.step
--- a/core/yuccaroster/roster.go
+++ b/core/yuccaroster/roster.go
@@ -39,7 +39,7 @@
 	// removed is set once a removal has taken effect.
 	removed bool
 	// due is when a tentative removal takes effect, or when the record of a removed target is
-	// deleted.
+	// deleted. It is zero for a registered target without a tentative removal.
 	due time.Time
 	// tentative is set while a tentative removal hasn't taken effect.
 	tentative bool
@@ -53,8 +53,9 @@
 // Version returns a number that changes whenever the result of Usable may have changed.
 func (ros *Roster) Version() uint64 { return ros.version }
 
-// Put adds or updates a registration. It reports false if the roster already has this
-// revision of it or a newer one.
+// Put adds or updates a target's registration. It cancels a tentative removal of the target.
+// It changes nothing and reports false if the roster already has the same or a newer revision
+// of the target's registration or removal.
 func (ros *Roster) Put(_ time.Time, entry Entry) bool {
 	rec, known := ros.records[entry.Target]
 	if known && rec.revision >= entry.Revision {
@@ -69,8 +70,10 @@
 	return true
 }
 
-// Remove ends a registration and reports whether that changed the roster. Unless sure is
-// set, the removal is tentative, and the target stays for removalGrace. A caller must not set
+// Remove ends a registration. Unless sure is set, the removal is tentative, and the target
+// stays for removalGrace. Remove reports false if it changed nothing: if the target isn't
+// registered, if its registration is newer than the removal, or if the removal isn't sure and
+// a tentative removal is pending already. A caller must not set
 // sure if the platform's service was down a moment ago, because then the registration may
 // have expired although the target works.
 func (ros *Roster) Remove(now time.Time, removal Removal, sure bool) bool {
@@ -89,7 +92,7 @@
 }
 
 // ReplaceAll applies a complete list of the registrations, read at a revision: it adds or
-// updates the listed targets and removes all others, tentatively unless sure is set.
+// updates the listed targets and removes all other targets, tentatively unless sure is set.
 func (ros *Roster) ReplaceAll(now time.Time, entries []Entry, revision Revision, sure bool) {
 	listed := make(map[yuccaid.Target]bool, len(entries))
 	for _, entry := range entries {
--- a/core/yuccaroster/roster_test.go
+++ b/core/yuccaroster/roster_test.go
@@ -50,8 +50,8 @@
 		Expect(ros.Usable("draft")).To(BeEmpty())
 	})
 
-	// A slow daemon forwards a registration that has been removed in the meantime. If it were
-	// added again, requests would be sent to a target that no longer runs.
+	// A slow daemon forwards a registration that has been removed in the meantime. If the
+	// registration were added again, requests would be sent to a target that no longer runs.
 	It("doesn't add a target again on a registration older than its removal", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
@@ -77,8 +77,8 @@
 		Expect(names(ros.Usable("draft"))).To(Equal([]yuccaid.Target{"b"}))
 	})
 
-	// Unsure lists arrive more often than the grace period is long. If each restarted it, a
-	// target that ended during the outage would never be removed.
+	// Unsure lists arrive at intervals shorter than the grace period. If each list restarted
+	// the grace period, a target that ended during the outage would never be removed.
 	It("doesn't restart the grace period with each unsure list", func() {
 		ros := yuccaroster.New()
 		ros.Put(start, entry("a", 1))
--- a/core/yuccaroute/config.go
+++ b/core/yuccaroute/config.go
@@ -14,7 +14,8 @@
 	Limits   Limits
 }
 
-// Route maps the requests to one host whose path begins with a prefix to pools.
+// Route selects requests and names the pools that serve them. It selects the requests that
+// are sent to one host and whose path begins with a prefix.
 type Route struct {
 	Name   string
 	Host   string
@@ -55,14 +56,15 @@
 	Engine *Engine
 }
 
-// Engine describes each engine of a pool: how many requests it runs at once (Slots), and the size of
-// its KV cache in tokens (Cache).
+// Engine describes each engine of a pool. Slots is how many requests the engine runs at once.
+// CacheTokens is the size of its KV cache in tokens.
 type Engine struct {
 	Slots       int
 	CacheTokens yuccaid.Tokens
 }
 
-// Account is a client account with its keys.
+// Account is a client account. Keys are the account's keys: a request that carries one of them
+// belongs to the account.
 type Account struct {
 	Name yuccaid.Account
 	Keys []string
--- a/core/yuccaroute/holder.go
+++ b/core/yuccaroute/holder.go
@@ -7,7 +7,8 @@
 //
 // The tables come from several sources: the platform, which may serve an old copy, and peers, which
 // may offer an old table after a pause of their process. A table with a lower number could restore
-// a route or key that has been withdrawn, so a Holder rejects it. Load may be called concurrently
+// a route that has been withdrawn, or an account's key. So a Holder rejects such a table, and also
+// a table with the same number. Load may be called concurrently
 // with one caller of Offer.
 type Holder struct {
 	table atomic.Pointer[Table]
--- a/core/yuccaroute/pick.go
+++ b/core/yuccaroute/pick.go
@@ -3,7 +3,8 @@
 import "yuccacleat/core/yuccaid"
 
 // Pick returns the pool for a request. The pools are chosen in proportion to their weights by
-// draw, a random number in [0, 1). If all weights are zero, Pick returns the first pool.
+// draw, a random number in [0, 1). A negative weight counts as zero. If all weights are zero, Pick
+// returns the first pool.
 func (route *Route) Pick(draw float64) yuccaid.Pool {
 	totalWeight := 0
 	for _, poolWeight := range route.Pools {
--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -16,7 +16,7 @@
 	// byHost holds the routes of each host, those with the longest prefix first.
 	byHost map[string][]*Route
 	pools  map[yuccaid.Pool]*Pool
-	// byKey and byName hold the accounts by each of their keys and by their names.
+	// byKey holds the accounts by each element of Account.Keys, byName by their names.
 	byKey  map[string]*Account
 	byName map[yuccaid.Account]*Account
 }
@@ -81,7 +81,8 @@
 // Config returns the configuration of the table, which must not be modified.
 func (tab *Table) Config() *Config { return &tab.config }
 
-// Route returns the route of a host that has the longest prefix of the path.
+// Route returns the route for a request to a host with a path. Of the host's routes whose
+// prefix the path begins with, it is the route with the longest prefix.
 func (tab *Table) Route(host, path string) (*Route, bool) {
 	for _, route := range tab.byHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -97,7 +98,7 @@
 	return pool, found
 }
 
-// AccountByKey returns the account that a key belongs to.
+// AccountByKey returns the account that has the key in Account.Keys.
 func (tab *Table) AccountByKey(key string) (*Account, bool) {
 	account, found := tab.byKey[key]
 	return account, found
--- a/core/yuccashift/shift.go
+++ b/core/yuccashift/shift.go
@@ -78,9 +78,9 @@
 	Price float64
 }
 
-// Remaining returns the time that the candidate's leader has for a request: the time that remains to
-// the request's owner, minus the round trips between them. The owner subtracts the round trips,
-// because the leader doesn't know the delay to the owner.
+// Remaining returns the time that the candidate's leader has for a request. This is the time that the
+// request's owner has left, minus the round trips between the owner and the candidate. The owner
+// subtracts the round trips, because the leader doesn't know the delay to the owner.
 func (candidate Candidate) Remaining(remaining time.Duration) time.Duration {
 	return remaining - roundTrips*2*candidate.Delay
 }
@@ -90,9 +90,10 @@
 //
 // Shifting is meant for a burst or for skewed demand, where one data centre is overloaded while
 // others have free slots. Without shifting, an urgent request would be refused although engines in
-// other data centres are idle. A request is offered to a limited number of data centres. It isn't
-// offered to one to which its traffic would exceed the highest price, to which the round trips would
-// take all of its remaining time, or which has refused its pool and rank and may not be retried yet.
+// other data centres are idle. A request is offered to a limited number of data centres. Next skips
+// a data centre if the request's traffic to it would cost more than the highest price, or if the
+// round trips to it would take all of the request's remaining time. Next also skips a data centre
+// that has refused a request of the same pool and rank, until it may be retried (see MarkRefused).
 func (plan *Planner) Next(now time.Time, state *yuccastate.State, request yuccaqueue.Request, tried []yuccaid.Centre) (Candidate, bool) {
 	if len(tried) >= plan.maxTries {
 		return Candidate{}, false
@@ -150,7 +151,8 @@
 
 // candidateFor returns a data centre with its delay and the price of the request's traffic to it
 // and back. The prompt is charged in the owner's region and the answer in the target's region,
-// because each region charges for the traffic that leaves it.
+// because each region charges for the traffic that leaves it. The delay between two regions is
+// the longer of the delays of their links, or DefaultDelay if neither link has a delay.
 func candidateFor(state *yuccastate.State, request yuccaqueue.Request, centre yuccaid.Centre) Candidate {
 	localRegion, remoteRegion := state.Centres[request.Centre].Region, state.Centres[centre].Region
 	if localRegion == remoteRegion {
