--- a/core/yuccapeer/world_test.go
+++ b/core/yuccapeer/world_test.go
@@ -34,9 +34,9 @@
 	lastNonce uint64
 	// onSend is called for each message that is sent.
 	onSend func(from, to *process, message yuccapeer.Message)
-	// violation describes an incarnation that a process added to its view again after that
-	// incarnation had been replaced, or had reported that it is leaving. It is empty if no
-	// process has done so.
+	// violation describes an incarnation that a process wrongly added to its view again: after
+	// the incarnation had been replaced, or as not leaving after it had been leaving. It is
+	// empty if no process has done so.
 	violation string
 	// replaced are the incarnations that have a successor on their VM.
 	replaced map[yuccaid.Incarnation]bool
@@ -60,7 +60,8 @@
 	// latest is the incarnation on each VM that last joined this process's view.
 	latest map[yuccaid.VM]yuccaid.Incarnation
 	// seenReplaced are the incarnations that a successor replaced in this process's view.
-	// seenLeaving are the incarnations that this process has seen reported as leaving.
+	// seenLeaving are the incarnations that were leaving when they last joined this process's
+	// view.
 	seenReplaced, seenLeaving map[yuccaid.Incarnation]bool
 }
 
--- a/core/yuccapool/leader.go
+++ b/core/yuccapool/leader.go
@@ -161,7 +161,8 @@
 
 // DropOwner removes the waiting requests of a lost daemon. Its runs keep their slots
 // until a report of the target shows that they have finished or LongestRun has passed,
-// because a target does not know that the owner no longer waits for the answer.
+// because a target does not know that the owner no longer waits for the answer. These
+// runs can no longer be cancelled, because it is the owner that cancels a run.
 func (lead *Leader) DropOwner(now time.Time, owner yuccaid.Incarnation) Decisions {
 	var dec Decisions
 	var owned []*yuccaqueue.Item
@@ -245,9 +246,9 @@
 	return check, found
 }
 
-// endOverdueRuns ends runs that have lasted longer than LongestRun allows, such as
-// those of lost owners on targets that report nothing. A run is timed from its grant, and
-// its owner may use the grant up to grantTTL later.
+// endOverdueRuns ends runs that have lasted longer than LongestRun allows, such as runs
+// of lost owners on targets that report nothing. A run is timed from its grant. Its owner
+// may use the grant up to grantTTL later, so grantTTL is added to LongestRun.
 func (lead *Leader) endOverdueRuns(now time.Time) {
 	if now.Sub(lead.overdueCheckedAt) < overdueInterval {
 		return
--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -28,8 +28,8 @@
 	Leaving bool              `msgpack:"leaving" json:"leaving"`
 }
 
-// Status is the leader's state for operators and metrics. Gathering says that the
-// leader still withholds grants, as set by HoldGrantsUntil.
+// Status is the leader's state for operators and metrics. Gathering says that the leader
+// still withholds all grants because of HoldGrantsUntil.
 type Status struct {
 	Pool         yuccaid.Pool         `msgpack:"pool" json:"pool"`
 	ConfigNumber yuccaid.ConfigNumber `msgpack:"number" json:"number"`
--- a/core/yuccaqueue/queue.go
+++ b/core/yuccaqueue/queue.go
@@ -106,8 +106,8 @@
 }
 
 // SetBlocked sets whether an account's requests stay in the queue even if there are
-// free slots. The caller blocks an account that is at its own limit of running
-// requests.
+// free slots. The caller blocks an account that has reached the account's limit of
+// running requests.
 func (q *Queue) SetBlocked(name yuccaid.Account, blocked bool) {
 	acc := q.account(name)
 	if acc.blocked == blocked {
--- a/core/yuccaroute/table.go
+++ b/core/yuccaroute/table.go
@@ -110,8 +110,8 @@
 	return account, found
 }
 
-// RequiresKeys reports whether the configuration has accounts. Requests then need a key, unless
-// their route sets AllowAnonymous.
+// RequiresKeys reports whether the configuration has accounts. If it has, a request needs a key of
+// an account, unless the request's route sets AllowAnonymous.
 func (tab *Table) RequiresKeys() bool { return len(tab.config.Accounts) > 0 }
 
 // normalizeHost returns a host in lower case, without port and without the trailing dot of an
