--- a/core/yuccapool/status.go
+++ b/core/yuccapool/status.go
@@ -15,8 +15,8 @@
 	Running int            `msgpack:"running" json:"running"`
 }
 
-// TargetStatus is the leader's view of one target; Backlog is the time that its waiting
-// prompts will take.
+// TargetStatus is the leader's view of one target. Backlog is the time that the prompts
+// waiting at the target will take.
 type TargetStatus struct {
 	Target  yuccaid.Target    `msgpack:"target" json:"target"`
 	Running int               `msgpack:"running" json:"running"`
@@ -28,8 +28,8 @@
 	Leaving bool              `msgpack:"leaving" json:"leaving"`
 }
 
-// Status is the leader's state for operators and metrics. Gathering says that the
-// leader still withholds grants, as set by HoldGrantsUntil.
+// Status is the leader's state for operators and metrics. Gathering says that the leader
+// still withholds all grants because of HoldGrantsUntil.
 type Status struct {
 	Pool         yuccaid.Pool         `msgpack:"pool" json:"pool"`
 	ConfigNumber yuccaid.ConfigNumber `msgpack:"number" json:"number"`
