--- a/core/yuccaplace/cache.go
+++ b/core/yuccaplace/cache.go
@@ -13,9 +13,9 @@
 	newer, older int32
 }
 
-// cacheModel is the leader's estimate of which prefix blocks a target's cache holds. It
-// holds as many blocks as the engine's cache and evicts the least recently used block
-// first.
+// cacheModel is the leader's estimate of which prefix blocks a target's cache holds.
+// The model holds as many blocks as the engine's cache and evicts the least recently
+// used block first.
 //
 // The engines publish their cache events late and with gaps. The model is therefore
 // built from the prompts that were sent to the target, and the events only correct it.
@@ -39,9 +39,9 @@
 }
 
 // evictionCost estimates how many blocks will have to be computed again later for each
-// block that is evicted now: recently found blocks divided by recently added ones, up
-// to maxEvictionCost. It is 0 while the cache isn't full, because nothing is evicted
-// then.
+// block that is evicted now: the average number of blocks found per prompt, divided by
+// the average number added, up to maxEvictionCost. The cost is 0 while the cache isn't
+// full, because nothing is evicted then.
 func (model *cacheModel) evictionCost() float64 {
 	if len(model.index) < model.limit || model.stored <= 0 {
 		return 0
@@ -62,8 +62,8 @@
 }
 
 // touch makes a block the most recently used one and adds it if it is absent. It
-// returns the hash of the block that was evicted for it, whether there was one, and
-// whether the block was added.
+// returns the hash of the block that was evicted for it, whether a block was evicted,
+// and whether the touched block was added.
 func (model *cacheModel) touch(hash uint64) (evicted uint64, didEvict, added bool) {
 	if model.limit == 0 {
 		return 0, false, false
--- a/core/yuccaplace/choose.go
+++ b/core/yuccaplace/choose.go
@@ -21,13 +21,13 @@
 	// those slots.
 	Unsuitable
 	// WaitForBetter means that a target with a free slot was found, but waiting for
-	// another one that holds more of the prompt costs less.
+	// another target, which holds more of the prompt, costs less.
 	WaitForBetter
 )
 
-// Choice is a target for a request with the estimates for it: the cached part of the
-// prompt, the wait until its prefill starts, and the time from now until its answer is
-// complete.
+// Choice is a target for a request, with the estimates for this request on this target:
+// the cached part of the prompt, the wait until its prefill starts, and the time from
+// now until its answer is complete.
 type Choice struct {
 	TargetState *TargetState
 	Cached      yuccaid.Tokens
@@ -43,8 +43,9 @@
 // Targets differ in speed and their load reports are old. The cost is therefore the
 // estimated time until the answer is complete, by the leader's own count of what runs
 // on the target, plus the prefill that another target's cache would have saved, each
-// multiplied by its policy weight. A cached prefix thus attracts a request to its
-// target only until waiting there costs more than computing the prefix again.
+// multiplied by its policy weight. A cached prefix thus attracts a request to the
+// target that holds the prefix only until waiting there costs more than computing the
+// prefix again.
 func (placer *Placer) Choose(now time.Time, set *TargetSet, req *Request) (Choice, Verdict) {
 	placer.generation++
 	longestCached := min(placer.prefixes.markHeld(placer.generation, req.BlockHashes), req.Prompt)
@@ -112,7 +113,8 @@
 // estimateQueued estimates the request on a target that has no free slot now but holds
 // part of the prompt. It reports false if the request's deadline leaves too little
 // slack to wait. Waiting is worthwhile while it costs less than computing the prefix
-// again on another target, which would also evict blocks cached there.
+// again on another target, because the computing would also evict blocks cached on the
+// other target.
 func (placer *Placer) estimateQueued(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens) (Choice, bool) {
 	if state.Leaving() || state.probing {
 		return Choice{}, false
@@ -127,7 +129,7 @@
 }
 
 // slotWait returns the estimated time until the first of the target's decoding runs
-// finishes or, if none is decoding, until its queued prompts are processed.
+// finishes or, if no run is decoding, until the target's queued prompts are processed.
 func (state *TargetState) slotWait(now time.Time) time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for _, run := range state.runs {
@@ -156,10 +158,10 @@
 }
 
 // longPromptsConfined reports whether a long prompt may only join targets that already
-// work on one, because the remaining targets are kept free for short requests. It
-// counts over all targets of the placer: counted over each target set, a long prompt of
-// a lower tier could be placed in its set while one of a higher tier is rejected in
-// another.
+// work on one, because the remaining targets are kept free for short requests. The
+// targets are counted over the whole placer. If they were counted in each target set, a
+// long prompt of a lower tier could be placed in one set while a long prompt of a
+// higher tier is rejected in another set.
 func (placer *Placer) longPromptsConfined(req *Request) bool {
 	if !req.LongPrompt || req.LastAttempt {
 		return false
@@ -181,9 +183,10 @@
 //
 // Engines know no tiers and serve requests in order of arrival, so an urgent request
 // can't overtake what waits inside an engine. A target therefore gets no more requests
-// than its slots and extraSlots. It also gets none while its queued prompts take longer
-// than maxPrefillWait, except on a request's last attempt and in plain services, which
-// have no prompts.
+// than its slots and extraSlots. It also gets no request while its queued prompts take
+// longer than maxPrefillWait plus the request's cachedPrefillTime. This second bound
+// doesn't apply to a request's last attempt, nor to plain services, which have no
+// prompts.
 func (placer *Placer) canAccept(now time.Time, state *TargetState, req *Request) bool {
 	if state.Leaving() || state.occupied(now) >= state.Target.Slots+placer.extraSlots {
 		return false
@@ -192,9 +195,10 @@
 }
 
 // cachedPrefillTime returns how long computing the part of the prompt that the target
-// holds would take. The request may wait inside the target for that much longer: there
-// it costs other requests only the part that isn't cached, while elsewhere the prefix
-// would be computed again and another one evicted.
+// holds would take. The request may wait inside the target for that much longer. On
+// this target the request delays others only by the part that isn't cached. On another
+// target the prefix would be computed again, and blocks of another prompt would be
+// evicted for it.
 func (placer *Placer) cachedPrefillTime(state *TargetState, req *Request) time.Duration {
 	if state.generation != placer.generation {
 		return 0
@@ -203,10 +207,11 @@
 }
 
 // mayProbe reports whether the request may go to a target under probing, to find out
-// whether the target has recovered. At the target's usual rates the request must need
-// less than half of its remaining time. A probe may miss its deadline, so a request of
-// the top tier probes only if no request of a lower tier has done so for
-// topTierProbeDelay further probe intervals.
+// whether the target has recovered. The target must hold no run, and the request must
+// not be on its last attempt. At the target's usual rates the request must need less
+// than half of the time until its deadline. A probe may miss its deadline. A request of
+// the top tier therefore becomes a probe only if no request of a lower tier has become
+// one for topTierProbeDelay further probe intervals.
 func (placer *Placer) mayProbe(now time.Time, state *TargetState, req *Request) bool {
 	notBefore := state.probeAt
 	if req.Rank == 0 {
@@ -227,9 +232,9 @@
 	return seconds(float64(req.Prompt)/state.prefill.usual + float64(req.Answer)/state.decode.usual)
 }
 
-// targetLoad is the load that a request would find on a target, now or after a change:
-// the prefill time of the queued prompts, the numbers of running and of decoding
-// requests, and the share of the time that prompts take.
+// targetLoad is the load that a request would find on a target, either now or after an
+// assumed change of its runs: the prefill time of the queued prompts, the numbers of
+// running and of decoding requests, and the share of the time that prompts take.
 type targetLoad struct {
 	prefillWait time.Duration
 	running     float64
@@ -248,7 +253,7 @@
 
 // estimate returns the estimates and the cost of the request on the target under the
 // given load. longestCached is the longest prefix of the prompt that any target holds;
-// the current generation of marks tells how much of it this target holds.
+// the current generation of marks tells how much of the prompt this target holds.
 func (placer *Placer) estimate(now time.Time, state *TargetState, req *Request, longestCached yuccaid.Tokens, load targetLoad) Choice {
 	if placer.plainService {
 		finish := seconds(1 / state.call.recent)
@@ -274,9 +279,10 @@
 
 // finishCost returns the cost, in seconds, of finishing a request after the time
 // finish, or finishP90 for a long answer; slack is the time until its deadline. The
-// cost is weighted by the share of the slack that a long answer would take, so a
-// request with minutes left doesn't compete for the fastest target with a request that
-// has seconds. Time beyond the deadline weighs overrunWeight times as much.
+// time finish is weighted by the share of the slack that a long answer would take, up
+// to 1. A request with minutes left therefore doesn't compete for the fastest target
+// with a request that has only seconds left. The time by which a long answer would
+// exceed the deadline is added, multiplied by overrunWeight.
 func finishCost(finish, finishP90, slack time.Duration) float64 {
 	used := float64(finishP90) / float64(max(slack, time.Millisecond))
 	return finish.Seconds()*min(used, 1) + overrunWeight*max(finishP90-slack, 0).Seconds()
--- a/core/yuccaplace/data.go
+++ b/core/yuccaplace/data.go
@@ -11,33 +11,35 @@
 	// its recent rate is compared. Observations fade over about fifty requests, so a
 	// target that was moved to other hardware isn't treated as a straggler forever.
 	usualWeight = 0.02
-	// stragglerDivisor divides usualWeight for the observations of a straggler. It
-	// takes about five hundred of them to make the slow rate the usual one, so only a
-	// lasting change does.
+	// stragglerDivisor divides usualWeight for the observations of a straggler. About
+	// five hundred observations of a straggler make its slow rate the usual one, so
+	// only a lasting change has this effect.
 	stragglerDivisor = 10
-	// bestWeight is the weight with which the best rate falls to an observed one, over
-	// about a thousand requests, when the target no longer reaches it.
+	// bestWeight is the weight of one observation in the best rate when the observed
+	// rate is lower. If the target no longer reaches its best rate, the best rate thus
+	// falls to the observed rates over about a thousand requests.
 	bestWeight = 0.001
 	// initialSamples is how many observations establish a target's usual rate. With
 	// fewer, one outlier would distort it; with more, a straggler that was never seen
 	// at full speed would still be taken for normal.
 	initialSamples = 8
 
-	// probeWeight is the weight of a probe's observation. No newer observation exists,
-	// and a target that has recovered must return to ordinary use after one probe, not
-	// after ten.
+	// probeWeight is the weight of a probe's observation. The probe's rate replaces the
+	// recent rate entirely, because a target that has recovered must return to ordinary
+	// use after one probe, not after ten.
 	probeWeight = 1
 	// rateHalfLife is the time without observations after which half of the distance
 	// between a recent rate and the usual one is gone: about five requests of ordinary
 	// length.
 	rateHalfLife = 20 * time.Second
 	// slowRatio is the factor below its usual rate at which a target gets only probes.
-	// Above that rate the cost already sends it less work; below it the learned rate
-	// lags behind a target that is still becoming slower.
+	// A target that is less slow already gets less work, because its cost is higher. At
+	// a target that is slower and still slowing down, the learned rate lags behind the
+	// actual one.
 	slowRatio = 4.0
 	// stallFactor and stallSlack bound how long a target may show no progress before it
-	// counts as stalled: four times the time that its own rate predicts, plus a second
-	// for the network and for the interval between reports.
+	// counts as stalled: four times the time that the target's own rate predicts, plus
+	// a second for the network and for the interval between reports.
 	stallFactor = 4.0
 	stallSlack  = time.Second
 	// minProbeInterval and maxProbeInterval bound the interval between probes, which
@@ -58,8 +60,8 @@
 	initialPromptFactor = 1.0
 	// interferenceStep is the share of one answer's error by which the interference
 	// model is corrected: about a hundred answers under varying load replace its
-	// initial values. maxCrowding bounds its crowding; maxPromptLoss bounds the share
-	// of the decoding time that prompts can take.
+	// initial values. maxCrowding bounds the model's crowding; maxPromptLoss bounds the
+	// share of the decoding time that prompts can take.
 	interferenceStep = 0.05
 	maxCrowding      = 4.0
 	maxPromptLoss    = 0.95
@@ -88,7 +90,8 @@
 	// would have saved, relative to a second of waiting for the answer.
 	recomputeWeight = 10.0
 	// queueSlack is the slack that a request must have in order to wait for a target
-	// that holds its prefix, as a fraction of its estimated time there.
+	// that holds its prefix, as a fraction of the request's estimated time on this
+	// target.
 	queueSlack = 0.3
 	// evictionCostWeight is the weight of one prompt in the averages from which
 	// evictionCost is computed. maxEvictionCost is the largest value that evictionCost
@@ -97,12 +100,12 @@
 	maxEvictionCost    = 2.0
 	// answerMargin multiplies the expected length of an answer when the request's
 	// finishing time is estimated; 1 adds no margin. A larger value makes fewer
-	// requests finish late, and a request that does wastes its whole prefill and
+	// requests finish late. A request that finishes late wastes its whole prefill and
 	// answer.
 	answerMargin = 1.0
 	// typicalWeight is the weight of one arrival in the typical request of its tier,
-	// and typicalSpan how long after the last arrival of a tier targets are kept open
-	// for its next request.
+	// and typicalSpan is how long after the last arrival of a tier targets are kept
+	// able to serve the next request of this tier.
 	typicalWeight = 0.05
 	typicalSpan   = 30 * time.Second
 	// minPrefillSample is the fewest uncached prompt tokens from which a prefill rate
--- a/core/yuccaplace/failed.go
+++ b/core/yuccaplace/failed.go
@@ -12,7 +12,7 @@
 // A target that is down fails each request at once and so always looks idle. Without
 // backoff it would attract and fail every request of the pool, although other targets
 // work. After one failure the target therefore gets only probes, at an interval that
-// grows while they fail.
+// grows while the probes fail.
 func (placer *Placer) RecordFailure(now time.Time, name yuccaid.Target) {
 	state, found := placer.byName[name]
 	if !found {
--- a/core/yuccaplace/fleet.go
+++ b/core/yuccaplace/fleet.go
@@ -30,7 +30,7 @@
 	states         []*TargetState
 	byName         map[yuccaid.Target]*TargetState
 	prefixes       prefixIndex
-	generation     uint64 // increased before each markHeld; marks of earlier generations are void
+	generation     uint64 // increased before each markHeld; heldPrefix values of earlier generations are void
 	interference   *interference
 	answerRatios   map[yuccaid.Operation]*answerRatio
 	typicalRequest [trackedRanks]typicalRequest // by rank
@@ -105,8 +105,9 @@
 }
 
 // SetLeaving applies a target's report, made the given age ago, on whether the target
-// is leaving, that is, takes no new work. A report older than the last one is ignored,
-// so an old one can't make a leaving target accept work again.
+// is leaving, that is, takes no new work. A report that was made before the last
+// applied report is ignored, so an old report can't make a leaving target accept work
+// again.
 func (placer *Placer) SetLeaving(now time.Time, name yuccaid.Target, leaving bool, age time.Duration) {
 	state, found := placer.byName[name]
 	reportedAt := now.Add(-age)
@@ -117,7 +118,8 @@
 	state.leavingReportedAt = reportedAt
 }
 
-// StartRun adds a run to a target and records its prompt as cached there.
+// StartRun adds a run to a target and records the run's prompt blocks as cached on the
+// target.
 func (placer *Placer) StartRun(now time.Time, state *TargetState, run *Run, hashes []uint64) {
 	state.startRun(now, run)
 	placer.prefixes.recordPrompt(state, hashes)
@@ -187,8 +189,8 @@
 	state.updateHealth(now)
 }
 
-// updateHealth starts probing a target whose rates are slow, and returns a target under
-// probing to ordinary use once its rates are not.
+// updateHealth starts probing a target if any of its rates is slow, and returns a
+// target under probing to ordinary use once none of its rates is slow.
 func (state *TargetState) updateHealth(now time.Time) {
 	slow := state.prefill.slow() || state.decode.slow() || state.call.slow()
 	switch {
@@ -221,7 +223,7 @@
 
 // fadeRates moves the recent rates of a target in ordinary use back towards the usual
 // ones while nothing is observed. A target under probing keeps its recent rates until a
-// probe shows that it has recovered.
+// probe shows that the target has recovered.
 func (state *TargetState) fadeRates(now time.Time) {
 	idle := now.Sub(state.observedAt)
 	if state.probing || idle < fadeInterval {
@@ -257,10 +259,10 @@
 
 // ApplyCacheEvent corrects the model of a target's prefix cache.
 //
-// After lost events it is unknown which blocks were evicted. Dropping the model would
-// send every prompt through a full prefill again; keeping full trust in it would make
-// prompts wait for blocks that no longer exist. The model therefore stays, and its
-// trust falls until observed hits confirm it.
+// After lost events it is unknown which blocks were evicted. If the model were dropped,
+// every prompt would go through a full prefill again. If it were trusted fully, prompts
+// would wait for blocks that no longer exist. The model therefore stays, and cacheTrust
+// is reduced; observed hits raise cacheTrust again.
 func (placer *Placer) ApplyCacheEvent(name yuccaid.Target, stored, evicted []uint64, eventsLost bool) {
 	state, found := placer.byName[name]
 	if !found {
@@ -291,9 +293,9 @@
 //
 // A short request that arrives while every target works on a long prompt waits for
 // seconds, longer than its deadline allows. The reserve follows the share of short work
-// in the demand, so that targets don't idle when there is little short work. It is at
-// most maxReservedShare of the targets, half of them, so that long prompts aren't
-// starved.
+// in the demand, so that targets don't idle when there is little short work. The
+// reserve is at most maxReservedShare of the targets, that is, half of them, so that
+// long prompts aren't starved.
 func (placer *Placer) reserve(n int) int {
 	if n < 2 || placer.shortWork <= 0 {
 		return 0
--- a/core/yuccaplace/fleet_test.go
+++ b/core/yuccaplace/fleet_test.go
@@ -66,8 +66,8 @@
 
 var _ = Describe("a placer", func() {
 	// Guards against sending a prompt to another target than the one that holds it: the
-	// prompt would be computed again while the caller waits, and evict another caller's
-	// prompt from that target's cache.
+	// prompt would be computed again while the caller waits, and would evict another
+	// caller's prompt from the cache of the target that was chosen wrongly.
 	It("sends a prompt to the target that holds it, until computing it again is cheaper", func() {
 		placer, set := twoTargets(1000, 1000)
 		runOnce(placer, "two", prefixes(1, 10))
--- a/core/yuccaplace/guard.go
+++ b/core/yuccaplace/guard.go
@@ -12,7 +12,8 @@
 }
 
 // updateTypical adds an arrival to the typical request of its tier. Tiers below the
-// first trackedRanks ones need none, because blocksHigherTier doesn't protect them.
+// first trackedRanks ones need no typical request, because blocksHigherTier doesn't
+// protect these tiers.
 func (placer *Placer) updateTypical(now time.Time, req *Request, uncached float64) {
 	if req.Rank < 0 || req.Rank >= trackedRanks {
 		return
@@ -32,11 +33,12 @@
 //
 // Answers on one engine slow each other. A target full of long answers of a low tier
 // may have a free slot for a short urgent request and yet be too slow for its deadline.
-// Cancelling those runs wastes their work, and cancelling a dozen of them for one
+// Cancelling the long answers wastes their work, and cancelling a dozen of them for one
 // request wastes most of the pool's work. The request is therefore kept off a target if
-// the target could serve a typical request of a higher tier in time beside its runs of
-// that tier and of the tiers above it, but could not beside all its runs with this
-// request added. Tiers without an arrival within typicalSpan aren't considered.
+// both of these hold for some higher tier. Beside the target's runs of that tier and of
+// the tiers above it, a typical request of the tier would meet its deadline. Beside all
+// runs of the target and this request, it would not. Tiers without an arrival within
+// typicalSpan aren't considered.
 func (placer *Placer) blocksHigherTier(now time.Time, state *TargetState, req *Request, choice *Choice) bool {
 	load := state.targetLoad(now)
 	ownPrefill := state.prefillTimeBeside(req.Prompt-choice.Cached, load.decoding)
--- a/core/yuccaplace/length.go
+++ b/core/yuccaplace/length.go
@@ -6,8 +6,8 @@
 // operation by its mean and its 90th percentile.
 //
 // The length of an answer is unknown in advance. If requests were placed by the mean, a
-// quarter of those that only just fit would be late. They are therefore placed by the
-// 90th percentile, the length that nine of ten answers stay below.
+// quarter of the requests that only just fit would be late. Requests are therefore
+// placed by the 90th percentile, the length that nine of ten answers stay below.
 type answerRatio struct {
 	mean, p90 float64
 }
@@ -21,8 +21,9 @@
 	return stats
 }
 
-// observe adds one answer's ratio. The percentile moves up by a large step or down by a
-// small one; the steps balance when one answer in ten is longer.
+// observe adds one answer's ratio. The percentile moves up by a large step if the ratio
+// is above it, and otherwise down by a small step. The steps balance when one answer in
+// ten has a ratio above the percentile.
 func (stats *answerRatio) observe(ratio float64) {
 	ratio = min(ratio, maxAnswerRatio)
 	stats.mean += answerMeanWeight * (ratio - stats.mean)
--- a/core/yuccaplace/meter.go
+++ b/core/yuccaplace/meter.go
@@ -25,8 +25,8 @@
 	return (rd.answerSeconds - before.answerSeconds) / span, (rd.promptSeconds - before.promptSeconds) / span
 }
 
-// meter measures how busy a target was while a run was on it. Without it a target that
-// is merely full would be taken for one that has become slow.
+// meter measures how busy a target was while a run was on it. Without the meter, a
+// target that is merely full would be taken for a target that has become slow.
 type meter struct {
 	meterReading
 	// recentShare is the share of recent time during which the target worked on a
--- a/core/yuccaplace/node.go
+++ b/core/yuccaplace/node.go
@@ -31,14 +31,14 @@
 	failing       bool
 	probeAt       time.Time // earliest time of the next probe
 	probeInterval time.Duration
-	observedAt    time.Time // time of the last observation, or of the last step of fadeRates
+	observedAt    time.Time // time of the last observation, or of the last fadeRates step
 	foreignRuns   int       // runs of other leaders, until foreignUntil
 	foreignUntil  time.Time
 	runPeak       runPeak
 	meter         meter
 
 	generation uint64         // Placer.generation in which heldPrefix was set
-	heldPrefix yuccaid.Tokens // how much of that choice's prompt the cache model holds
+	heldPrefix yuccaid.Tokens // prompt tokens held in the cache, of the request handled in that generation
 }
 
 func newTargetState(target Target, model *interference) *TargetState {
@@ -70,9 +70,9 @@
 	return state.Target.Leaving || state.leaving
 }
 
-// occupied returns how many requests occupy slots: the granted ones and, while a fresh
-// load report shows them, those of other leaders, such as a second leader during a
-// partition.
+// occupied returns how many requests occupy slots: the requests that this leader
+// granted and, until the load report that showed them expires, the requests of other
+// leaders, such as a second leader during a partition.
 func (state *TargetState) occupied(now time.Time) int {
 	if now.Before(state.foreignUntil) {
 		return len(state.runs) + state.foreignRuns
@@ -81,7 +81,7 @@
 }
 
 // prefillWait returns the estimated time until the target has processed the prompts of
-// the runs that it has already.
+// its present runs.
 func (state *TargetState) prefillWait(now time.Time) time.Duration {
 	if len(state.prefilling) == 0 {
 		return 0
@@ -225,9 +225,10 @@
 	return float64(elapsed) / float64(max(expected, time.Millisecond))
 }
 
-// startProbing restricts the target to probes. While it is restricted already, the
-// interval between probes doubles once the next probe was due, that is, when a probe
-// has failed, but not when a run that was started before the first probe finishes late.
+// startProbing restricts the target to probes. If the target is restricted already and
+// its next probe was due, a probe has failed, and the interval between probes doubles.
+// If the next probe isn't due yet, the call changes nothing, because the cause may be a
+// run that was started before the first probe and finishes late.
 func (state *TargetState) startProbing(now time.Time) {
 	if state.probing && now.Before(state.probeAt) {
 		return
@@ -255,8 +256,8 @@
 
 // runPeak is the largest number of runs over the last one to two periods of
 // loadReportLifetime. Load reports are compared with it because their counts are old:
-// requests that have finished since then must not be taken for requests of other
-// leaders.
+// requests of this leader that have finished since the report was made must not be
+// taken for requests of other leaders.
 type runPeak struct {
 	since             time.Time
 	current, previous int
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -24,10 +24,11 @@
 // if no cancelling helps.
 //
 // It is for a request that would be rejected otherwise. The deadline has to hold for a
-// long answer too: if the request finished late all the same, both its work and that of
-// the cancelled runs would be lost, which under overload takes the time of the whole
-// pool. On each target runs of the lowest tier are cancelled first, and within a tier
-// those with the least prefill done; no more runs are cancelled than needed.
+// long answer too. If the request finished late despite the cancelling, its own work
+// and the work of the cancelled runs would be lost. Under overload such losses take the
+// time of the whole pool. On each target runs of the lowest tier are cancelled first,
+// and within a tier the runs with the least prefill done; no more runs are cancelled
+// than needed.
 func (placer *Placer) PlanPreemption(now time.Time, set *TargetSet, req *Request) (Preemption, bool) {
 	placer.generation++
 	longestCached := min(placer.prefixes.markHeld(placer.generation, req.BlockHashes), req.Prompt)
@@ -72,7 +73,8 @@
 	}
 	victims = victims[:count]
 	// A run that was selected early because it wastes little prefill may free nothing
-	// that the request needs. Such runs are spared.
+	// that the request needs. Runs whose cancelling turns out to be unnecessary are
+	// therefore spared.
 	for at := len(victims) - 2; at >= 0; at-- {
 		fewer := slices.Concat(victims[:at], victims[at+1:])
 		if fewerChoice, suffices := estimateWithout(fewer); suffices {
@@ -100,7 +102,7 @@
 	return load
 }
 
-// preemptible returns the runs that a request of the rank may have cancelled, in the
+// preemptible returns the runs that may be cancelled for a request of the rank, in the
 // order of cancelling.
 func (state *TargetState) preemptible(now time.Time, rank int) []*Run {
 	var list []*Run
--- a/core/yuccaplace/prefix.go
+++ b/core/yuccaplace/prefix.go
@@ -35,8 +35,9 @@
 }
 
 // recordPrompt records that a prompt was sent to a target. The last block is touched
-// first, so the last block of a chain is evicted before those that it builds on, as in
-// the engines. Holding a block therefore implies holding those before it.
+// first, so the last block of a prompt is evicted before the blocks that precede it, as
+// in the engines. A target that holds a block therefore holds all preceding blocks of
+// the prompt too.
 func (pre *prefixIndex) recordPrompt(state *TargetState, hashes []uint64) {
 	hashes = hashes[:min(len(hashes), maxPromptBlocks, state.cache.limit)]
 	stored := 0
@@ -98,8 +99,8 @@
 
 // markHeld sets heldPrefix and the given generation on every target that holds part of
 // the prompt, and returns the largest heldPrefix. Bisection finds the number of leading
-// blocks that any target holds; the walk back from there ends once every holder of the
-// first block is marked.
+// blocks that any target holds; the walk back from the last of these blocks ends once
+// every holder of the first block is marked.
 func (pre *prefixIndex) markHeld(generation uint64, hashes []uint64) yuccaid.Tokens {
 	hashes = hashes[:min(len(hashes), maxPromptBlocks)]
 	if len(hashes) == 0 || len(pre.holders[hashes[0]]) == 0 {
--- a/core/yuccaplace/reach.go
+++ b/core/yuccaplace/reach.go
@@ -8,8 +8,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// TargetSet is a set of targets that some accounts may use, with the best, mean and
-// slowest rates of its targets.
+// TargetSet is the set of the targets that certain accounts may use, with the best,
+// mean and slowest rates of these targets.
 type TargetSet struct {
 	states      []*TargetState
 	bestPrefill float64 // tokens per second
@@ -56,10 +56,11 @@
 	return slices.ContainsFunc(set.states, func(state *TargetState) bool { return !state.Leaving() })
 }
 
-// excludes reports whether a target gets no ordinary requests now. Probes find out
-// whether a slow target has recovered while other targets do the work. If all targets
-// of a set are slow, excluding them would leave callers waiting while engines are idle;
-// then only targets that are leaving or failing are excluded.
+// excludes reports whether a target gets no ordinary requests now. A target under
+// probing is excluded because other targets can do the work while probes find out
+// whether it has recovered. If all targets of a set are leaving or under probing,
+// excluding all of them would leave callers waiting while engines are idle. In this
+// case only targets that are leaving or failing are excluded.
 func (set *TargetSet) excludes(state *TargetState) bool {
 	return state.Leaving() || state.probing && (state.failing || !set.allSlow)
 }
@@ -86,8 +87,8 @@
 	set.meanPrefill /= float64(max(set.usableCount, 1))
 }
 
-// Request describes a request for the estimates: expected lengths in tokens, tier and
-// deadline.
+// Request holds what the estimates need to know of a request: expected lengths in
+// tokens, tier and deadline.
 type Request struct {
 	Prompt yuccaid.Tokens
 	Answer yuccaid.Tokens
@@ -104,8 +105,8 @@
 
 // FastestTime returns a lower bound on the time in which the set could serve the
 // request. It combines the best rates with the longest cached prefix, even if no single
-// target has all of these, so that a request is rejected only if it cannot meet its
-// deadline on any target.
+// target has all of them. The bound must be low so that a request is rejected only if
+// it cannot meet its deadline on any target.
 func (placer *Placer) FastestTime(set *TargetSet, req *Request) time.Duration {
 	if set.usableCount == 0 || placer.plainService {
 		return 0
@@ -126,9 +127,10 @@
 }
 
 // EstimateWork returns how much time of one target of the set the request takes up, and
-// whether its prompt counts as long. The time is its prefill time plus its decoding
-// time divided by the slots of a target, since a target decodes that many answers side
-// by side.
+// whether its prompt counts as long. The time is the request's prefill time plus its
+// decoding time divided by the mean number of slots per target, because a target
+// decodes as many answers side by side as it has slots. For a plain service it is the
+// time of one call divided by the slots per target.
 func (placer *Placer) EstimateWork(set *TargetSet, req *Request) (work time.Duration, longPrompt bool) {
 	if set.usableCount == 0 {
 		return 0, false
--- a/core/yuccaplace/run.go
+++ b/core/yuccaplace/run.go
@@ -46,8 +46,9 @@
 }
 
 // tokensLeft returns how many tokens are still to be decoded if the answer has the
-// length AnswerP90, at least one. What is done is the larger of the tokens received and
-// those that the time since the first token predicts.
+// length AnswerP90, at least one. The tokens already decoded are taken to be the larger
+// of two numbers: the tokens received, and the tokens that the time since the first
+// token predicts.
 func (run *Run) tokensLeft(now time.Time) float64 {
 	done := float64(run.Answered)
 	if !run.Prefilling() {
--- a/core/yuccaplace/sharing.go
+++ b/core/yuccaplace/sharing.go
@@ -1,9 +1,9 @@
 package yuccaplace
 
 // interference models how much requests on one target slow each other. crowding is by
-// how much a full batch slows a token: 1 means that it takes twice as long as alone.
-// promptFactor is how much time prompts and answers take from each other, as a fraction
-// of what they would take if the target divided its time equally.
+// how much a full batch slows a token: 1 means that the token takes twice as long as
+// alone. promptFactor is how much time prompts and answers take from each other, as a
+// fraction of the time that they would take if the target divided its time equally.
 //
 // Engines differ in this and change with their versions, so both values are learned
 // from the measurements of the daemons that own the requests. If they are too low, a
@@ -16,8 +16,8 @@
 }
 
 // WithInterference fixes how much requests on one target slow each other, for engines
-// where that is known. Zeros describe an engine where they don't, because each slot has
-// its own fixed share.
+// where this is known. Zeros describe an engine where requests don't slow each other,
+// because each slot has its own fixed share.
 func WithInterference(crowding, promptFactor float64) Option {
 	return func(placer *Placer) {
 		*placer.interference = interference{crowding: crowding, promptFactor: promptFactor, fixed: true}
@@ -25,9 +25,10 @@
 }
 
 // learn corrects both values by a gradient step on the model's error for one answer.
-// The answer took slowdown times as long as alone, beside the given number of other
-// answers per slot and with the share promptLoss of the time taken by prompts. The two
-// values and the target's own rate can be told apart only because the load changes.
+// The answer took slowdown times as long as it would have taken alone, beside the given
+// number of other answers per slot and with the share promptLoss of the time taken by
+// prompts. The two values and the target's own rate can be told apart only because the
+// load changes.
 func (model *interference) learn(slowdown, others, promptLoss float64) {
 	if model.fixed {
 		return
--- a/core/yuccaplace/speed.go
+++ b/core/yuccaplace/speed.go
@@ -43,8 +43,9 @@
 	est.best = max(rate, est.best+bestWeight*(rate-est.best))
 }
 
-// weightForUsual returns the weight of an observation in the usual rate. It is small
-// for a straggler's rates, so that they don't become the usual ones.
+// weightForUsual returns the weight of an observation in the usual rate. The weight is
+// smaller for a straggler's rate, so that only a lasting change makes the slow rate the
+// usual one.
 func (est *rateEstimate) weightForUsual(rate float64) float64 {
 	if rate*slowRatio < est.usual {
 		return usualWeight / stragglerDivisor
@@ -52,15 +53,15 @@
 	return usualWeight
 }
 
-// capRecent lowers the recent rate to the given rate, if that is lower. The time that
-// an unfinished run has taken so far gives such an upper bound.
+// capRecent lowers the recent rate to the given rate, if the given rate is lower. The
+// time that an unfinished run has taken so far gives such an upper bound of the rate.
 func (est *rateEstimate) capRecent(rate float64) {
 	est.recent = min(est.recent, rate)
 }
 
 // returnToUsual moves the recent rate towards the usual one by a fraction while nothing
-// is observed. A target that was slow once gets no work, so otherwise nothing would
-// ever show that it has recovered.
+// is observed. A target that was slow once gets little or no work. Without the return,
+// nothing might ever show that the target has recovered.
 func (est *rateEstimate) returnToUsual(fraction float64) {
 	est.recent += fraction * (est.usual - est.recent)
 }
--- a/core/yuccaplace/status.go
+++ b/core/yuccaplace/status.go
@@ -6,7 +6,7 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// Health is a target's health.
+// Health tells whether a target gets ordinary requests or only probes.
 type Health string
 
 // The states of a target's health.
@@ -26,18 +26,18 @@
 	return Healthy
 }
 
-// Backlog returns the estimated time until the target has processed the prompts of the
-// runs that it has already.
+// Backlog returns the estimated time until the target has processed the prompts of its
+// present runs.
 func (state *TargetState) Backlog(now time.Time) time.Duration {
 	return state.prefillWait(now)
 }
 
-// PrefillRate returns the learned prefill rate.
+// PrefillRate returns the recent prefill rate, in prompt tokens per second.
 func (state *TargetState) PrefillRate() yuccaid.TokenRate {
 	return yuccaid.TokenRate(state.prefill.recent)
 }
 
-// DecodeRate returns the learned decode rate.
+// DecodeRate returns the recent decode rate, in tokens of one answer per second.
 func (state *TargetState) DecodeRate() yuccaid.TokenRate {
 	return yuccaid.TokenRate(state.decode.recent)
 }
