--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -83,7 +83,8 @@
 
 // LimitError means that the owner already stores as many ids as one of its limits
 // allows. Limit is the limit's name and Value its number of ids. RetryAfter is the time
-// until the oldest of the limited ids expires.
+// until the oldest stored id expires, of all accounts for the total and otherwise of
+// the account.
 type LimitError struct {
 	Account    yuccaid.Account
 	Limit      string
--- a/core/yuccaonce/expiry.go
+++ b/core/yuccaonce/expiry.go
@@ -18,9 +18,9 @@
 	at  time.Time
 }
 
-// accountIDs counts the ids that the owner stores for one account. first and last are
-// the counters of the account's oldest and newest record; record.next links the records
-// between them.
+// accountIDs counts the ids that the owner stores for one account. Overdue ids count
+// only towards the total of all accounts. first and last are the counters of the
+// account's oldest and newest record; record.next links the records between them.
 type accountIDs struct {
 	records     int
 	unsubmitted int
@@ -50,7 +50,9 @@
 }
 
 // checkLimits refuses to open a request if a limit on stored ids is reached. The
-// retry-after is the time until the oldest id that the limit counts expires.
+// error's RetryAfter is the time until the oldest stored id expires, of all accounts
+// for the total and of the account for its own limits. The account's oldest id is taken
+// even if it was submitted and the limit counts only unsubmitted ids.
 func (own *Owner) checkLimits(reading time.Time, acc yuccaid.Account) error {
 	if own.records.len()+len(own.overdue) >= own.limits.Total {
 		return own.limitError(reading, acc, "total", own.limits.Total, own.records.first)
@@ -68,8 +70,9 @@
 	return nil
 }
 
-// limitError returns the error for a limit that is reached; oldest is the counter of
-// the oldest record that the limit counts.
+// limitError returns the error for a limit that is reached. oldest is the counter of
+// the record at whose expiry a retry may succeed. If this record is not stored,
+// RetryAfter is a whole lifetime.
 func (own *Owner) limitError(reading time.Time, acc yuccaid.Account, limit string, value int, oldest uint64) error {
 	retryAfter := own.lifetime
 	if rec := own.records.find(oldest); rec != nil {
@@ -78,8 +81,8 @@
 	return &LimitError{Account: acc, Limit: limit, Value: value, RetryAfter: retryAfter}
 }
 
-// expiry returns when an id expires. It computes in milliseconds, as the id carries
-// them, so that record and id expire at the same moment.
+// expiry returns when an id expires. The issue time is in milliseconds in the record,
+// as in the id, so that both expire at the same moment.
 func (own *Owner) expiry(issued int64) time.Time {
 	return time.UnixMilli(issued).Add(own.lifetime)
 }
@@ -88,8 +91,10 @@
 	return !reading.Before(own.expiry(issued))
 }
 
-// advance reads the clock and removes expired records. Every call begins with it, so
-// that an id is refused from the very moment at which its record may be removed.
+// advance reads the clock, removes or moves to overdue the records that have expired,
+// and removes overdue records that were closed overdueGrace ago. Every call that opens
+// or looks up an id begins with advance, so that an id is refused from the very moment
+// at which its record may be removed.
 func (own *Owner) advance(now time.Time) time.Time {
 	reading := own.clock.read(now)
 	for own.records.len() > 0 && own.expired(reading, own.records.at(own.records.first).issued) {
--- a/core/yuccaonce/find.go
+++ b/core/yuccaonce/find.go
@@ -20,7 +20,7 @@
 }
 
 // findFor is find for a caller, who must not learn of other accounts' requests: an id
-// of another account gives the same error as one that is not stored.
+// of another account gives the same error as an id that is not stored.
 func (own *Owner) findFor(now time.Time, id yuccaid.RequestID, acc yuccaid.Account) (*record, error) {
 	rec, err := own.find(now, id)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return fields, nil
 }
 
-// record returns the record with the counter, which may be overdue, or nil if none is
-// stored.
+// record returns the record with the counter, which may be overdue, or nil if no record
+// with the counter is stored.
 func (own *Owner) record(counter uint64) *record {
 	if rec := own.records.find(counter); rec != nil {
 		return rec
@@ -55,8 +55,8 @@
 }
 
 // notStoredError returns the error for an id without a record that the caller may see.
-// It depends only on the id and the time, so that it doesn't reveal which ids are
-// stored.
+// The error depends only on the id and the time, so that it doesn't reveal which ids
+// are stored.
 func (own *Owner) notStoredError(fields yuccaid.RequestIDFields, id yuccaid.RequestID) error {
 	if own.expired(own.clock.reading, fields.Issued.UnixMilli()) {
 		return &ExpiredError{ID: id, Lifetime: own.lifetime}
--- a/core/yuccaonce/limits.go
+++ b/core/yuccaonce/limits.go
@@ -18,8 +18,8 @@
 	defaultPerAccount = defaultTotal / 4
 
 	// defaultUnsubmitted bounds ids of an account that were opened but not submitted. A
-	// caller opens an id right before submitting, so an account with more of them has a
-	// faulty caller.
+	// caller opens an id right before submitting, so an account with more unsubmitted
+	// ids has a faulty caller.
 	defaultUnsubmitted = 2_000
 )
 
@@ -46,8 +46,8 @@
 // Option changes a setting of an Owner.
 type Option func(*Owner)
 
-// WithLifetime sets for how long after its issue an id may be submitted and its outcome
-// queried.
+// WithLifetime sets how long after an id's issue the id may be submitted and its
+// outcome queried.
 func WithLifetime(lifetime time.Duration) Option {
 	return func(own *Owner) { own.lifetime = lifetime }
 }
--- a/core/yuccaonce/outcome.go
+++ b/core/yuccaonce/outcome.go
@@ -14,7 +14,7 @@
 	Unknown    Run = "unknown"
 )
 
-// Reason states why a request was closed as it was.
+// Reason states why a request was closed with its outcome.
 type Reason string
 
 // The reasons for closing a request other than by a complete answer.
@@ -67,8 +67,9 @@
 //
 // A request is reported as not run only on proof. If a cancelled or lost run were
 // reported as not run, its caller would send the request again and pay twice, and the
-// target's own log would show two runs. A received piece of an answer proves that the
-// request ran, whatever the result claims.
+// target's own log would show two runs. A cancelled or preempted run therefore counts
+// as partly run, and any other claim without proof becomes Unknown. A received piece of
+// an answer proves that the request ran, even if the result claims NotRun.
 func (res Result) provenOutcome() Outcome {
 	out := Outcome(res)
 	switch {
--- a/core/yuccaonce/owner.go
+++ b/core/yuccaonce/owner.go
@@ -22,8 +22,8 @@
 	stages     [closed + 1]int // number of records by stage
 }
 
-// New returns an owner without requests, for the given incarnation. The key signs the
-// ids.
+// New returns an owner without requests, for the given incarnation. The owner signs its
+// ids with the key.
 func New(inc yuccaid.Incarnation, key yuccaid.Key, options ...Option) *Owner {
 	own := &Owner{
 		inc:      inc,
@@ -69,7 +69,10 @@
 	Outcome Outcome
 }
 
-// Submit admits the first submission under an id and joins each later one to it.
+// Submit admits the first submission under an id. A later submission with the same
+// fingerprint joins the admitted request; a later submission with another fingerprint
+// gets a ConflictError. If the request is closed, a submission without such a conflict
+// gets the recorded outcome.
 func (own *Owner) Submit(now time.Time, id yuccaid.RequestID, submission Submission) (SubmitResult, error) {
 	rec, err := own.findFor(now, id, submission.Account)
 	if err != nil {
@@ -116,7 +119,7 @@
 }
 
 // CloseNotRun closes a request that was not dispatched as not run. It reports false if
-// the request is already dispatched or closed.
+// the request is already dispatched or closed, or if its id is not stored.
 func (own *Owner) CloseNotRun(now time.Time, id yuccaid.RequestID, reason Reason, retryAfter time.Duration) (Outcome, bool) {
 	rec, err := own.find(now, id)
 	if err != nil {
@@ -148,8 +151,8 @@
 
 // Outcome returns the state of the account's request.
 //
-// An id that was never submitted is closed in the same call. Otherwise a submission
-// still on its way could run after the caller was told that nothing ran.
+// An id that was never submitted is closed in the same call. If the id stayed open, a
+// submission still on its way could run after the caller was told that nothing ran.
 func (own *Owner) Outcome(now time.Time, id yuccaid.RequestID, acc yuccaid.Account) (Outcome, error) {
 	rec, err := own.findFor(now, id, acc)
 	if err != nil {
@@ -161,7 +164,9 @@
 	return rec.currentOutcome(), nil
 }
 
-// Tick removes ids past their lifetime and returns how many were removed.
+// Tick removes the ids whose outcome need not be kept any longer and returns how many
+// were removed. An id that is past its lifetime while its request is waiting or
+// dispatched stays until overdueGrace after the request is closed.
 func (own *Owner) Tick(now time.Time) (expired int) {
 	before := own.records.len() + len(own.overdue)
 	own.advance(now)
--- a/core/yuccaonce/owner_test.go
+++ b/core/yuccaonce/owner_test.go
@@ -85,7 +85,8 @@
 
 	// Guards against running a request that was reported as not run: a caller queries
 	// the outcome of an id while its own submission is still on its way. The caller is
-	// told that the request did not run and submits a new one; both would run.
+	// told that the request did not run and submits a new request. If the id weren't
+	// closed, both requests would run.
 	It("closes an unsubmitted id when its outcome is asked for", func() {
 		out, err := own.Outcome(start, id, ticket.Account)
 		Expect(err).NotTo(HaveOccurred())
@@ -94,7 +95,7 @@
 	})
 
 	// Guards against reporting a dispatched request as displaced: a grant and a
-	// displacement arrive at about the same time. If the second of them weren't
+	// displacement arrive at about the same time. If the later one of the two weren't
 	// refused, a caller would be told that its request did not run although it ran.
 	It("decides grant and displacement in one step", func() {
 		Expect(submit(start, ticket)).To(Equal(yuccaonce.SubmitAdmit))
--- a/core/yuccaonce/record.go
+++ b/core/yuccaonce/record.go
@@ -51,8 +51,9 @@
 }
 
 // Submission is a request as its caller submits it. Tier and Idempotent of the first
-// submission apply, even if a second submission under the same id differs in them,
-// since it may come through a daemon with another configuration.
+// submission apply, even if a later submission under the same id differs in these
+// fields. Such a difference is no conflict, because the later submission may come
+// through a daemon with another configuration.
 type Submission struct {
 	Account    yuccaid.Account
 	Pool       yuccaid.Pool
@@ -62,7 +63,8 @@
 	Idempotent bool
 }
 
-// fingerprint returns a digest of what must be equal in each submission under one id.
+// fingerprint returns a digest of the pool, operation and body, which must be equal in
+// all submissions under one id.
 func (submission Submission) fingerprint() fingerprint {
 	// The names contain no zero byte, so different submissions give different texts.
 	joined := string(submission.Pool) + "\x00" + string(submission.Operation) + "\x00" + string(submission.Body)
--- a/core/yuccaonce/shelf.go
+++ b/core/yuccaonce/shelf.go
@@ -6,7 +6,7 @@
 
 // recordStore stores records by counter. Counters are assigned in order of issue, so
 // the oldest record is always first. Expiry therefore reads only the expired records
-// and the first one that is not, and a lookup is an array access.
+// and the first record that has not expired. A lookup is an array access.
 type recordStore struct {
 	chunks []*[chunkSize]record
 	first  uint64 // counter of the oldest record
--- a/core/yuccaonce/world_check_test.go
+++ b/core/yuccaonce/world_check_test.go
@@ -13,10 +13,10 @@
 // number after which the rarest violation below is found.
 const trials = 1000
 
-// findViolation plays seeded histories until the oracle reports a violation. It returns
-// how many requests ran and how many were reported as not run before that, because
-// histories in which neither happens prove nothing. Actions of the kinds in without are
-// left out.
+// findViolation plays seeded histories until the oracle reports a violation. It also
+// returns how many requests ran and how many were reported as not run before the
+// violation, because histories without a run or without such a report prove nothing.
+// Actions of the kinds in without are left out.
 func findViolation(off switches, without ...string) (ran, reportedNotRun int, err error) {
 	for seed := range trials {
 		sim := newSimulation(off)
@@ -36,7 +36,7 @@
 // that ran. Daemons are cut off, paused and restarted without their state, clocks jump,
 // and messages come late, twice or out of order. A request that runs twice files a
 // ticket twice, so two crews are sent out. A caller that is told that its request did
-// not run submits it again, with the same effect.
+// not run submits it again; if the request did run, two crews are sent out as well.
 func TestNoRequestRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := newSimulation(switches{}).play(history.Draw(t, "history")); err != nil {
@@ -46,7 +46,8 @@
 }
 
 // Plays the same faults against daemons that lack one mechanism each. The oracle must
-// report a violation; otherwise it would miss a fault in the owner as well.
+// report a violation, because an oracle that misses the lack of a mechanism would also
+// miss a fault in the owner.
 var _ = DescribeTable("the oracle reports the violation",
 	func(off switches) {
 		_, _, err := findViolation(off)
@@ -69,7 +70,7 @@
 	Expect(reportedNotRun).To(BeNumerically(">", trials/4))
 })
 
-// Choosing the owner by a hash is safe too while no daemon is cut off, paused or
+// Choosing the owner by a hash is also safe while no daemon is cut off, paused or
 // restarted. The violation above therefore comes from these faults and not from the
 // simulation itself.
 var _ = It("reports no violation for the hash while no daemon is cut off, paused or restarted", func() {
--- a/core/yuccaonce/world_test.go
+++ b/core/yuccaonce/world_test.go
@@ -41,13 +41,14 @@
 	requestStore
 	own    *yuccaonce.Owner
 	inc    yuccaid.Incarnation
-	view   [daemonCount]bool // which daemons it considers live
-	skew   time.Duration     // of its clock from the simulation's time
+	view   [daemonCount]bool // which daemons this daemon considers live
+	skew   time.Duration     // deviation of the daemon's clock from the simulation's time
 	paused bool              // takes no step and receives no message
 }
 
-// message is a message between daemons; a "run" to the daemon itself stands for a
-// request on its way to a target, and a "record" for a dispatch that is recorded late.
+// message is a message between daemons; a "run" from a daemon to itself stands for a
+// request on its way to a target, and a "record" from a daemon to itself for a dispatch
+// that is recorded late.
 type message struct {
 	kind     string
 	from, to int
@@ -61,9 +62,9 @@
 	a, b, c int
 }
 
-// kinds lists the kinds of actions; those that advance requests are listed several
-// times, so that many requests run before a fault stops them. An "ask" queries an
-// outcome, a "look" updates which daemons a daemon considers live, "time" lets time
+// kinds lists the kinds of actions; the kinds that advance requests are listed several
+// times, so that many requests run before a fault stops the requests. An "ask" queries
+// an outcome, a "look" updates which daemons a daemon considers live, "time" lets time
 // pass for all daemons, and a "jump" sets the clock of one daemon.
 var kinds = []string{
 	"open", "submit", "submit", "ask", "deliver", "deliver", "deliver", "deliver", "grant", "grant", "grant",
@@ -184,8 +185,8 @@
 	}
 }
 
-// owner returns the daemon that the daemon at i considers the owner, and false if there
-// is none.
+// owner returns the index of the daemon that the daemon at i considers the owner of the
+// request, and false if the daemon at i knows no owner.
 func (sim *simulation) owner(i int, id yuccaid.RequestID) (int, bool) {
 	best, score := -1, uint64(0)
 	for k, other := range sim.daemons {
--- a/core/yuccaorder/order.go
+++ b/core/yuccaorder/order.go
@@ -10,7 +10,7 @@
 type Kind string
 
 // The kinds of orders. Planner sends Load, Version, Adapter and Role in this sequence,
-// because nothing else can be changed before the model is loaded. It never sends
+// because nothing else can be changed before the model is loaded. Planner never sends
 // Unload.
 const (
 	Load    Kind = "load"
--- a/core/yuccaorder/planner.go
+++ b/core/yuccaorder/planner.go
@@ -13,15 +13,16 @@
 const (
 	// DefaultOrderLifetime is how long after its decision an order may be obeyed. With
 	// a longer lifetime new leaders would wait longer before they order targets that
-	// don't check fencing numbers; with a shorter one orders would expire on a slow
-	// connection.
+	// don't check fencing numbers; with a shorter lifetime orders would expire on a
+	// slow connection.
 	DefaultOrderLifetime = 5 * time.Second
 	// DefaultLoadsPerMinute is the rate at which all leaders together may make targets
 	// read from the weight store.
 	DefaultLoadsPerMinute = 30.0
-	// loadTimeout is how long a target may take to load before the order is repeated.
-	// An order's lifetime is far shorter, because it bounds when the target receives
-	// the order and not when the target has carried it out.
+	// loadTimeout is how long a target may take to carry out an order that reads
+	// weights before the order is repeated. An order's lifetime is far shorter, because
+	// it bounds when the target receives the order and not when the target has carried
+	// it out.
 	loadTimeout = 2 * time.Minute
 )
 
@@ -45,7 +46,8 @@
 	lastOrders    map[yuccaid.Target]sentOrder
 }
 
-// sentOrder is the last order to a target and when it may be repeated.
+// sentOrder is the last order sent to a target, and the time from which the order may
+// be repeated.
 type sentOrder struct {
 	order    Order
 	repeatAt time.Time
@@ -79,9 +81,10 @@
 //
 // A release note that changes a model's version makes every leader order loads at once.
 // The store would then refuse or slow all of the reads, urgent ones too. Each leader
-// therefore uses an equal share among the leaders that it knows. In a partition each
-// side knows fewer leaders and uses more, so the total may reach the rate times the
-// number of sides until the partition ends.
+// therefore uses the rate divided by the number of leaders that it knows, itself
+// included. In a partition the leaders of each side know fewer leaders and use larger
+// shares. The total may therefore reach the rate times the number of sides until the
+// partition ends.
 func (plan *Planner) SetLoadRate(now time.Time, perMinute float64, leaders int) {
 	perSecond := perMinute / time.Minute.Seconds() / float64(max(leaders, 1))
 	plan.loadLimiter.SetLimitAt(now, rate.Limit(perSecond))
@@ -96,14 +99,14 @@
 		return Order{}, Settled
 	}
 	// The target has received an order of a leader with a newer configuration, so it
-	// would refuse this leader's.
+	// would refuse this leader's order.
 	if observed.Fence > number {
 		return Order{}, ConfigBehind
 	}
 	// An earlier leader that was frozen may still have an order on its way to a target
-	// that doesn't check fencing numbers; the earlier order would undo this leader's.
-	// No order is obeyed after its lifetime, so send none until a lifetime has passed
-	// since this leader took over.
+	// that doesn't check fencing numbers; the earlier order would undo this leader's
+	// order. No order is obeyed after its lifetime, so send no order until a lifetime
+	// has passed since this leader took over.
 	if !target.ChecksFence && now.Before(plan.leaderSince.Add(plan.orderLifetime)) {
 		return Order{}, WaitForOldOrders
 	}
--- a/core/yuccaorder/planner_test.go
+++ b/core/yuccaorder/planner_test.go
@@ -16,7 +16,8 @@
 var start = time.Unix(1_700_000_000, 0)
 
 // engine obeys orders as a target does. It refuses an order after the order's lifetime
-// and, if it checks fencing numbers, an order with a lower number than it has received.
+// and, if it checks fencing numbers, an order with a lower number than the highest
+// number that it has received.
 type engine struct {
 	checksFence bool
 	state       yuccaorder.ObservedState
@@ -111,8 +112,8 @@
 	})
 
 	// Guards against overloading the weight store: four leaders, each with targets that
-	// all need a load, may together order no more loads than the rate and one load at
-	// once for each leader allow, and must use most of the rate.
+	// all need a load, may together order no more loads than the rate allows, plus one
+	// load at once for each leader. They must use most of the rate.
 	It("keep to the weight store's rate when every target needs a load", func() {
 		const leaders = 4
 		loads := 0
@@ -137,8 +138,9 @@
 
 // Guards against returning to an older configuration. Two leaders order the same target
 // at once, either of them may have an older configuration, and orders come late or
-// twice. A target that checks fencing numbers must never accept a lower one, and once a
-// single leader remains, the target must reach the newest wish.
+// twice. A target that checks fencing numbers must never accept an order with a lower
+// number than it has received, and once a single leader remains, the target must reach
+// the newest wish.
 func TestNewestWishWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		eng := &engine{checksFence: true}
--- a/core/yuccapack/check.go
+++ b/core/yuccapack/check.go
@@ -5,9 +5,9 @@
 	"errors"
 )
 
-// maxDepth bounds the nesting of arrays and maps. The messages need four levels; a
-// value that consists only of nested array headers would make a recursive decoder use
-// hundreds of megabytes of stack.
+// maxDepth bounds the nesting of arrays and maps. The project's messages need four
+// levels. Without a bound, a value that consists only of nested array headers would
+// make a recursive decoder use hundreds of megabytes of stack.
 const maxDepth = 32
 
 var (
@@ -62,8 +62,8 @@
 }
 
 // layout describes the bytes of a value after its type code: lengthBytes bytes of a
-// count, then fixed further bytes. perItem is the number of values for each counted
-// item; 0 means that the count is of bytes.
+// count, then fixed further bytes. perItem is the number of nested values for each
+// counted item: 1 for arrays, 2 for maps, and 0 if bytes are counted or nothing is.
 type layout struct {
 	lengthBytes int
 	fixed       uint64
@@ -116,9 +116,10 @@
 	{4, 0, 2},
 }
 
-// Type codes, each the first of its range unless its name says otherwise. Codes below
-// fixMap and above lastLayoutCode are small integers. countMask and lengthMask select
-// the bits of a code that hold the number of items and the length in bytes.
+// The constants up to fixString are type codes, each the first of its range unless its
+// name says otherwise. Codes below fixMap and above lastLayoutCode are small integers.
+// countMask selects the bits of a fixMap or fixArray code that hold the number of
+// items, and lengthMask the bits of a fixString code that hold the length in bytes.
 const (
 	firstLayoutCode = 0xc0
 	unusedCode      = 0xc1
@@ -131,8 +132,8 @@
 )
 
 // readHeader reads the type code and length at the start of body. It returns how many
-// bytes the value takes without the values nested inside it, and how many are nested
-// directly.
+// bytes the value takes without the values nested inside it, and how many values are
+// nested directly inside it.
 func readHeader(body []byte) (size int, items uint64, err error) {
 	if len(body) == 0 {
 		return 0, 0, ErrLength
@@ -167,7 +168,8 @@
 }
 
 // checkBounds returns size and items, or refuses a value that announces more than the
-// body holds; each nested value takes at least one byte.
+// body holds. The body must hold size bytes and at least one byte for each nested
+// value.
 func checkBounds(body []byte, size, items uint64) (int, uint64, error) {
 	if size+items > uint64(len(body)) {
 		return 0, 0, ErrLength
--- a/core/yuccapack/check_test.go
+++ b/core/yuccapack/check_test.go
@@ -9,10 +9,10 @@
 	"yuccacleat/core/yuccapack"
 )
 
-// Guards against values that announce more bytes or items than they hold, because they
-// are damaged or hostile: a decoder would allocate memory for the announced length, and
-// a value of a few bytes could end the process. Check must refuse them, and the decoder
-// must survive every value that Check accepts.
+// Guards against values that announce more bytes or items than they hold, because the
+// values are damaged or hostile. A decoder would allocate memory for the announced
+// length, and a value of a few bytes could end the process. Check must refuse such
+// values, and the decoder must survive every value that Check accepts.
 func FuzzCheck(f *testing.F) {
 	for _, value := range []any{1, "text", []int{1, 2}, map[string]int{"a": 1}, nil, 2.5, []byte("x")} {
 		raw, err := msgpack.Marshal(value)
--- a/core/yuccapack/doc.go
+++ b/core/yuccapack/doc.go
@@ -2,6 +2,6 @@
 //
 // A decoder allocates memory for an announced length before it reads on. A damaged or
 // hostile value of a few bytes could announce billions of keys and end the process for
-// lack of memory, together with every request that it holds. Call Check before
+// lack of memory, together with every request that the process holds. Call Check before
 // decoding.
 package yuccapack
