--- a/core/yuccaonce/world_check_test.go
+++ b/core/yuccaonce/world_check_test.go
@@ -14,9 +14,9 @@
 const trials = 1000
 
 // findViolation plays seeded histories until the oracle reports a violation. It also
-// returns how many requests ran and how many were reported as not run before the
-// violation, because histories without a run or without such a report prove nothing.
-// Actions of the kinds in without are left out.
+// returns how many requests ran and how many were reported as not run in the histories
+// without a violation, because histories without a run or without such a report prove
+// nothing. Actions of the kinds in without are left out.
 func findViolation(off switches, without ...string) (ran, reportedNotRun int, err error) {
 	for seed := range trials {
 		sim := newSimulation(off)
--- a/core/yuccastate/address.go
+++ b/core/yuccastate/address.go
@@ -19,9 +19,9 @@
 
 // ValidAddress reports whether an address consists of an IP address that can be dialled
 // and a port from 1 to 65535, such as 10.0.0.1:8000 or [fd00::1]:8000. Host names are
-// refused, because the target would have no address until they are resolved. Each address
-// has only one accepted spelling, so that one target can't be listed twice, with its slots
-// counted twice.
+// refused, because the target would have no address until its host name is resolved.
+// Each address has only one accepted spelling, so that one target can't be listed
+// twice, with its slots counted twice.
 func ValidAddress(address string) bool {
 	colon := strings.LastIndexByte(address, ':')
 	if colon < 0 || !validDecimal(address[colon+1:], maxPort) || address[colon+1:] == "0" {
@@ -49,8 +49,8 @@
 	return true
 }
 
-// validIP6 refuses the unspecified address, IPv4 addresses mapped to IPv6, and other
-// spellings than that of RFC 5952.
+// validIP6 refuses the unspecified address, IPv4 addresses mapped to IPv6, and
+// spellings other than the standard form of RFC 5952.
 func validIP6(host string) bool {
 	ip, ok := parseIP6(host)
 	if !ok || ip == [ip6Groups]uint16{} {
@@ -75,7 +75,7 @@
 	return ip, true
 }
 
-// parseIP6Groups parses the groups on one side of "::"; an empty side has none.
+// parseIP6Groups parses the groups on one side of "::"; an empty side has no groups.
 func parseIP6Groups(text string) ([]uint16, bool) {
 	if text == "" {
 		return nil, true
--- a/core/yuccastate/adopt.go
+++ b/core/yuccastate/adopt.go
@@ -16,10 +16,10 @@
 	// RelationSame means that both configurations are the same.
 	RelationSame PeerRelation = "same"
 	// RelationLocalBehind means that the peer holds a higher number; PlanFetch returns
-	// what to fetch from it.
+	// what to fetch from the peer.
 	RelationLocalBehind PeerRelation = "behind"
-	// RelationLocalAhead means that the peer holds a lower number; it fetches the
-	// missing notes from this daemon.
+	// RelationLocalAhead means that the peer holds a lower number; the peer fetches the
+	// missing notes or a snapshot from this daemon.
 	RelationLocalAhead PeerRelation = "ahead"
 	// RelationForked means that the peer and this daemon accepted different contents
 	// under the same number.
@@ -53,8 +53,9 @@
 	return newRefusal(number, ErrForked, "", "publish the next note against the one that shall hold", "is %s there and %s here", peerDigest, localDigest)
 }
 
-// FetchPlan is what to fetch from a peer in order to reach its number: the notes with
-// these numbers, or a snapshot.
+// FetchPlan is what to fetch from a peer in order to reach the peer's number: the notes
+// with the numbers in Notes, or a snapshot. It is empty if the peer's number is not
+// higher.
 type FetchPlan struct {
 	Notes    []yuccaid.ConfigNumber
 	Snapshot bool
@@ -63,12 +64,12 @@
 // PlanFetch returns what to fetch from a peer whose configuration has the given number:
 // the missing notes, or a snapshot if there are too many of them.
 //
-// If a note is refused after a plan listed it, the next plan is a snapshot as well: after
-// a fork the peer's later notes are based on the content that it accepted, so this daemon
-// can never apply them. A refused note that no plan listed does not cause a snapshot: it
-// came from the platform and is invalid for all daemons, and each of them would fetch a
-// snapshot once it is corrected. A peer that no longer keeps a note's text sends a
-// snapshot.
+// If the next note is refused after a plan listed it, the next plan is a snapshot as
+// well. The reason is that after a fork the peer's later notes are based on the content
+// that the peer accepted, so this daemon can never apply them. A refused note that no
+// plan listed does not cause a snapshot. Such a note came from the platform and is
+// invalid for all daemons; if it caused a snapshot, every daemon would fetch one once
+// the note is corrected. A peer that no longer keeps a note's text sends a snapshot.
 func (chain *Chain) PlanFetch(number yuccaid.ConfigNumber) FetchPlan {
 	next := chain.Number() + 1
 	if number < next {
@@ -82,7 +83,7 @@
 }
 
 // missingUpTo returns the numbers after the current one, up to highest, whose notes are
-// not held; at most maxKeptNotes of them.
+// not held. It returns at most maxKeptNotes numbers.
 func (chain *Chain) missingUpTo(highest yuccaid.ConfigNumber) []yuccaid.ConfigNumber {
 	var missing []yuccaid.ConfigNumber
 	for number := chain.Number() + 1; number <= highest && len(missing) < int(maxKeptNotes); number++ {
@@ -106,8 +107,9 @@
 // is higher than the current one and its digest is the one that was announced (digest). An
 // empty digest is not checked.
 //
-// The texts of earlier notes are dropped: after a fork they may belong to another branch
-// than the snapshot, and a peer that fetched them would apply notes of that branch.
+// The texts of earlier notes and the digests of the configurations after them are
+// dropped, because after a fork they may belong to another branch than the snapshot. A
+// peer that fetched the texts would apply notes of the other branch.
 func (chain *Chain) Adopt(now time.Time, from string, state *State, digest yuccaid.Digest) (Verdict, error) {
 	number, actual := state.Number, state.Digest()
 	verdict := Verdict{Kind: VerdictRefused, Number: number}
--- a/core/yuccastate/baseline.go
+++ b/core/yuccastate/baseline.go
@@ -8,7 +8,8 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// partOverhead is the space reserved in a part for all fields but its records, in bytes.
+// partOverhead is the space in bytes that is reserved in a part for all fields except
+// the records.
 const partOverhead yuccaid.Bytes = 512
 
 // Part is one part of a baseline, a whole configuration that is published on the platform.
@@ -24,11 +25,11 @@
 	return PartKey(part.Number, part.Index)
 }
 
-// EncodeBaseline encodes a configuration in parts of at most limit bytes each; the result is
-// deterministic. A new process reads the parts instead of all notes. A baseline has
-// several parts because the platform stores values of at most a megabyte, and a fleet's
-// accounts and targets don't fit into one. An object that is larger than the limit gets a
-// part of its own, which exceeds it.
+// EncodeBaseline encodes a configuration in parts of at most limit bytes each; the
+// result is deterministic. A new process reads the parts instead of all notes. A
+// baseline has several parts because the platform stores values of at most a megabyte,
+// and a fleet's accounts and targets don't fit into one value. An object that is larger
+// than the limit gets a part of its own, and this part exceeds the limit.
 func EncodeBaseline(s *State, limit yuccaid.Bytes) []Part {
 	groups := splitRecords(s.records(), limit-partOverhead)
 	digest := s.Digest()
@@ -45,7 +46,7 @@
 }
 
 // splitRecords splits records into consecutive groups of at most limit encoded bytes
-// each; a record that is larger forms a group of its own.
+// each; a record that is larger than the limit forms a group of its own.
 func splitRecords(records []record, limit yuccaid.Bytes) [][]record {
 	groups := [][]record{nil}
 	groupSize := yuccaid.Bytes(0)
@@ -93,8 +94,8 @@
 	return joined.state()
 }
 
-// checkPart refuses a part that is of another baseline than snap, or that is not the part
-// with this index out of count.
+// checkPart refuses a part that belongs to another baseline than snap, or whose index
+// and number of parts are not the given index and count.
 func (snap snapshot) checkPart(part snapshot, index, count int) error {
 	if part.Number != snap.Number || part.Digest != snap.Digest {
 		return newRefusal(part.Number, ErrParts, "", "publish all parts of one baseline", "part %d is of another baseline", part.Index)
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// maxHeldNotes and maxHeldBytes bound the notes that wait for an earlier one. A watch
-	// on the platform's store delivers at most some dozens of notes out of order; for
-	// more, a snapshot is cheaper.
+	// maxHeldNotes and maxHeldBytes bound the notes that wait for an earlier note. A
+	// watch on the platform's store delivers at most some dozens of notes out of order.
+	// If more notes wait, a snapshot is cheaper.
 	maxHeldNotes               = 64
 	maxHeldBytes yuccaid.Bytes = 2 * NoteLimit
 	// maxKeptNotes and maxKeptBytes bound the texts of accepted notes that are kept for
-	// peers that were disconnected; a peer that lacks more notes fetches a snapshot.
+	// peers that were disconnected; a peer that lacks more notes than these fetches a
+	// snapshot.
 	maxKeptNotes yuccaid.ConfigNumber = 64
 	maxKeptBytes yuccaid.Bytes        = 4 * NoteLimit
-	// maxKeptDigests bounds the number of accepted notes whose digests are kept in order
-	// to detect that the content of a note's key has changed.
+	// maxKeptDigests bounds the number of accepted notes whose digests are kept in
+	// order to detect that the content published under a note's key has changed.
 	maxKeptDigests yuccaid.ConfigNumber = 4096
-	// maxAuditKeys bounds Chain.audited; above it, all keys are dropped, and an entry may
-	// be recorded once more.
+	// maxAuditKeys bounds the number of audit keys in Chain.audited. When the bound is
+	// reached, all audit keys are dropped, and a refusal or alarm may be recorded once
+	// more.
 	maxAuditKeys = 1024
 )
 
@@ -34,15 +36,16 @@
 	VerdictAccepted VerdictKind = "accepted"
 	// VerdictRepeated means that the same content was accepted before.
 	VerdictRepeated VerdictKind = "repeated"
-	// VerdictHeld means that the note waits for an earlier one that is missing.
+	// VerdictHeld means that the note waits for an earlier note that is missing.
 	VerdictHeld VerdictKind = "held"
 	// VerdictRefused means that nothing changed; the error gives the reason.
 	VerdictRefused VerdictKind = "refused"
-	// VerdictOld means that the number is not above the accepted one and the digests of
-	// its note are no longer kept, so the contents can't be compared.
+	// VerdictOld means that the note's number is not above the accepted number and that
+	// no digests of the note accepted under it are kept, so the contents can't be
+	// compared.
 	VerdictOld VerdictKind = "old"
-	// VerdictAlarm means that the content differs from the one accepted under the same
-	// number; nothing changed.
+	// VerdictAlarm means that the content differs from the content accepted under the
+	// same number; nothing changed.
 	VerdictAlarm VerdictKind = "alarm"
 )
 
@@ -55,9 +58,9 @@
 	Entries []Entry
 }
 
-// Chain holds the configuration and the notes that one daemon has accepted. Its number
-// never decreases, whatever the platform's service or a peer sends later. It must be
-// used by one goroutine only.
+// Chain holds the configuration and the notes that one daemon has accepted. The number
+// of its configuration never decreases, whatever the platform's service or a peer sends
+// later. A Chain must be used by one goroutine only.
 //
 // Forks: if an operator overwrites a note's key while data centres are disconnected, some
 // daemons may have accepted the first content and some the second. Neither has precedence,
@@ -71,15 +74,15 @@
 	digest      yuccaid.Digest
 	accepted    map[yuccaid.ConfigNumber]acceptedNote
 	held        map[yuccaid.ConfigNumber]PublishedNote
-	plannedNext yuccaid.ConfigNumber // number after the current one when PlanFetch last listed notes
+	plannedNext yuccaid.ConfigNumber // number that followed the current one when PlanFetch last listed notes
 	refusedNext yuccaid.ConfigNumber // number of the last refused note that was plannedNext
 	audited     map[auditKey]bool
 }
 
-// acceptedNote is what is kept of an accepted note: its text (raw) for peers that lack
-// it, and the digests by which another content under its number is detected: rawSum of
-// the text, noteDigest of the note's canonical form and configDigest of the configuration
-// after it.
+// acceptedNote is what is kept of an accepted note. raw is the note's text, kept for
+// peers that lack the note. The digests detect another content under the note's number:
+// rawSum is of the text, noteDigest of the note's canonical form, and configDigest of
+// the configuration after the note.
 type acceptedNote struct {
 	raw          []byte
 	rawSum       sum
@@ -87,9 +90,10 @@
 	configDigest yuccaid.Digest
 }
 
-// auditKey identifies a recorded refusal or alarm, so that it is not recorded again: the
-// platform's service may return the same invalid note on every poll, and would fill the
-// audit trail. A refusal is recorded again once the chain's number (current) has changed.
+// auditKey identifies a recorded refusal or alarm, so that the same one is not recorded
+// again. Otherwise the audit trail would fill up, because the platform's service may
+// return the same invalid note on every poll. A refusal is recorded again once the
+// chain's number (current) has changed.
 type auditKey struct {
 	reason  string
 	number  yuccaid.ConfigNumber
@@ -124,7 +128,7 @@
 	return chain.digest
 }
 
-// Held returns the number of notes that wait for an earlier one.
+// Held returns the number of notes that wait for an earlier note.
 func (chain *Chain) Held() int {
 	return len(chain.held)
 }
@@ -161,7 +165,8 @@
 	return verdict, err
 }
 
-// offerNext applies the note whose number follows the accepted one.
+// offerNext applies the note whose number follows the number of the configuration in
+// force.
 func (chain *Chain) offerNext(now time.Time, pub PublishedNote) (Verdict, error) {
 	if pub.err != nil {
 		return chain.recordRefusal(now, pub, pub.err)
@@ -176,9 +181,10 @@
 	return Verdict{Kind: VerdictAccepted, Number: pub.number, Entries: []Entry{entry}}, nil
 }
 
-// offerPast compares a note with the one accepted under its number. A difference in
-// layout only is harmless. A difference in content raises an alarm, because daemons that
-// start now would read the changed note instead of the one that the fleet has accepted.
+// offerPast compares a note with the note accepted under its number. A difference in
+// layout only is harmless. A difference in content raises an alarm, because daemons
+// that start now would read the changed note instead of the note that the fleet has
+// accepted.
 func (chain *Chain) offerPast(now time.Time, pub PublishedNote) (Verdict, error) {
 	kept := chain.accepted[pub.number]
 	if kept.noteDigest == "" {
@@ -193,8 +199,9 @@
 	return Verdict{Kind: VerdictAlarm, Number: pub.number, Entries: entries}, alarm
 }
 
-// recordRefusal returns the verdict for a note that was refused with err. If PlanFetch had
-// listed the note, the next plan is a snapshot.
+// recordRefusal returns the verdict for a note that was refused with err. If the note
+// has the number that was next when PlanFetch last listed notes, the next plan is a
+// snapshot.
 func (chain *Chain) recordRefusal(now time.Time, pub PublishedNote, err error) (Verdict, error) {
 	if pub.number > 0 && pub.number == chain.plannedNext {
 		chain.refusedNext = pub.number
@@ -203,8 +210,8 @@
 	return Verdict{Kind: VerdictRefused, Number: pub.number, Entries: entries}, err
 }
 
-// releaseHeld applies the held notes in the order of their numbers, until the next one is
-// missing or refused.
+// releaseHeld applies the held notes in the order of their numbers, until the next note
+// is missing or refused.
 func (chain *Chain) releaseHeld(now time.Time) []Entry {
 	var entries []Entry
 	for {
@@ -223,7 +230,7 @@
 }
 
 // hold keeps a note until the notes before it have arrived. Above the limits the notes
-// with the highest numbers are dropped; PlanFetch lists them again.
+// with the highest numbers are dropped; PlanFetch lists the dropped notes again.
 func (chain *Chain) hold(pub PublishedNote) {
 	chain.held[pub.number] = pub
 	for len(chain.held) > maxHeldNotes || chain.heldSize() > maxHeldBytes {
@@ -239,7 +246,8 @@
 	return size
 }
 
-// advance puts a configuration with a higher number in force and returns its audit entry.
+// advance puts a configuration with a higher number in force and returns the audit
+// entry for this change.
 func (chain *Chain) advance(now time.Time, kind EntryKind, by string, after *State) Entry {
 	before := chain.digest
 	chain.state = after
--- a/core/yuccastate/chain_test.go
+++ b/core/yuccastate/chain_test.go
@@ -146,7 +146,8 @@
 	)
 
 	It("drops the texts of old notes and later their digests", func() {
-		// Otherwise the memory of a daemon that runs for years would grow with every note.
+		// If all notes were kept, the memory of a daemon that runs for years would grow
+		// with every note.
 		chain := chainWithNotes(5000)
 		_, kept := chain.Note(5001)
 		Expect(kept).To(BeTrue())
@@ -161,9 +162,9 @@
 
 var _ = Describe("two chains", func() {
 	It("keep different contents of one number, raise alarms, and converge with the next note", func() {
-		// An operator overwrites note 2 while two data centres are disconnected. One data
-		// centre has accepted the first content, the other reads the second content only.
-		// Neither may replace the content that it accepted.
+		// An operator overwrites note 2 while two data centres are disconnected. One
+		// data centre has accepted the first content, the other reads the second
+		// content only. Neither data centre may replace the content that it accepted.
 		east, west := chainWithNotes(0), chainWithNotes(0)
 		key, first := nextPublished(east.State(), weightNote(2))
 		_, second := nextPublished(east.State(), weightNote(9))
@@ -200,8 +201,8 @@
 	})
 
 	It("adopt a snapshot only if its number is higher and its digest is the announced one", func() {
-		// A peer that was suspended offers an old configuration. A snapshot may also be of
-		// another configuration than the heartbeat that announced it.
+		// A peer that was suspended offers an old configuration. A snapshot may also
+		// hold another configuration than the heartbeat announced.
 		old, chain := chainWithNotes(0), chainWithNotes(2)
 		before := chain.Digest()
 		_, err := chain.Adopt(noon, "peer", old.State(), old.Digest())
@@ -222,8 +223,8 @@
 	})
 
 	It("apply held notes after a snapshot", func() {
-		// A note that arrived before the snapshot would otherwise be missing until the
-		// next fetch.
+		// If notes held from before the snapshot weren't applied after it, they would
+		// be missing until the next fetch.
 		source, chain := chainWithNotes(4), yuccastate.NewChain()
 		raw, _ := source.Note(5)
 		mustOffer(chain, yuccastate.NoteKey(5), raw)
--- a/core/yuccastate/check.go
+++ b/core/yuccastate/check.go
@@ -171,10 +171,10 @@
 	}
 }
 
-// indexUnique returns the name of the object that has each value of the field, and reports
-// values that occur twice.
-// Objects that the note does not mention are indexed first, so that the problem is always
-// reported at an object of the note.
+// indexUnique returns the name of the object that has each value of the field, and
+// reports values that occur twice. Objects that the note does not mention are indexed
+// first, so that the problem of a value that occurs twice is always reported at an
+// object of the note.
 func indexUnique[K ~string, V any, I comparable](bld *builder, kind Kind, field string, objects, added, changed map[K]V, valueOf func(V) I) map[I]K {
 	holders := make(map[I]K, len(objects))
 	for name, object := range objects {
--- a/core/yuccastate/clean.go
+++ b/core/yuccastate/clean.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// The lists in objects and notes are sets: the order of their items has no meaning, and an
-// empty list is the same as none. normalised sorts each list and replaces empty ones by
-// nil before anything is compared or hashed, because two daemons that read the same note
-// from different sources could otherwise compute different digests.
+// The lists in objects and notes are sets: the order of their items has no meaning, and
+// an empty list is the same as none. normalised sorts each list and replaces empty ones
+// by nil before anything is compared or hashed, because without this step two daemons
+// that read the same note from different sources could compute different digests.
 
 func (acc Account) normalised() Account {
 	acc.Tiers = normaliseSet(acc.Tiers)
--- a/core/yuccastate/codec_test.go
+++ b/core/yuccastate/codec_test.go
@@ -30,9 +30,10 @@
 	})
 
 	It("is refused when a single byte differs", func() {
-		// A damaged snapshot would put wrong addresses of all targets in force at once. A
-		// snapshot of a few bytes that announces billions of keys once exhausted the
-		// memory of the process and ended it, and with it all requests that it held.
+		// A damaged snapshot would put wrong addresses of all targets in force at once.
+		// A snapshot of a few bytes that announces billions of map keys once exhausted
+		// the memory of the process. The process ended, and all requests that it held
+		// were lost.
 		raw, err := yuccastate.EncodeState(founded())
 		Expect(err).NotTo(HaveOccurred())
 		// The MessagePack codes for a map, an array and bytes with a length of 32 bits.
@@ -76,8 +77,9 @@
 		Expect(decoded.Digest()).To(Equal(state.Digest()))
 	})
 
-	// The parts of a baseline are published one by one. If JoinParts accepted an incomplete
-	// set, a daemon that reads it in between would start without half of the accounts.
+	// The parts of a baseline are published one by one. If JoinParts accepted an
+	// incomplete set, a daemon that reads the parts before the last one is published
+	// would start without half of the accounts.
 	first, second := founded(), founded()
 	second.Number, second.Policy.GoodputWeight = 2, 9
 	parts := yuccastate.EncodeBaseline(first, 1000)
--- a/core/yuccastate/diff.go
+++ b/core/yuccastate/diff.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// valueOrNone returns the value of the field with the key, or "none" if there is none.
+// valueOrNone returns the value of the field with the key, or "none" if fields has no
+// such field.
 func valueOrNone(fields []yuccayaml.Field, key string) string {
 	for _, field := range fields {
 		if field.Key == key {
--- a/core/yuccastate/digest.go
+++ b/core/yuccastate/digest.go
@@ -11,16 +11,16 @@
 	"yuccacleat/core/yuccaid"
 )
 
-// digestVersion is hashed first, so that digests computed by a later method can never
-// equal those of this one.
+// digestVersion is hashed first, so that a digest computed by a later method can never
+// equal a digest computed by this method.
 const digestVersion = "yuccacleat configuration 1"
 
 // sum is a SHA-256 digest in binary form; yuccaid.Digest is the form in hex.
 type sum [sha256.Size]byte
 
-// kindSum holds the digest over all objects of a kind, and the digest of each by name. A
-// note concerns a few objects out of thousands: only those are encoded and hashed again,
-// and the digests of all other objects are reused.
+// kindSum holds the digest over all objects of a kind, and the digest of each by name.
+// A note concerns a few objects out of thousands. Only these few are encoded and hashed
+// again, and the digests of all other objects are reused.
 type kindSum struct {
 	objects map[string]sum
 	all     sum
@@ -107,7 +107,8 @@
 func canonical(object any) []byte {
 	text, err := json.Marshal(object)
 	if err != nil {
-		// Only a float that is not finite can't be encoded, and Apply refuses those.
+		// Only a float that is not finite can't be encoded, and Apply refuses such
+		// floats.
 		panic(fmt.Sprintf("yuccastate: %v", err))
 	}
 	return text
--- a/core/yuccastate/doc.go
+++ b/core/yuccastate/doc.go
@@ -4,7 +4,7 @@
 // A State is one immutable configuration with a number and a digest. A Note names the
 // digest of the configuration that it was written against, and adds, changes and
 // withdraws objects. Apply returns the State after a note, or a Refusal. The result
-// depends on the State and the Note only, so every daemon gets the same one. A Chain
+// depends on the State and the Note only, so every daemon gets the same result. A Chain
 // holds what one daemon has accepted: it takes notes in any order and snapshots from
 // peers, and its configuration number never decreases.
 //
@@ -20,5 +20,6 @@
 // Nothing is stored on disk. If every daemon that holds the newest note has stopped and
 // the platform's service still serves an older note, no process can find out that the
 // newer note existed. A daemon that adopted a snapshot has no digests of the notes that
-// the snapshot replaced, so it can't detect that the content of their keys has changed.
+// the snapshot replaced, so it can't detect that the content published under the keys
+// of these notes has changed.
 package yuccastate
--- a/core/yuccastate/entry.go
+++ b/core/yuccastate/entry.go
@@ -21,9 +21,10 @@
 	EntryAlarm EntryKind = "alarm"
 )
 
-// Entry is one entry of the audit trail: the event, the note's author or the peer that
-// it came from (By), and the configuration's digests before and after it, which are
-// equal if nothing changed.
+// Entry is one entry of the audit trail: an event, and the configuration's digests
+// before and after the event, which are equal if nothing changed. By is the author of
+// the note or, for a snapshot or a fork, the peer or other source that the event came
+// from.
 type Entry struct {
 	At     time.Time            `json:"at"`
 	Kind   EntryKind            `json:"kind"`
--- a/core/yuccastate/fold.go
+++ b/core/yuccastate/fold.go
@@ -20,8 +20,8 @@
 // the same notes, and refuse all other notes for the same reasons.
 //
 // If two operators write notes against the same configuration, the note that is applied
-// first is accepted. The other is refused, because its base is no longer the current
-// digest.
+// first is accepted. The other note is refused, because its base is no longer the
+// digest of the current configuration.
 func (s *State) Apply(note Note) (*State, error) {
 	if note.Number != s.Number+1 {
 		remedy := fmt.Sprintf("number it %d", s.Number+1)
@@ -76,9 +76,9 @@
 
 func identity[V any](object V) V { return object }
 
-// applyKind applies a note's changes to the objects of one kind, and returns the new map
-// and the names of the objects concerned. The old map is never written to; it is returned
-// as it is if the note does not mention the kind.
+// applyKind applies a note's changes to the objects of one kind, and returns the new
+// map and the names of the objects concerned. The old map is never written to. If the
+// note does not mention the kind, the old map itself is returned.
 func applyKind[K ~string, V any](bld *builder, kind Kind, old, added, changed map[K]V, withdrawn []K, normalise func(V) V) (map[K]V, []K) {
 	if len(added)+len(changed)+len(withdrawn) == 0 {
 		return old, nil
@@ -137,8 +137,8 @@
 	return section + "." + string(kind) + "." + name
 }
 
-// sectionOf returns the section of the note that holds the object, or "" if it is in
-// neither.
+// sectionOf returns the section of the note that holds the object, or "" if the object
+// is neither added nor changed.
 func sectionOf[K ~string, V any](added, changed map[K]V, name K) string {
 	if _, found := added[name]; found {
 		return sectionAdded
--- a/core/yuccastate/key.go
+++ b/core/yuccastate/key.go
@@ -11,7 +11,8 @@
 const (
 	// NotePrefix is the prefix of the keys of release notes in the platform's store.
 	NotePrefix = "notes/"
-	// BaselinePrefix is the prefix of the keys of baseline parts in that store.
+	// BaselinePrefix is the prefix of the keys of baseline parts in the platform's
+	// store.
 	BaselinePrefix = "baselines/"
 
 	// keyNumberDigits is the width to which numbers in keys are padded with zeros.
--- a/core/yuccastate/machine_test.go
+++ b/core/yuccastate/machine_test.go
@@ -24,7 +24,7 @@
 }
 
 // fleet is several daemons and a platform's service that may return any version of a
-// key that was ever published, in any order. It is contested once two notes with
+// key that was ever published, in any order. contested is true once two notes with
 // different contents were published under one number.
 type fleet struct {
 	daemons     []*daemon
@@ -87,7 +87,8 @@
 	}
 }
 
-// exchange sends a heartbeat from peer to dmn, which then fetches what it lacks.
+// exchange sends a heartbeat from peer to dmn; dmn then fetches from peer what dmn
+// lacks.
 func (fleet *fleet) exchange(t *rapid.T, dmn, peer *daemon) {
 	number, digest := peer.chain.Number(), peer.chain.Digest()
 	relation, entries := dmn.chain.ComparePeer(noon, peer.name, number, digest)
@@ -138,8 +139,9 @@
 	fleet.versions[number] = append(fleet.versions[number], raw)
 }
 
-// check fails if a daemon is not at the highest number that it put in force, with the same
-// digest as then, or if that digest is not the one of its content.
+// check fails unless each daemon is at the highest number that it put in force, its
+// digest is the same as when it put that number in force, and a digest recomputed from
+// its content is equal.
 func (fleet *fleet) check(t *rapid.T) {
 	for _, dmn := range fleet.daemons {
 		state := dmn.chain.State()
--- a/core/yuccastate/note.go
+++ b/core/yuccastate/note.go
@@ -39,8 +39,9 @@
 	return note, nil
 }
 
-// parseNotePartial parses a note. With an error it returns the fields that could be read,
-// so that the audit entry of the refusal can name the note's author.
+// parseNotePartial parses a note. If it returns an error, it also returns the fields
+// that could be read, so that the audit entry of the refusal can name the note's
+// author.
 func parseNotePartial(raw []byte) (Note, error) {
 	if yuccaid.Bytes(len(raw)) > NoteLimit {
 		return Note{}, newRefusal(0, yuccayaml.ErrValue, "", "split it into several notes", "has %d bytes, more than %d", len(raw), NoteLimit)
@@ -79,7 +80,7 @@
 }
 
 // locateNames reads all lines by index before it sets the lines by name (with defer),
-// because an object's name may be a number that equals the index of another.
+// because an object's name may be a number that equals the index of another object.
 func locateNames[K ~string](lines yuccayaml.Lines, kind Kind, names []K) {
 	for i, name := range names {
 		line := lines.Of(objectKey(sectionWithdrawn, kind, strconv.Itoa(i)))
@@ -96,8 +97,8 @@
 	return yuccayaml.Encode(note)
 }
 
-// Digest returns the SHA-256 of the canonical form, which is the same for notes that
-// differ only in layout, order or comments.
+// Digest returns the SHA-256 of the note's canonical form. Notes that differ only in
+// layout, order or comments have the same digest.
 func (note Note) Digest() yuccaid.Digest {
 	digest := sha256.Sum256(note.Canonical())
 	return yuccaid.Digest(hex.EncodeToString(digest[:]))
--- a/core/yuccastate/object.go
+++ b/core/yuccastate/object.go
@@ -35,8 +35,8 @@
 	Region yuccaid.Region `json:"region,omitempty"`
 }
 
-// Link holds the price and delay of traffic that leaves a region; its name is the
-// region's.
+// Link holds the price and delay of traffic that leaves a region; a link has the name
+// of this region.
 type Link struct {
 	PricePerGigabyte float64       `json:"pricePerGigabyte,omitempty"`
 	Delay            time.Duration `json:"delay,omitempty"`
@@ -56,7 +56,7 @@
 type Operations map[yuccaid.Operation]Operation
 
 // Pool is a group of targets that serve the same model or the same service. LongestRun
-// is the longest time that a request may run on one of them.
+// is the longest time that a request may run on one of the pool's targets.
 type Pool struct {
 	Kind       PoolKind      `json:"kind,omitempty"`
 	Operations Operations    `json:"operations,omitempty"`
@@ -72,9 +72,9 @@
 	Role     string          `json:"role,omitempty"`
 }
 
-// Target is one endpoint that serves requests. Slots is how many requests it runs at once,
-// Prefill and Decode are prompt and answer tokens per second, and Cache is in tokens. Each
-// field set in Setup overrides the pool's.
+// Target is one endpoint that serves requests. Slots is how many requests the target
+// runs at once, Prefill and Decode are prompt and answer tokens per second, and Cache
+// is in tokens. Each field set in Setup overrides the same field of the pool's Setup.
 type Target struct {
 	Pool        yuccaid.Pool      `json:"pool,omitempty"`
 	Centre      yuccaid.Centre    `json:"centre,omitempty"`
@@ -88,17 +88,17 @@
 	Setup       EngineSetup       `json:"wish,omitzero"`
 }
 
-// Limits bounds what a client account may use; a field of 0 sets no limit. Running is the
-// number of its requests that may run at once.
+// Limits bounds what a client account may use; a field of 0 sets no limit. Running is
+// the number of the account's requests that may run at once.
 type Limits struct {
 	RequestsPerSecond float64           `json:"requestsPerSecond,omitempty"`
 	Running           int               `json:"running,omitempty"`
 	TokensPerSecond   yuccaid.TokenRate `json:"tokensPerSecond,omitempty"`
 }
 
-// Account is a client account. If Targets is empty, it may use all targets of its
-// pools. Weight is its share relative to other accounts. Credential is the SHA-256 of its
-// bearer secret in hex.
+// Account is a client account. If Targets is empty, the account may use all targets of
+// its pools. Weight is the account's share relative to other accounts. Credential is
+// the SHA-256 of the account's bearer secret, in hex.
 type Account struct {
 	Credential yuccaid.Digest   `json:"credential,omitempty"`
 	Tiers      []yuccaid.Tier   `json:"tiers,omitempty"`
--- a/core/yuccastate/oracle_test.go
+++ b/core/yuccastate/oracle_test.go
@@ -31,9 +31,10 @@
 	return note
 }
 
-// drawEdit adds to a note an edit of an object with a drawn name: it adds an object that
-// does not exist, or changes or withdraws one that does. In one of ten cases it does the
-// opposite, which Apply must refuse.
+// drawEdit adds to a note an edit of an object with a drawn name: it adds an object
+// that does not exist, or changes or withdraws an object that exists. In one of ten
+// cases it adds an object that exists, or changes or withdraws an object that does not
+// exist; Apply must refuse these edits.
 func drawEdit[K ~string, V any](t *rapid.T, kind string, old map[K]V, object V, added, changed map[K]V, withdrawn *[]K) {
 	name := drawNames[K](t, kind, 1)[0]
 	_, exists := old[name]
@@ -112,8 +113,9 @@
 	return ok
 }
 
-// applyEdits returns the objects after the edits, and sets ok to false for an edit that
-// does not fit.
+// applyEdits returns the objects after the edits, and sets ok to false if an edit adds
+// an object that exists, if it changes or withdraws an object that does not exist, or
+// if two edits name the same object.
 func applyEdits[K ~string, V any](old, added, changed map[K]V, withdrawn []K, ok *bool) map[K]V {
 	result, mentions := map[K]V{}, map[K]int{}
 	maps.Copy(result, old)
--- a/core/yuccastate/published.go
+++ b/core/yuccastate/published.go
@@ -11,8 +11,9 @@
 // chain.
 //
 // Parsing a note of a megabyte takes some hundred milliseconds. On the goroutine that
-// owns the chain it would delay every decision of the daemon by that time. ParsePublished may
-// therefore run on any goroutine, and only OfferPublished needs the chain.
+// owns the chain, the parsing would delay every decision of the daemon by this time.
+// ParsePublished may therefore run on any goroutine; only OfferPublished must run on
+// the chain's goroutine.
 type PublishedNote struct {
 	number     yuccaid.ConfigNumber
 	raw        []byte
--- a/core/yuccastate/reference.go
+++ b/core/yuccastate/reference.go
@@ -7,8 +7,9 @@
 )
 
 // checkReferences checks the references between objects. A note that only adds objects
-// can't break existing references, so only its own objects are checked. After a note
-// that changes or withdraws objects, all objects are checked.
+// can't break existing references, so only the note's own objects are checked. If the
+// note changes or withdraws objects in a way that may break references of other
+// objects, all objects are checked.
 func (bld *builder) checkReferences() {
 	all := bld.mayBreakReferences()
 	next, add, change := bld.next, bld.note.Added, bld.note.Changed
@@ -26,8 +27,9 @@
 	return changes+withdrawals > 0
 }
 
-// checkEach calls check for the objects that the note adds or changes, or for all objects
-// if all is true. The section is empty for an object that the note does not mention.
+// checkEach calls check for the objects that the note adds or changes and, if all is
+// true, for all other objects too. The argument section of check is empty for an object
+// that the note does not mention.
 func checkEach[K ~string, V any](objects, added, changed map[K]V, all bool, check func(section string, name K, object V)) {
 	visit := func(section string, objectsOfSection map[K]V) {
 		for name := range objectsOfSection {
@@ -48,8 +50,9 @@
 	}
 }
 
-// referrer is an object that refers to other objects. section is the section of the note
-// that holds it, or empty if the note does not mention it.
+// referrer is an object that refers to other objects. section is the section of the
+// note that holds the referring object, or empty if the note does not mention this
+// object.
 type referrer struct {
 	section string
 	kind    Kind
@@ -63,8 +66,9 @@
 	return objectKey(ref.section, ref.kind, ref.name)
 }
 
-// expectKnown reports a reference to an object that does not exist: at the key of the
-// withdrawal if the note withdraws it, else at the field of the object that refers to it.
+// expectKnown reports a reference to an object that does not exist. If the note
+// withdraws the missing object, the problem is reported at the key of the withdrawal,
+// and otherwise at the field of the referring object.
 func expectKnown[K ~string, V any](bld *builder, ref referrer, field string, kind Kind, name K, objects map[K]V, withdrawn []K) bool {
 	if _, known := objects[name]; known {
 		return true
--- a/core/yuccastate/refusal_test.go
+++ b/core/yuccastate/refusal_test.go
@@ -21,9 +21,10 @@
 }
 
 var _ = Describe("a refused note", func() {
-	// A mistake that is not detected would be in force in the whole fleet within seconds.
-	// The operator gets each mistake with its line and remedy, and all daemons must return
-	// the same error, so that a note is never in force in one data centre only.
+	// A mistake in a note that is not detected would be in force in the whole fleet
+	// within seconds. The operator gets each mistake with its line and remedy, and all
+	// daemons must return the same error, so that a note is never in force in one data
+	// centre only.
 	files, err := filepath.Glob("testdata/refused/*.yaml")
 	if err != nil || len(files) == 0 {
 		panic("no notes to refuse")
--- a/core/yuccastate/state.go
+++ b/core/yuccastate/state.go
@@ -29,8 +29,8 @@
 	credentials map[yuccaid.Digest]yuccaid.Account
 }
 
-// Empty returns configuration 0, which the first note is written against: no objects,
-// and equal weights for goodput and waste.
+// Empty returns configuration 0, which the first note is written against. It has no
+// objects, and equal weights for goodput and waste.
 func Empty() *State {
 	empty := &State{Policy: Policy{GoodputWeight: 1, WasteWeight: 1}}
 	empty.sums = sumAll(empty)
@@ -84,7 +84,7 @@
 }
 
 // SetupOf returns what the target should have loaded: each field from the target's own
-// setup if it is set there, else from its pool's.
+// setup if the field is set there, and otherwise from the setup of the target's pool.
 func (s *State) SetupOf(name yuccaid.Target) EngineSetup {
 	target := s.Targets[name]
 	setup, poolSetup := target.Setup, s.Pools[target.Pool].Setup
--- a/core/yuccastate/suite_test.go
+++ b/core/yuccastate/suite_test.go
@@ -42,7 +42,7 @@
 }
 
 // nextNote parses a note and makes it the next one after the configuration current: it
-// sets the note's number and base, and an author if the text has none.
+// sets the note's number and base, and an author if the text names no author.
 func nextNote(current *yuccastate.State, text string) yuccastate.Note {
 	note, err := yuccastate.ParseNote([]byte(text))
 	if err != nil {
--- a/core/yuccastate/yuccayaml/decode.go
+++ b/core/yuccastate/yuccayaml/decode.go
@@ -112,9 +112,10 @@
 	}
 }
 
-// eachPair calls each for every key of a mapping and its value. It reports a node that is
-// not a mapping, keys that are not scalars, and duplicate keys. Lenient decoders keep the
-// last of two equal keys and drop the first without telling the operator.
+// eachPair calls each for every key of a mapping and its value. It reports a node that
+// is not a mapping, keys that are not scalars, and duplicate keys. Duplicate keys are
+// reported because lenient decoders keep the last of two equal keys and drop the first
+// without telling the operator.
 func (dec *decoder) eachPair(node *yaml.Node, key string, each func(name, value *yaml.Node, key string)) {
 	if isNull(node) {
 		return
@@ -238,8 +239,8 @@
 	dec.report(ErrValue, node, key, "write "+want, "%q does not fit", node.Value)
 }
 
-// decodeDuration decodes a duration with a unit. time.ParseDuration accepts a bare 0; it
-// is refused here, so that every duration has a unit.
+// decodeDuration decodes a duration with a unit. time.ParseDuration accepts a bare 0;
+// decodeDuration refuses it, so that every duration has a unit.
 func (dec *decoder) decodeDuration(node *yaml.Node, into reflect.Value, key string) {
 	span, err := time.ParseDuration(node.Value)
 	if err == nil && (span != 0 || node.Tag != intTag) {
@@ -274,8 +275,8 @@
 	return key + "." + name
 }
 
-// jsonNames returns the name in the json tag of each field of a struct, in order; it is
-// empty for a field without a json tag.
+// jsonNames returns the name in the json tag of each field of a struct, in order; the
+// name is empty for a field without a json tag.
 func jsonNames(structType reflect.Type) []string {
 	names := make([]string, structType.NumField())
 	for i := range names {
--- a/core/yuccastate/yuccayaml/doc.go
+++ b/core/yuccastate/yuccayaml/doc.go
@@ -3,8 +3,8 @@
 //
 // Decode fills a struct by its json tags. It refuses what lenient decoders ignore:
 // unknown keys, duplicate keys, durations without a unit, aliases and second documents.
-// Encode writes a struct so that equal values give equal bytes, and Decode decodes them to
-// the same value.
+// Encode writes a struct so that equal values give equal bytes, and Decode decodes
+// these bytes to the same value.
 //
 //	var settings struct {
 //		Drain time.Duration `json:"drain"`
--- a/core/yuccastate/yuccayaml/encode.go
+++ b/core/yuccastate/yuccayaml/encode.go
@@ -46,7 +46,7 @@
 	encoder := yaml.NewEncoder(&out)
 	encoder.SetIndent(indent)
 	if err := encoder.Encode(node); err != nil {
-		// All nodes are built in this file, so an error here is a bug in it.
+		// All nodes are built in this file, so an error here is a bug in this file.
 		panic(fmt.Sprintf("yuccayaml: %v", err))
 	}
 	return out.Bytes()
@@ -111,8 +111,8 @@
 	return &yaml.Node{Kind: yaml.ScalarNode, Tag: tag, Value: text}
 }
 
-// isEmpty reports whether omitempty or omitzero leaves the field out: it is a zero value,
-// an empty map or list, or a struct of such fields only.
+// isEmpty reports whether omitempty or omitzero leaves the field out: the field is a
+// zero value, an empty map or list, or a struct that has only empty fields.
 func isEmpty(field reflect.Value) bool {
 	switch field.Kind() {
 	case reflect.Struct:
--- a/core/yuccastate/yuccayaml/problem.go
+++ b/core/yuccastate/yuccayaml/problem.go
@@ -9,21 +9,22 @@
 )
 
 var (
-	// ErrSyntax means that a file is not valid YAML or uses parts of it that are not
+	// ErrSyntax means that a file is not valid YAML or uses parts of YAML that are not
 	// supported, such as aliases.
 	ErrSyntax = errors.New("syntax")
 	// ErrUnknownKey means that a mapping has a key that is not defined for it.
 	ErrUnknownKey = errors.New("unknown key")
 	// ErrTwice means that a key, an item or a unique value is given twice.
 	ErrTwice = errors.New("given twice")
-	// ErrUnit means that a quantity has no unit, a wrong one or one where none belongs.
+	// ErrUnit means that a quantity lacks its unit, has a wrong unit, or has a unit
+	// where no unit belongs.
 	ErrUnit = errors.New("unit")
 	// ErrValue means that a value is of the wrong type or out of range.
 	ErrValue = errors.New("value")
 )
 
-// maxShownProblems bounds the number of problems in an error's text, because a file of
-// another format would otherwise add a line to the log for each of its keys.
+// maxShownProblems bounds the number of problems in an error's text, because without a
+// bound a file of another format would add a line to the log for each of its keys.
 const maxShownProblems = 50
 
 // Problem is one mistake in a file. Kind is one of the sentinel errors, Key is dotted as
@@ -107,8 +108,8 @@
 // Lines holds the line of each dotted key, such as "listen.peer".
 type Lines map[string]int
 
-// Of returns the line of the key or, if that is unknown, of the nearest enclosing key; it
-// returns 0 if none is known.
+// Of returns the line of the key or, if this line is unknown, the line of the nearest
+// enclosing key whose line is known. It returns 0 if there is no such key.
 func (lines Lines) Of(key string) int {
 	for key != "" {
 		if line, ok := lines[key]; ok {
--- a/core/yuccastate/yuccayaml/size.go
+++ b/core/yuccastate/yuccayaml/size.go
@@ -15,7 +15,8 @@
 	bytes yuccaid.Bytes
 }
 
-// sizeUnits is sorted from large to small; B is last because the other names end in it.
+// sizeUnits is sorted from large to small; B is last because the names of all other
+// units end in B.
 var sizeUnits = []sizeUnit{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
 // parseBytes parses a whole number followed directly by a unit, such as 64KiB.
