--- a/core/yuccaonce/errors.go
+++ b/core/yuccaonce/errors.go
@@ -69,8 +69,9 @@
 }
 
 // StageError means that a request was dispatched before it was submitted, or finished
-// before it was dispatched. Stage is always RunWaiting, the state that callers see
-// until a request is dispatched.
+// before it was dispatched. State is the state of the request that callers see at that
+// time. It is RunWaiting in both cases, because callers see RunWaiting until a request is
+// dispatched, whether or not it has been submitted.
 type StageError struct {
 	ID    yuccaid.RequestID
 	State Run
--- a/core/yuccapeer/peers.go
+++ b/core/yuccapeer/peers.go
@@ -34,8 +34,9 @@
 	// the square of the number of daemons.
 	rosterSent map[yuccaid.Incarnation]bool
 	// dialPlan has, for each data centre that this daemon is a gateway to, the VMs there in the
-	// order in which they should be dialled. It has to be made again if dialPlanStale is set,
-	// or if Settled no longer returns dialPlanSettled.
+	// order in which they should be dialled. dialPlanSettled is what Settled returned when the
+	// plan was made. The plan has to be made again if dialPlanStale is set, or if this daemon
+	// has settled since then or no longer counts as settled.
 	dialPlan map[yuccaid.Centre][]yuccaid.VM
 	// gatewayVMs are the VMs of this data centre that are gateways according to the dial plan.
 	gatewayVMs      map[yuccaid.VM]bool
--- a/core/yuccapeer/view.go
+++ b/core/yuccapeer/view.go
@@ -116,8 +116,9 @@
 	return change
 }
 
-// deleteOld deletes the peers that expired, the listings that were received and the
-// incarnations that were replaced more than ForgetAfter ago. VMs are replaced all the time, so otherwise the maps would grow
+// deleteOld deletes what is older than ForgetAfter: the peers that expired more than
+// ForgetAfter ago, and the listings and replaced incarnations that were recorded at least
+// ForgetAfter ago. VMs are replaced all the time, so without deleteOld the maps would grow
 // without bound.
 func (peers *Peers) deleteOld(now time.Time) {
 	for vm, other := range peers.byVM {
--- a/core/yuccaplace/preempt.go
+++ b/core/yuccaplace/preempt.go
@@ -102,8 +102,8 @@
 	return load
 }
 
-// preemptible returns the runs that may be cancelled for a request of the rank, in the
-// order of cancelling.
+// preemptible returns the runs that a request of the given rank is allowed to cancel, in the
+// order of cancelling. These are the cancellable runs of lower tiers.
 func (state *TargetState) preemptible(now time.Time, rank int) []*Run {
 	var list []*Run
 	for _, run := range state.runs {
--- a/core/yuccaqueue/class.go
+++ b/core/yuccaqueue/class.go
@@ -26,16 +26,17 @@
 // one target set that are all short or all long.
 //
 // Accounts whose virtual service is at most window above floor compete by deadline.
-// Accounts further ahead wait until the floor has risen. With spare capacity all accounts
-// are within the window, so the order is pure deadline order, in which no request that
+// Accounts further ahead wait until the floor has risen. With spare capacity no account is
+// further ahead, so the order is pure deadline order, in which no request that
 // could meet its deadline misses it. Under load an account with many requests cannot delay
 // an account with few requests merely by early deadlines.
 //
 // byService holds all flows that have a request to serve, the least virtual service
 // first. Held requests and requests of blocked accounts are not to be served. Each flow in
-// byService is also in a second heap: in eligible, ordered by Params.Key, if its account
-// is within the window, otherwise in ahead, ordered by virtual service. floor is the
-// highest value so far of the least virtual service among the flows in byService.
+// byService is also in a second heap. If the virtual service of its account is at most
+// window above floor, that heap is eligible, which is ordered by Params.Key. Otherwise it is
+// ahead, which is ordered by virtual service. floor is the highest value so far of the least
+// virtual service among the flows in byService.
 //
 // held lists requests for which the free slots are unsuitable. parked says that none of
 // the class's requests is tried, because one of them found no free slot or because
@@ -82,8 +83,8 @@
 	cls.advanceFloor()
 }
 
-// assignHeap puts a flow in the eligible heap if it is within the window, otherwise in
-// the ahead heap.
+// assignHeap puts a flow in the eligible heap if the virtual service of its account is at
+// most window above floor, otherwise in the ahead heap.
 func (cls *class) assignHeap(fl *flow) {
 	if fl.accountTier.virtualService <= cls.floor+cls.window {
 		cls.ahead.remove(fl)
@@ -94,8 +95,9 @@
 	cls.ahead.fix(fl)
 }
 
-// advanceFloor raises the floor to the least virtual service and moves the flows that
-// are now within the window from the ahead heap to the eligible heap.
+// advanceFloor raises the floor to the least virtual service. Then it moves the flows whose
+// virtual service is now at most window above the floor from the ahead heap to the eligible
+// heap.
 func (cls *class) advanceFloor() {
 	if cls.byService.len() == 0 {
 		return
--- a/core/yuccaqueue/item.go
+++ b/core/yuccaqueue/item.go
@@ -16,8 +16,8 @@
 	// Long marks a prompt that occupies a target long enough to delay short requests.
 	Long bool
 	// Key is the time by which requests are ordered, the earliest first. It orders the
-	// requests of one account. It also orders the first requests of all accounts that
-	// compete by deadline (see class).
+	// requests of one account within a class. Among the accounts that compete by deadline
+	// (see class), the account whose first request has the earliest Key is served next.
 	Key time.Time
 	// CheckAt is the time from which NextToCheck returns the request if it still waits.
 	CheckAt time.Time
--- a/core/yuccaquota/rush.go
+++ b/core/yuccaquota/rush.go
@@ -5,31 +5,35 @@
 const (
 	// demandRateFactor, demandHeadStart and demandBurstShare define the largest demand that is
 	// expected from an account within its quota while no daemon has usage history: demandRateFactor
-	// times its rate, counted from demandHeadStart before the restart, and at least demandBurstShare
-	// of its burst. An account within its quota demands less, even when its callers have waited for
-	// the end of an outage and all retry at once. An account that demands more probably did so before
-	// the restart as well and may have filled its window, so it is held until that usage begins to
-	// leave the window.
+	// times its rate, counted from demandHeadStart before the history was lost, and at least
+	// demandBurstShare of its burst. An account within its quota demands less, even when its callers
+	// have waited for the end of an outage and all retry at once. An account that demands more
+	// probably did so before the loss as well and may have filled its window, so it is held until
+	// that usage begins to leave the window.
 	demandRateFactor = 1.3
 	demandHeadStart  = time.Second
 	demandBurstShare = 0.8
 	// fillTimeFactor shortens the time in which a held account is assumed to have filled its window,
-	// because its demand before the restart may have been higher than after it.
+	// because its demand before the loss of the history may have been higher than after the loss.
 	fillTimeFactor = 0.7
 )
 
 // decideWithoutHistory decides on a request of an account that demands more than its quota while no
 // daemon has usage history. At first such an account is admitted for the largest demand that is
-// expected from an account within its quota. If the account's demand was as high before the
-// restart, the account filled its window within a few seconds. In the worst case these were the
-// last seconds before the restart. Their usage then begins to leave the window at holdTime after
-// the restart, which is the length of the window minus these seconds. From then on, requests are
-// admitted at the rate of the demand.
+// expected from an account within its quota. If the account's demand was as high before the history
+// was lost (historyLostAt), the account filled its window within a few seconds. In the worst case
+// these were the last seconds before the loss. Their usage then begins to leave the window at
+// holdTime after the loss, which is the length of the window minus these seconds. From then on,
+// requests are admitted at the rate of the demand.
+//
+// The history is lost when all daemons restart, and also when the length of the window changes.
 func (led *Ledger) decideWithoutHistory(now time.Time, win *accountWindow, cost, limit float64) (verdict Verdict, retryAfter time.Duration) {
 	sinceLoss := now.Sub(led.historyLostAt)
 	demandRate := float64(win.demand.all.Total()) / (sinceLoss + demandHeadStart).Seconds()
 	holdTime := led.tolerance.Window - seconds(fillTimeFactor*limit/demandRate)
-	// The admissible usage starts at the largest expected demand at the time of the restart.
+	// The admissible usage starts at this daemon's share of the demand that is expected at the time
+	// of the loss. It keeps that value until holdTime after the loss, and then grows by demandRate
+	// each second. The growth isn't multiplied by the share.
 	admissible := led.share*win.demandLimit(0) + demandRate*max(sinceLoss-holdTime, 0).Seconds()
 	if float64(win.admitted.all.Total())+cost <= admissible {
 		return Admitted, 0
--- a/core/yuccaquota/share.go
+++ b/core/yuccaquota/share.go
@@ -38,16 +38,21 @@
 	idleShare = 0.5
 )
 
-// withinShare reports whether this daemon may admit a request of the given cost, given its share of
-// the remaining quota and the exceptions for long requests. The share is the mean of an even share
-// and of this daemon's fraction of the account's usage, without the usage that this daemon has
-// admitted within the last report delay. If no other usage is known, it is the even share.
+// withinShare returns true if this daemon may admit a request of the given cost, because the cost is
+// within the daemon's share of the remaining quota or because an exception for long requests applies.
+// The share is the mean of two fractions: the even share, and this daemon's fraction of the account's
+// usage. That usage is counted without the usage that this daemon has admitted within the last report
+// delay. If no other usage is known, the share is the even share.
+//
+// decide has already refused a cost above the remaining quota, unless the window is empty. A single
+// daemon has no peers to share with, so for it withinShare always returns true.
 //
 // A burst reaches all daemons before any of them has received a report of it. Each daemon keeps to
 // its share, so that together they admit no more than the remaining quota and the reserve.
 func (led *Ledger) withinShare(now time.Time, account yuccaid.Account, win *accountWindow, cost, remaining float64) bool {
 	recent := float64(win.recentLocal.Total())
-	// Only an empty window admits a cost larger than the whole limit; see Admit.
+	// If the window is empty, a request is admitted even if it costs more than the whole limit, because
+	// it could never be admitted otherwise.
 	if led.daemons == 1 || win.admitted.all.Total() == 0 && cost > remaining {
 		return true
 	}
--- a/core/yuccaroster/entry.go
+++ b/core/yuccaroster/entry.go
@@ -23,7 +23,8 @@
 	// the target has restarted under the same name, and the requests and caches of its previous
 	// process are lost.
 	StartMillis int64 `msgpack:"born"`
-	// WarmAfter is how long after its registration the target is still cold, and so slower.
+	// WarmAfter is for how long after its registration the target still answers slowly because
+	// its caches are empty. Daemons pass it on with the entry, but no decision depends on it.
 	WarmAfter time.Duration `msgpack:"warmAfter"`
 	Revision  Revision      `msgpack:"revision"`
 }
--- a/core/yuccastate/chain.go
+++ b/core/yuccastate/chain.go
@@ -40,9 +40,10 @@
 	VerdictHeld VerdictKind = "held"
 	// VerdictRefused means that nothing changed; the error gives the reason.
 	VerdictRefused VerdictKind = "refused"
-	// VerdictOld means that the note's number is not above the accepted number and that
-	// no digests of the note accepted under it are kept, so the contents can't be
-	// compared.
+	// VerdictOld means that the offered note's number is not above the number of the
+	// configuration in force, and that the chain keeps no digest of the note that was
+	// accepted under the offered note's number. So the contents of the offered and the
+	// accepted note can't be compared.
 	VerdictOld VerdictKind = "old"
 	// VerdictAlarm means that the content differs from the content accepted under the
 	// same number; nothing changed.
--- a/core/yuccawindow/window.go
+++ b/core/yuccawindow/window.go
@@ -60,7 +60,8 @@
 	sum.total += amount
 }
 
-// AgeGroups is the number of age groups, which are equal parts of the window.
+// AgeGroups is the number of age groups. An age group holds the amounts whose age, which is the
+// time since they were added, lies in one of AgeGroups equal parts of the window.
 const AgeGroups = buckets / 2
 
 // Ages returns the sum of each age group, the most recent group first.
--- a/io/yuccagate/desk.go
+++ b/io/yuccagate/desk.go
@@ -45,8 +45,9 @@
 	suspectUntil time.Time
 	// remoteLoads holds, for each other data centre, the loads that its leader has cast.
 	remoteLoads map[yuccaid.Centre]*centreLoads
-	// remoteChanged holds the targets whose remote loads have changed since remote loads were last
-	// passed to local. If remoteReset is set, the remote loads of all targets have to be passed.
+	// remoteChanged holds the targets whose remote loads have changed since passRemoteLoads last
+	// passed remote loads to local, which decides on requests. If remoteReset is set, the remote
+	// loads of all targets have to be passed to local.
 	remoteChanged map[yuccaid.Target]bool
 	remoteReset   bool
 	// rosterVersion is the roster's version that local was configured with, or neverConfigured.
--- a/io/yuccagate/events.go
+++ b/io/yuccagate/events.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// maxEventBytes bounds how much of a stream is buffered while its next event is incomplete. If the
-// buffer exceeds it, next returns errLongEvent.
+// maxEventBytes bounds the length of an event. If more than maxEventBytes of an event have arrived
+// and the event is still incomplete, next returns errLongEvent.
 const maxEventBytes = 1 << 20
 
 var errLongEvent = errors.New("an event is longer than a megabyte")
